--- a/packages/coordination/crash_book.cpp
+++ b/packages/coordination/crash_history.cpp
@@ -1,4 +1,4 @@
-#include "coordination/crash_book.h"
+#include "coordination/crash_history.h"
 
 #include <algorithm>
 
--- a/packages/coordination/crash_task.h
+++ b/packages/coordination/crash_task.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/crash_book.h"
+#include "coordination/crash_history.h"
 #include "protocol/crash_messages.h"
 #include "transport/bus.h"
 #include "transport/connect_probe.h"
--- a/packages/coordination/owner_task.h
+++ b/packages/coordination/owner_task.h
@@ -7,7 +7,7 @@
 #include "coordination/load_order.h"
 #include "coordination/ownership.h"
 #include "coordination/replicas.h"
-#include "coordination/server_words.h"
+#include "coordination/server_notices.h"
 #include "transport/bus.h"
 #include "transport/engine_client.h"
 
--- a/packages/coordination/quota_desk.cpp
+++ b/packages/coordination/quota_client.cpp
@@ -1,4 +1,4 @@
-#include "coordination/quota_desk.h"
+#include "coordination/quota_client.h"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/daemon/entry_task.h
+++ b/packages/daemon/entry_task.h
@@ -6,7 +6,7 @@
 #include "coordination/key_journal.h"
 #include "coordination/retry.h"
 #include "coordination/routing.h"
-#include "coordination/server_words.h"
+#include "coordination/server_notices.h"
 #include "daemon/metrics.h"
 #include "transport/bus.h"
 #include "transport/http_client.h"
--- a/packages/serving/client_request.h
+++ b/packages/serving/client_request.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/server_words.h"
+#include "coordination/server_notices.h"
 #include "serving/backend_server.h"
 #include "state/clock.h"
 #include "state/error.h"
--- a/packages/serving/server_limit.h
+++ b/packages/serving/server_limit.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "coordination/quota_bucket.h"
-#include "coordination/server_words.h"
+#include "coordination/server_notices.h"
 #include "state/clock.h"
 
 #include <cstddef>
--- a/packages/serving/word_task.h
+++ b/packages/serving/word_task.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/server_words.h"
+#include "coordination/server_notices.h"
 #include "serving/client_request.h"
 #include "serving/decision_log.h"
 #include "serving/fleet_port.h"
--- a/tests/serving/edge_test.cpp
+++ b/tests/serving/edge_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/crash_book.h"
+#include "coordination/crash_history.h"
 #include "coordination/request_fingerprint.h"
 #include "protocol/codec.h"
 #include "serving/beat_cells.h"
--- a/tests/soak/crashing_request_test.cpp
+++ b/tests/soak/crashing_request_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/crash_book.h"
+#include "coordination/crash_history.h"
 #include "soak/fleet_fixture.h"
 
 // What users saw: a server ended about once a second, and with each the answers of all its callers. One
--- a/tests/unit/quota_sim.h
+++ b/tests/unit/quota_sim.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/quota_desk.h"
+#include "coordination/quota_client.h"
 #include "coordination/quota_home.h"
 
 #include <cstdint>
--- a/tests/unit/server_words_test.cpp
+++ b/tests/unit/server_notices_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/server_words.h"
+#include "coordination/server_notices.h"
 #include "transport/answer_words.h"
 
 #include <gtest/gtest.h>
