--- a/packages/coordination/admission.cpp
+++ b/packages/coordination/admission.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Coming back sooner than this would cost more than it brings.
-constexpr double shortestRetryMs = 50;
+constexpr double minRetryAfterMs = 50;
 /// The share of queue places from which a priority is shed, in the order of `priority`.
 constexpr std::array<double, 4> shedShare{1.0, 0.95, 0.8, 0.5};
 static_assert(shedShare.size() == static_cast<std::size_t>(priority::Low) + 1);
@@ -19,12 +19,12 @@
 /// How far the queue has to drain before the request would be accepted, or nothing when it is now.
 using excess = std::optional<double>;
 
-std::uint32_t room(const admission_view &queue)
+std::uint32_t freePlaces(const admission_view &queue)
 {
     return queue.batchLimit > queue.inFlight ? queue.batchLimit - queue.inFlight : 0;
 }
 
-std::uint32_t waitingInAll(const admission_view &queue)
+std::uint32_t totalWaiting(const admission_view &queue)
 {
     return std::max(queue.waiting, queue.waitingAhead);
 }
@@ -37,20 +37,20 @@
 
 double loadWaitMs(const admission_view &queue)
 {
-    return queue.resident ? 0 : queue.roomInMs + (queue.loadsAhead + 1.0) * queue.loadMs;
+    return queue.resident ? 0 : queue.slotFreeInMs + (queue.loadsAhead + 1.0) * queue.loadMs;
 }
 
 /// Waiting for a place and waiting for the adapter overlap, so the longer one counts.
 double expectedWaitMs(const admission_view &queue)
 {
-    const std::uint32_t free = room(queue);
+    const std::uint32_t free = freePlaces(queue);
     const double places = queue.waitingAhead < free ? 0 : queue.waitingAhead - free + 1.0;
     return std::max(places * msPerPlace(queue), loadWaitMs(queue));
 }
 
-bool startsAtOnce(const admission_view &queue)
+bool canStartNow(const admission_view &queue)
 {
-    return queue.resident && queue.waitingAhead < room(queue);
+    return queue.resident && queue.waitingAhead < freePlaces(queue);
 }
 
 /// Guards against an overload in which all priorities time out together: the last places of the queue are
@@ -58,7 +58,7 @@
 excess overPriorityShare(const admission_view &queue, priority rank)
 {
     const double accepted = queue.waitingLimit * shedShare[static_cast<std::size_t>(rank)];
-    const double waiting = waitingInAll(queue);
+    const double waiting = totalWaiting(queue);
     return waiting + 1 <= accepted ? excess() : waiting + 1 - accepted;
 }
 
@@ -66,7 +66,7 @@
 excess overFairShare(const admission_view &queue)
 {
     const double from = queue.waitingLimit * fairnessFrom;
-    const double waiting = waitingInAll(queue);
+    const double waiting = totalWaiting(queue);
     if (waiting <= from) {
         return std::nullopt;
     }
@@ -85,14 +85,14 @@
     return {static_cast<std::int64_t>(std::ceil(ms))};
 }
 
-admission_answer refuse(error_kind why, double waitMs, double retryMs)
+admission_decision refuse(error_kind why, double waitMs, double retryMs)
 {
-    return {false, why, roundedUp(waitMs), roundedUp(std::max(retryMs, shortestRetryMs))};
+    return {false, why, roundedUp(waitMs), roundedUp(std::max(retryMs, minRetryAfterMs))};
 }
 
 }
 
-admission_answer admit(const admission_view &queue, priority rank, millis deadlineLeft)
+admission_decision admit(const admission_view &queue, priority rank, millis deadlineLeft)
 {
     const double waitMs = expectedWaitMs(queue);
     // A deadline shorter than the service alone is never met; then the drained queue is the best hint.
@@ -100,7 +100,7 @@
     if (lateMs > 0 || deadlineLeft <= millis{0}) {
         return refuse(error_kind::DeadlineTooShort, waitMs, std::min(lateMs, waitMs));
     }
-    if (!startsAtOnce(queue)) {
+    if (!canStartNow(queue)) {
         const excess shed = overPriorityShare(queue, rank);
         const excess unfair = overFairShare(queue);
         if (shed || unfair) {
@@ -113,19 +113,19 @@
     return {true, error_kind::None, roundedUp(waitMs), millis{0}};
 }
 
-std::optional<millis> overLimit(caller_limit &limit, const rule_config &rule, millis now)
+std::optional<millis> acquireCallerLimit(caller_limit &limit, const rule_config &rule, millis now)
 {
     const double burst = std::max<double>(rule.perSecond, 1);
-    if (limit.fresh) {
-        limit = {.inFlight = limit.inFlight, .tokens = burst, .filled = now, .fresh = false};
+    if (limit.isNew) {
+        limit = {.inFlight = limit.inFlight, .tokens = burst, .filledAt = now, .isNew = false};
     }
-    if (now > limit.filled) {
-        const double seconds = static_cast<double>((now - limit.filled).count) / 1000.0;
+    if (now > limit.filledAt) {
+        const double seconds = static_cast<double>((now - limit.filledAt).count) / 1000.0;
         limit.tokens = std::min(limit.tokens + seconds * rule.perSecond, burst);
-        limit.filled = now;
+        limit.filledAt = now;
     }
     if (rule.inFlight > 0 && limit.inFlight >= rule.inFlight) {
-        return roundedUp(std::max(limit.meanHeldMs / limit.inFlight, shortestRetryMs));
+        return roundedUp(std::max(limit.meanHeldMs / limit.inFlight, minRetryAfterMs));
     }
     if (rule.perSecond > 0) {
         if (limit.tokens < 1) {
@@ -137,7 +137,7 @@
     return std::nullopt;
 }
 
-void releaseLimit(caller_limit &limit, millis held)
+void releaseCallerLimit(caller_limit &limit, millis held)
 {
     if (limit.inFlight > 0) {
         --limit.inFlight;
--- a/packages/coordination/admission.h
+++ b/packages/coordination/admission.h
@@ -23,13 +23,13 @@
     bool resident = false;
     std::uint32_t loadsAhead = 0; ///< loads that go before the one it needs, in the whole store as known
     double loadMs = 0; ///< of one load
-    double roomInMs = 0; ///< until a slot for it can come free at the earliest; 0: any time
+    double slotFreeInMs = 0; ///< until a slot for it can come free at the earliest; 0: any time
     std::uint32_t callerWaiting = 0; ///< this caller's requests in this queue
     std::uint32_t callersWaiting = 1; ///< callers with requests in this queue, this one included
 };
 
 /// Admitted, or refused at once with the time after which coming back helps.
-struct admission_answer
+struct admission_decision
 {
     bool admitted = false;
     error_kind why = error_kind::None; ///< Overloaded or DeadlineTooShort
@@ -40,22 +40,22 @@
 /// Admits a request only if it can start in time; the expected wait comes from the queue's real state.
 /// A caller with more than its share of a nearly full queue is refused first, and low priorities are
 /// shed before high ones as the queue fills.
-admission_answer admit(const admission_view &queue, priority rank, millis deadlineLeft);
+admission_decision admit(const admission_view &queue, priority rank, millis deadlineLeft);
 
 /// A rule's per-second and in-flight limits for one caller on one entry.
 struct caller_limit
 {
     std::uint32_t inFlight = 0;
     double tokens = 0;
-    millis filled;
-    bool fresh = true;
+    millis filledAt;
+    bool isNew = true;
     double meanHeldMs = 0; ///< time a request stays in flight
 };
 
-/// Takes one request's worth (a token, and a place in flight until releaseLimit) and returns nothing, or
-/// says how long until one is free.
-std::optional<millis> overLimit(caller_limit &limit, const rule_config &rule, millis now);
-/// A request that overLimit let through has ended after `held`.
-void releaseLimit(caller_limit &limit, millis held);
+/// Takes one request's worth (a token, and a place in flight until releaseCallerLimit) and returns nothing,
+/// or says how long until one is free.
+std::optional<millis> acquireCallerLimit(caller_limit &limit, const rule_config &rule, millis now);
+/// A request that acquireCallerLimit let through has ended after `held`.
+void releaseCallerLimit(caller_limit &limit, millis held);
 
 }
--- a/packages/coordination/budget_task.cpp
+++ b/packages/coordination/budget_task.cpp
@@ -17,11 +17,11 @@
         m_config = news.current;
     });
     m_bus.on<received<load_ask>>([this](const received<load_ask> &news) {
-        askBudget(m_budget, {news.from, news.body.ticket, news.body.urgency, bootNow()});
+        requestLoad(m_budget, {news.from, news.body.ticket, news.body.urgency, bootNow()});
         give();
     });
     m_bus.on<received<load_release>>([this](const received<load_release> &news) {
-        releaseBudget(m_budget, news.from, news.body.ticket);
+        releaseLoad(m_budget, news.from, news.body.ticket);
         give();
     });
     m_timer = eventLoop.timer({tickMs}, {tickMs}, [this] {
@@ -35,7 +35,7 @@
 {
     const policy_config policy = m_config ? m_config->policy : policy_config{};
     for (const auto &grant :
-        grantBudget(m_budget, policy.storeLoadsPerSecond, policy.storeConcurrency, bootNow())) {
+        grantLoads(m_budget, policy.storeLoadsPerSecond, policy.storeConcurrency, bootNow())) {
         m_bus.post(send_to{grant.owner, load_grant{grant.ticket}});
     }
 }
--- a/packages/coordination/crash_history.cpp
+++ b/packages/coordination/crash_history.cpp
@@ -7,101 +7,101 @@
 namespace {
 
 /// Makes room for one more by what was seen longest ago among those that are not blocked, or among all.
-void makeRoom(crash_book &book)
+void makeRoom(crash_history &history)
 {
     const auto goesFirst = [](const auto &a, const auto &b) {
-        const bool blockedA = a.second.servers.size() >= endsToBlock;
-        const bool blockedB = b.second.servers.size() >= endsToBlock;
-        return blockedA != blockedB ? blockedB : a.second.seen < b.second.seen;
+        const bool blockedA = a.second.incarnations.size() >= crashesToBlock;
+        const bool blockedB = b.second.incarnations.size() >= crashesToBlock;
+        return blockedA != blockedB ? blockedB : a.second.lastSeen < b.second.lastSeen;
     };
-    if (book.requests.size() >= crashesRemembered) {
-        book.requests.erase(std::min_element(book.requests.begin(), book.requests.end(), goesFirst));
+    if (history.requests.size() >= maxTrackedRequests) {
+        history.requests.erase(std::min_element(history.requests.begin(), history.requests.end(), goesFirst));
     }
 }
 
 }
 
-bool addEnds(
-    crash_book &book, const std::string &fingerprint, const std::vector<std::string> &servers, millis now)
+bool recordCrashes(crash_history &history, const std::string &fingerprint,
+    const std::vector<std::string> &servers, millis now)
 {
     if (servers.empty()) {
         return false;
     }
-    if (book.requests.count(fingerprint) == 0) {
-        makeRoom(book);
+    if (history.requests.count(fingerprint) == 0) {
+        makeRoom(history);
     }
-    crash_entry &entry = book.requests[fingerprint];
-    entry.seen = now;
-    const std::size_t before = entry.servers.size();
+    tracked_request &entry = history.requests[fingerprint];
+    entry.lastSeen = now;
+    const std::size_t before = entry.incarnations.size();
     for (const std::string &server : servers) {
-        if (entry.servers.size() < endsToBlock) {
-            entry.servers.insert(server);
+        if (entry.incarnations.size() < crashesToBlock) {
+            entry.incarnations.insert(server);
         }
     }
-    const bool isNew = entry.servers.size() > before;
-    if (isNew && entry.servers.size() >= endsToBlock) {
-        entry.waitsFrom = now;
+    const bool isNew = entry.incarnations.size() > before;
+    if (isNew && entry.incarnations.size() >= crashesToBlock) {
+        entry.delayFrom = now;
     }
     return isNew;
 }
 
-std::vector<std::string> endsOf(const crash_book &book, const std::string &fingerprint)
+std::vector<std::string> crashesOf(const crash_history &history, const std::string &fingerprint)
 {
-    const auto found = book.requests.find(fingerprint);
-    if (found == book.requests.end()) {
+    const auto found = history.requests.find(fingerprint);
+    if (found == history.requests.end()) {
         return {};
     }
-    return {found->second.servers.begin(), found->second.servers.end()};
+    return {found->second.incarnations.begin(), found->second.incarnations.end()};
 }
 
-bool isBlocked(const crash_book &book, const std::string &fingerprint)
+bool isBlocked(const crash_history &history, const std::string &fingerprint)
 {
-    const auto found = book.requests.find(fingerprint);
-    return found != book.requests.end() && found->second.servers.size() >= endsToBlock;
+    const auto found = history.requests.find(fingerprint);
+    return found != history.requests.end() && found->second.incarnations.size() >= crashesToBlock;
 }
 
-void noteTrials(crash_book &book, const std::string &fingerprint, std::uint32_t trials, millis now)
+void recordProbes(crash_history &history, const std::string &fingerprint, std::uint32_t probes, millis now)
 {
-    const auto found = book.requests.find(fingerprint);
-    if (found != book.requests.end() && trials > found->second.trials) {
-        found->second.trials = trials;
-        found->second.waitsFrom = now;
+    const auto found = history.requests.find(fingerprint);
+    if (found != history.requests.end() && probes > found->second.probes) {
+        found->second.probes = probes;
+        found->second.delayFrom = now;
     }
 }
 
-std::uint32_t trialsOf(const crash_book &book, const std::string &fingerprint)
+std::uint32_t probesOf(const crash_history &history, const std::string &fingerprint)
 {
-    const auto found = book.requests.find(fingerprint);
-    return found == book.requests.end() ? 0 : found->second.trials;
+    const auto found = history.requests.find(fingerprint);
+    return found == history.requests.end() ? 0 : found->second.probes;
 }
 
-millis untilTrial(const crash_book &book, const std::string &fingerprint, millis now)
+millis timeUntilProbe(const crash_history &history, const std::string &fingerprint, millis now)
 {
-    const auto found = book.requests.find(fingerprint);
-    if (found == book.requests.end() || found->second.trials >= book.waits.size()) {
-        return crashMemory;
+    const auto found = history.requests.find(fingerprint);
+    if (found == history.requests.end() || found->second.probes >= history.delays.size()) {
+        return crashRetention;
     }
-    return found->second.waitsFrom + book.waits[found->second.trials] - now;
+    return found->second.delayFrom + history.delays[found->second.probes] - now;
 }
 
-void seeAgain(crash_book &book, const std::string &fingerprint, millis now)
+void refreshLastSeen(crash_history &history, const std::string &fingerprint, millis now)
 {
-    const auto found = book.requests.find(fingerprint);
-    if (found != book.requests.end()) {
-        found->second.seen = now;
+    const auto found = history.requests.find(fingerprint);
+    if (found != history.requests.end()) {
+        found->second.lastSeen = now;
     }
 }
 
-void forget(crash_book &book, const std::string &fingerprint)
+void forget(crash_history &history, const std::string &fingerprint)
 {
-    book.requests.erase(fingerprint);
+    history.requests.erase(fingerprint);
 }
 
-std::vector<std::string> outdated(const crash_book &book, millis now)
+std::vector<std::string> expiredRequests(const crash_history &history, millis now)
 {
     std::vector<std::string> old;
-    for (const auto &[fingerprint, entry] : book.requests) {
-        if (now - entry.seen >= crashMemory) {
+    for (const auto &[fingerprint, entry] : history.requests) {
+        if (now - entry.lastSeen >= crashRetention) {
             old.push_back(fingerprint);
         }
     }
--- a/packages/coordination/crash_task.cpp
+++ b/packages/coordination/crash_task.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-constexpr millis tickEvery{1'000};
+constexpr millis tickInterval{1'000};
 /// A process that has ended refuses connections at once; a host that is gone never answers.
-constexpr millis probePatience{700};
+constexpr millis connectTimeout{700};
 /// A server is off the platform's list after some heartbeats of silence, 3.6 s and a little: who vanishes so
 /// soon after an answer that broke off has ended under it.
-constexpr millis suspicionLife{6'000};
-constexpr std::size_t mostSuspicions = 1'000;
+constexpr millis suspicionTimeout{6'000};
+constexpr std::size_t maxSuspicions = 1'000;
 /// Records in the store at most, some 150 bytes each, which every daemon reads at its start.
-constexpr std::size_t mostRecords = 1'000;
-/// A daemon that goes on refusing a request tells its homes so this often, well within crashMemory.
-constexpr millis keepAliveEvery{600'000};
+constexpr std::size_t maxStoredRecords = 1'000;
+/// A daemon that goes on refusing a request tells its homes so this often, well within crashRetention.
+constexpr millis keepAliveInterval{600'000};
 
 }
 
@@ -31,13 +31,13 @@
     return names[static_cast<std::size_t>(value)];
 }
 
-crash_task::crash_task(loop &eventLoop, bus &messages, crash_links links, const trial_waits &waits)
+crash_task::crash_task(loop &eventLoop, bus &messages, crash_callbacks callbacks, const probe_delays &delays)
     : m_loop(eventLoop)
     , m_bus(messages)
-    , m_links(std::move(links))
+    , m_callbacks(std::move(callbacks))
 {
-    m_book.waits = waits;
-    m_timer = m_loop.timer(tickEvery, tickEvery, [this] {
+    m_history.delays = delays;
+    m_timer = m_loop.timer(tickInterval, tickInterval, [this] {
         tick();
     });
 }
@@ -49,116 +49,117 @@
 
 bool crash_task::isBlocked(const std::string &fingerprint) const
 {
-    return briarhead::isBlocked(m_book, fingerprint);
+    return briarhead::isBlocked(m_history, fingerprint);
 }
 
-std::vector<std::string> crash_task::counted(const std::string &fingerprint) const
+std::vector<std::string> crash_task::crashedIncarnations(const std::string &fingerprint) const
 {
-    return endsOf(m_book, fingerprint);
+    return crashesOf(m_history, fingerprint);
 }
 
-bool crash_task::mayBeFatal(const std::string &fingerprint) const
+bool crash_task::mayBecomeBlocked(const std::string &fingerprint) const
 {
-    const std::vector<std::string> known = counted(fingerprint);
+    const std::vector<std::string> known = crashedIncarnations(fingerprint);
     std::set<std::string> starts(known.begin(), known.end());
-    for (const suspicion &each : m_suspicions) {
-        if (each.probing && each.fingerprint == fingerprint) {
-            starts.insert(each.target.start);
+    for (const suspected_crash &each : m_suspected) {
+        if (each.checking && each.fingerprint == fingerprint) {
+            starts.insert(each.target.incarnation);
         }
     }
-    return starts.size() >= endsToBlock;
+    return starts.size() >= crashesToBlock;
 }
 
 // ---- which servers have ended, and under which requests
 
-void crash_task::onBroken(const std::string &fingerprint, const crash_target &target)
+void crash_task::onResponseBroken(const std::string &fingerprint, const crash_target &target)
 {
-    suspect(fingerprint, target, true);
-    probe(target);
+    addSuspicion(fingerprint, target, true);
+    checkConnection(target);
 }
 
-void crash_task::onGivenUp(const std::string &fingerprint, const crash_target &target)
+void crash_task::onSendAbandoned(const std::string &fingerprint, const crash_target &target)
 {
-    suspect(fingerprint, target, false);
+    addSuspicion(fingerprint, target, false);
 }
 
-void crash_task::suspect(const std::string &fingerprint, const crash_target &target, bool probing)
+void crash_task::addSuspicion(const std::string &fingerprint, const crash_target &target, bool checking)
 {
-    if (m_suspicions.size() >= mostSuspicions) {
-        m_suspicions.pop_front();
+    if (m_suspected.size() >= maxSuspicions) {
+        m_suspected.pop_front();
     }
-    m_suspicions.push_back({fingerprint, target, bootNow(), probing});
+    m_suspected.push_back({fingerprint, target, bootNow(), checking});
 }
 
 /// An answer that broke off may have been lost on its way, by a server that lives. A closed port tells an end
 /// within a round trip, where the platform's list takes seconds.
-void crash_task::probe(const crash_target &target)
+void crash_task::checkConnection(const crash_target &target)
 {
-    if (m_probes.count(target.start) != 0) {
+    if (m_connectionChecks.count(target.incarnation) != 0) {
         return;
     }
-    m_probes[target.start] =
-        probeConnect(m_loop, target.address, probePatience, [this, start = target.start](reach result) {
-            onProbed(start, result);
+    m_connectionChecks[target.incarnation] = probeConnect(
+        m_loop, target.address, connectTimeout, [this, incarnation = target.incarnation](reach result) {
+            onConnectResult(incarnation, result);
         });
 }
 
-void crash_task::onProbed(const std::string &start, reach result)
+void crash_task::onConnectResult(const std::string &incarnation, reach result)
 {
-    const auto handle = m_probes.extract(start); // dropped only after this call, which it made
+    const auto handle =
+        m_connectionChecks.extract(incarnation); // dropped only after this call, which it made
     if (result == reach::Refuses) {
-        count(takeSuspicions([&start](const suspicion &each) {
-            return each.target.start == start;
+        countCrashes(extractSuspicions([&incarnation](const suspected_crash &each) {
+            return each.target.incarnation == incarnation;
         }));
         return;
     }
-    for (suspicion &each : m_suspicions) { // whether the list drops it tells the rest
-        each.probing = each.probing && each.target.start != start;
+    for (suspected_crash &each : m_suspected) { // whether the list drops it tells the rest
+        each.checking = each.checking && each.target.incarnation != incarnation;
     }
 }
 
-void crash_task::onServerEnded(const std::string &server)
+void crash_task::onServerCrashed(const std::string &server)
 {
-    count(takeSuspicions([&server](const suspicion &each) {
+    countCrashes(extractSuspicions([&server](const suspected_crash &each) {
         return each.target.server == server;
     }));
 }
 
-std::vector<crash_task::suspicion> crash_task::takeSuspicions(
-    const std::function<bool(const suspicion &)> &which)
+std::vector<crash_task::suspected_crash> crash_task::extractSuspicions(
+    const std::function<bool(const suspected_crash &)> &which)
 {
-    std::vector<suspicion> taken;
-    std::copy_if(m_suspicions.begin(), m_suspicions.end(), std::back_inserter(taken), which);
-    std::erase_if(m_suspicions, which);
+    std::vector<suspected_crash> taken;
+    std::copy_if(m_suspected.begin(), m_suspected.end(), std::back_inserter(taken), which);
+    std::erase_if(m_suspected, which);
     return taken;
 }
 
-void crash_task::count(const std::vector<suspicion> &ended)
+void crash_task::countCrashes(const std::vector<suspected_crash> &ended)
 {
-    for (const suspicion &each : ended) {
-        if (!take(each.fingerprint, {each.target.start}, "seen here")) {
+    for (const suspected_crash &each : ended) {
+        if (!applyCrashes(each.fingerprint, {each.target.incarnation}, "seen here")) {
             continue;
         }
-        ++m_counters.ends;
-        share(each.fingerprint);
-        m_shareAgain.insert(each.fingerprint);
+        ++m_counters.serverCrashes;
+        notifyHomes(each.fingerprint);
+        m_toResend.insert(each.fingerprint);
     }
 }
 
 /// Whether anything is new.
-bool crash_task::take(
+bool crash_task::applyCrashes(
     const std::string &fingerprint, const std::vector<std::string> &servers, std::string_view source)
 {
     const bool before = isBlocked(fingerprint);
-    if (!addEnds(m_book, fingerprint, servers, bootNow())) {
+    if (!recordCrashes(m_history, fingerprint, servers, bootNow())) {
         return false;
     }
-    m_toDrop.erase(fingerprint);
-    const std::size_t ends = counted(fingerprint).size();
-    m_links.log({crash_event::Counted, fingerprint, servers.back(), ends, source});
+    m_recordsToRemove.erase(fingerprint);
+    const std::size_t crashes = crashedIncarnations(fingerprint).size();
+    m_callbacks.log({crash_event::Counted, fingerprint, servers.back(), crashes, source});
     if (!before && isBlocked(fingerprint)) {
         ++m_counters.blocked;
-        m_links.log({crash_event::Blocked, fingerprint, servers.back(), ends, source});
+        m_callbacks.log({crash_event::Blocked, fingerprint, servers.back(), crashes, source});
         m_bus.post(request_blocked{fingerprint});
     }
     return true;
@@ -166,61 +167,62 @@
 
 void crash_task::clear(const std::string &fingerprint)
 {
-    forget(m_book, fingerprint);
-    m_shareAgain.erase(fingerprint);
-    m_keptAlive.erase(fingerprint);
+    forget(m_history, fingerprint);
+    m_toResend.erase(fingerprint);
+    m_keepAliveSentAt.erase(fingerprint);
 }
 
-void crash_task::onAnswered(const std::string &fingerprint)
+void crash_task::onResponseComplete(const std::string &fingerprint)
 {
-    if (m_book.requests.count(fingerprint) == 0) {
+    if (m_history.requests.count(fingerprint) == 0) {
         return;
     }
     ++m_counters.cleared;
-    m_links.log({crash_event::Cleared, fingerprint, {}, counted(fingerprint).size(), "answered whole"});
+    m_callbacks.log(
+        {crash_event::Cleared, fingerprint, {}, crashedIncarnations(fingerprint).size(), "answered whole"});
     clear(fingerprint);
-    if (const crash_record record = m_links.stored(fingerprint); !record.servers.empty()) {
-        m_toDrop[fingerprint] = record;
-        m_links.drop(fingerprint);
+    if (const crash_record record = m_callbacks.storedRecord(fingerprint); !record.servers.empty()) {
+        m_recordsToRemove[fingerprint] = record;
+        m_callbacks.removeRecord(fingerprint);
     }
-    tellAll({fingerprint, {}, 0});
+    broadcast({fingerprint, {}, 0});
 }
 
-void crash_task::askTrial(const std::string &fingerprint, std::function<void(bool)> done)
+void crash_task::requestProbe(const std::string &fingerprint, std::function<void(bool)> done)
 {
-    remember(fingerprint);
-    if (comeBackAfter(fingerprint) > millis{}) {
+    keepAlive(fingerprint);
+    if (blockedRetryAfter(fingerprint) > millis{}) {
         m_loop.post([done = std::move(done)] {
             done(false);
         });
         return;
     }
-    const std::uint32_t trials = trialsOf(m_book, fingerprint) + 1;
-    m_links.keep(fingerprint, {counted(fingerprint), trials},
-        [this, fingerprint, trials, done = std::move(done)](bool stands) {
+    const std::uint32_t probes = probesOf(m_history, fingerprint) + 1;
+    m_callbacks.storeRecord(fingerprint, {crashedIncarnations(fingerprint), probes},
+        [this, fingerprint, probes, done = std::move(done)](bool stands) {
             if (stands) {
-                noteTrials(m_book, fingerprint, trials, bootNow());
-                m_links.log(
-                    {crash_event::Tried, fingerprint, {}, counted(fingerprint).size(), "its wait is over"});
-                tellAll(newsOf(fingerprint));
+                recordProbes(m_history, fingerprint, probes, bootNow());
+                m_callbacks.log({crash_event::Probed, fingerprint, {},
+                    crashedIncarnations(fingerprint).size(), "its wait is over"});
+                broadcast(reportOf(fingerprint));
             }
             done(stands);
         });
 }
 
-millis crash_task::comeBackAfter(const std::string &fingerprint) const
+millis crash_task::blockedRetryAfter(const std::string &fingerprint) const
 {
-    return untilTrial(m_book, fingerprint, bootNow());
+    return timeUntilProbe(m_history, fingerprint, bootNow());
 }
 
-void crash_task::remember(const std::string &fingerprint)
+void crash_task::keepAlive(const std::string &fingerprint)
 {
     const millis now = bootNow();
-    seeAgain(m_book, fingerprint, now);
-    const auto told = m_keptAlive.emplace(fingerprint, now);
-    if (!told.second && now - told.first->second >= keepAliveEvery) {
+    refreshLastSeen(m_history, fingerprint, now);
+    const auto told = m_keepAliveSentAt.emplace(fingerprint, now);
+    if (!told.second && now - told.first->second >= keepAliveInterval) {
         told.first->second = now;
-        share(fingerprint);
+        notifyHomes(fingerprint);
     }
 }
 
@@ -228,70 +230,71 @@
 
 std::vector<std::string> crash_task::homesOf(const std::string &fingerprint) const
 {
-    return rendezvousOrder(fingerprint, m_links.daemons(), crashHomes);
+    return rendezvousOrder(fingerprint, m_callbacks.daemons(), crashHomeCount);
 }
 
 bool crash_task::isHome(const std::string &fingerprint) const
 {
     const std::vector<std::string> homes = homesOf(fingerprint);
-    return std::find(homes.begin(), homes.end(), m_links.self) != homes.end();
+    return std::find(homes.begin(), homes.end(), m_callbacks.self) != homes.end();
 }
 
-void crash_task::tellAll(const crash_news &news)
+void crash_task::broadcast(const crash_news &news)
 {
-    for (const std::string &daemon : m_links.daemons()) {
-        if (daemon != m_links.self) {
-            m_links.tell(daemon, news);
+    for (const std::string &daemon : m_callbacks.daemons()) {
+        if (daemon != m_callbacks.self) {
+            m_callbacks.send(daemon, news);
         }
     }
 }
 
-crash_news crash_task::newsOf(const std::string &fingerprint) const
+crash_news crash_task::reportOf(const std::string &fingerprint) const
 {
-    return {fingerprint, counted(fingerprint), trialsOf(m_book, fingerprint)};
+    return {fingerprint, crashedIncarnations(fingerprint), probesOf(m_history, fingerprint)};
 }
 
 /// What this daemon saw goes to the homes.
-void crash_task::share(const std::string &fingerprint)
+void crash_task::notifyHomes(const std::string &fingerprint)
 {
-    const crash_news news = newsOf(fingerprint);
+    const crash_news news = reportOf(fingerprint);
     for (const std::string &home : homesOf(fingerprint)) {
-        if (home == m_links.self) {
-            spread(fingerprint);
+        if (home == m_callbacks.self) {
+            notifyAll(fingerprint);
         } else {
-            m_links.tell(home, news);
+            m_callbacks.send(home, news);
         }
     }
 }
 
 /// A home's part: from two ends on all daemons are told, and the store keeps it.
-void crash_task::spread(const std::string &fingerprint)
+void crash_task::notifyAll(const std::string &fingerprint)
 {
-    const crash_news news = newsOf(fingerprint);
-    if (news.servers.size() >= endsToShare) {
-        tellAll(news);
-        keep(fingerprint);
+    const crash_news news = reportOf(fingerprint);
+    if (news.servers.size() >= crashesToShare) {
+        broadcast(news);
+        storeRecord(fingerprint);
     }
 }
 
 /// Whether the store lacks ends that it is to keep.
-bool crash_task::isMissing(const std::string &fingerprint) const
+bool crash_task::lacksStoredRecord(const std::string &fingerprint) const
 {
-    const std::size_t ends = counted(fingerprint).size();
-    const std::size_t stored = m_links.stored(fingerprint).servers.size();
-    const bool full = stored == 0 && m_links.records() >= mostRecords;
-    return ends >= endsToShare && ends > stored && !full;
+    const std::size_t crashes = crashedIncarnations(fingerprint).size();
+    const std::size_t stored = m_callbacks.storedRecord(fingerprint).servers.size();
+    const bool full = stored == 0 && m_callbacks.recordCount() >= maxStoredRecords;
+    return crashes >= crashesToShare && crashes > stored && !full;
 }
 
-void crash_task::keep(const std::string &fingerprint)
+void crash_task::storeRecord(const std::string &fingerprint)
 {
-    if (isMissing(fingerprint)) {
+    if (lacksStoredRecord(fingerprint)) {
         // Whether it stands shows at the next look.
-        m_links.keep(fingerprint, {counted(fingerprint), trialsOf(m_book, fingerprint)}, [](bool) {});
+        m_callbacks.storeRecord(
+            fingerprint, {crashedIncarnations(fingerprint), probesOf(m_history, fingerprint)}, [](bool) {});
     }
 }
 
-void crash_task::hear(const crash_news &news)
+void crash_task::onReport(const crash_news &news)
 {
     if (news.fingerprint.size() != fingerprintDigits) {
         return; // it would be no key of the store
@@ -300,59 +303,59 @@
         clear(news.fingerprint);
         return;
     }
-    const bool isNew = take(news.fingerprint, news.servers, "told by a daemon");
-    noteTrials(m_book, news.fingerprint, news.trials, bootNow());
-    seeAgain(m_book, news.fingerprint, bootNow());
+    const bool isNew = applyCrashes(news.fingerprint, news.servers, "told by a daemon");
+    recordProbes(m_history, news.fingerprint, news.trials, bootNow());
+    refreshLastSeen(m_history, news.fingerprint, bootNow());
     if (isNew && isHome(news.fingerprint)) {
-        spread(news.fingerprint);
+        notifyAll(news.fingerprint);
     }
 }
 
-void crash_task::onStored(const std::string &fingerprint, const crash_record &record)
+void crash_task::onStoredRecord(const std::string &fingerprint, const crash_record &record)
 {
-    const auto cleared = m_toDrop.find(fingerprint);
-    const bool isOld = cleared != m_toDrop.end() && cleared->second.servers == record.servers;
+    const auto cleared = m_recordsToRemove.find(fingerprint);
+    const bool isOld = cleared != m_recordsToRemove.end() && cleared->second.servers == record.servers;
     if (record.servers.empty()) {
-        m_toDrop.erase(fingerprint);
+        m_recordsToRemove.erase(fingerprint);
         clear(fingerprint);
-    } else if (!isOld) { // written since it was cleared: counted anew
-        m_toDrop.erase(fingerprint);
-        take(fingerprint, record.servers, "read in the store");
-        noteTrials(m_book, fingerprint, record.trials, bootNow());
+    } else if (!isOld) { // written since it was cleared: crashedIncarnations anew
+        m_recordsToRemove.erase(fingerprint);
+        applyCrashes(fingerprint, record.servers, "read in the store");
+        recordProbes(m_history, fingerprint, record.trials, bootNow());
     }
 }
 
 /// An earlier try may have failed. What was written since then is another matter.
-void crash_task::dropCleared()
+void crash_task::removeClearedRecords()
 {
-    std::erase_if(m_toDrop, [this](const auto &each) {
-        return m_links.stored(each.first).servers != each.second.servers;
+    std::erase_if(m_recordsToRemove, [this](const auto &each) {
+        return m_callbacks.storedRecord(each.first).servers != each.second.servers;
     });
-    for (const auto &[fingerprint, record] : m_toDrop) {
-        m_links.drop(fingerprint);
+    for (const auto &[fingerprint, record] : m_recordsToRemove) {
+        m_callbacks.removeRecord(fingerprint);
     }
 }
 
 void crash_task::tick()
 {
     const millis now = bootNow();
-    while (!m_suspicions.empty() && now - m_suspicions.front().at > suspicionLife) {
-        m_suspicions.pop_front();
+    while (!m_suspected.empty() && now - m_suspected.front().suspectedAt > suspicionTimeout) {
+        m_suspected.pop_front();
     }
-    for (const std::string &fingerprint : std::exchange(m_shareAgain, {})) {
-        share(fingerprint);
+    for (const std::string &fingerprint : std::exchange(m_toResend, {})) {
+        notifyHomes(fingerprint);
     }
-    dropCleared();
-    for (const auto &[fingerprint, entry] : m_book.requests) {
-        if (isMissing(fingerprint) && isHome(fingerprint)) {
-            keep(fingerprint); // an earlier write may have failed
+    removeClearedRecords();
+    for (const auto &[fingerprint, entry] : m_history.requests) {
+        if (lacksStoredRecord(fingerprint) && isHome(fingerprint)) {
+            storeRecord(fingerprint); // an earlier write may have failed
         }
     }
-    for (const std::string &fingerprint : outdated(m_book, now)) {
-        if (m_links.stored(fingerprint).servers.empty()) {
+    for (const std::string &fingerprint : expiredRequests(m_history, now)) {
+        if (m_callbacks.storedRecord(fingerprint).servers.empty()) {
             clear(fingerprint);
         } else if (isHome(fingerprint)) {
-            m_links.drop(fingerprint);
+            m_callbacks.removeRecord(fingerprint);
         }
     }
 }
--- a/packages/coordination/load_order.cpp
+++ b/packages/coordination/load_order.cpp
@@ -17,16 +17,16 @@
 constexpr double prefetchUrgency = 1'000;
 
 /// Slack at which half of the slack's urgency is left.
-constexpr double slackHalfMs = 2'000;
+constexpr double halfSlackMs = 2'000;
 /// Summed penalty and count at which half of their urgency is reached.
-constexpr double penaltyHalf = 10;
-constexpr double countHalf = 4;
+constexpr double halfPenalty = 10;
+constexpr double halfCount = 4;
 
 /// Starts that may be saved up: one, so that an idle store doesn't begin with a burst of slow loads.
-constexpr double loadBurst = 1;
+constexpr double maxSavedLoads = 1;
 
-constexpr std::int64_t backoffFirstMs = 500;
-constexpr std::int64_t backoffMaxMs = 30'000;
+constexpr std::int64_t minBackoffMs = 500;
+constexpr std::int64_t maxBackoffMs = 30'000;
 
 double saturating(double value, double half)
 {
@@ -35,18 +35,18 @@
 
 /// Less slack is more urgent; none at all is not, since the soonest waiting request is lost either way and
 /// the load should not take the store from one that still helps.
-double slackTerm(const load_need &need, millis now, double loadMs)
+double slackTerm(const load_demand &need, millis now, double loadMs)
 {
-    const double slackMs = static_cast<double>((need.soonestDeadline - now).count) - loadMs;
-    return slackMs < 0 ? 0 : slackUrgency * (1 - saturating(slackMs, slackHalfMs));
+    const double slackMs = static_cast<double>((need.earliestDeadline - now).count) - loadMs;
+    return slackMs < 0 ? 0 : slackUrgency * (1 - saturating(slackMs, halfSlackMs));
 }
 
-bool sameTicket(const load_budget::asked &ask, const std::string &owner, std::uint64_t ticket)
+bool sameTicket(const load_budget::request &request, const std::string &owner, std::uint64_t ticket)
 {
-    return ask.ticket == ticket && ask.owner == owner;
+    return request.ticket == ticket && request.owner == owner;
 }
 
-bool sameTicket(const load_budget::granted &grant, const std::string &owner, std::uint64_t ticket)
+bool sameTicket(const load_budget::grant &grant, const std::string &owner, std::uint64_t ticket)
 {
     return grant.ticket == ticket && grant.owner == owner;
 }
@@ -61,52 +61,52 @@
 
 void fillTokens(load_budget &budget, double perSecond, millis now)
 {
-    if (now > budget.filled) {
-        const double seconds = static_cast<double>((now - budget.filled).count) / 1000.0;
-        budget.tokens = std::min(budget.tokens + seconds * perSecond, loadBurst);
-        budget.filled = now;
+    if (now > budget.filledAt) {
+        const double seconds = static_cast<double>((now - budget.filledAt).count) / 1000.0;
+        budget.tokens = std::min(budget.tokens + seconds * perSecond, maxSavedLoads);
+        budget.filledAt = now;
     }
 }
 
 /// Guards against a dead owner that holds the store's budget for good, seen as loads that stop everywhere:
-/// what its owner no longer confirms by asking again is taken back.
-void forgetSilent(load_budget &budget, millis now)
+/// what its owner no longer confirms by asking repeated is taken back.
+void removeExpired(load_budget &budget, millis now)
 {
-    std::erase_if(budget.waiting, [now](const load_budget::asked &ask) {
-        return now - ask.at > millis{askTimeoutMs};
+    std::erase_if(budget.waiting, [now](const load_budget::request &request) {
+        return now - request.requestedAt > millis{requestTimeoutMs};
     });
-    std::erase_if(budget.running, [now](const load_budget::granted &grant) {
-        return now - grant.at > millis{grantTimeoutMs};
+    std::erase_if(budget.running, [now](const load_budget::grant &grant) {
+        return now - grant.confirmedAt > millis{grantTimeoutMs};
     });
 }
 
 /// Grants whose owner asks on, since the answer may have been lost. They cost nothing, being counted already.
-std::vector<load_budget::granted> repeatedGrants(load_budget &budget)
+std::vector<load_budget::grant> extractResends(load_budget &budget)
 {
-    std::vector<load_budget::granted> again;
+    std::vector<load_budget::grant> repeated;
     for (auto &grant : budget.running) {
-        if (grant.askedAgain) {
-            grant.askedAgain = false;
-            again.push_back(grant);
+        if (grant.resend) {
+            grant.resend = false;
+            repeated.push_back(grant);
         }
     }
-    return again;
+    return repeated;
 }
 
 }
 
-double loadUrgency(const load_need &need, millis now, double loadMs)
+double loadUrgency(const load_demand &need, millis now, double loadMs)
 {
     if (need.waiting == 0) {
         return prefetchUrgency * saturating(need.rate, 1);
     }
-    const double ranksAbove = static_cast<double>(priority::Low) - static_cast<double>(need.best);
+    const double ranksAbove = static_cast<double>(priority::Low) - static_cast<double>(need.bestPriority);
     return waitingUrgency + ranksAbove * priorityUrgency + slackTerm(need, now, loadMs)
-        + penaltyUrgency * saturating(need.penalty, penaltyHalf)
-        + countUrgency * saturating(need.waiting, countHalf);
+        + penaltyUrgency * saturating(need.penalty, halfPenalty)
+        + countUrgency * saturating(need.waiting, halfCount);
 }
 
-std::optional<std::size_t> nextLoad(std::span<const load_need> needs, millis now, double loadMs)
+std::optional<std::size_t> nextLoad(std::span<const load_demand> needs, millis now, double loadMs)
 {
     std::optional<std::size_t> next;
     double nextUrgency = 0;
@@ -123,23 +123,23 @@
     return next;
 }
 
-void askBudget(load_budget &budget, const load_budget::asked &ask)
+void requestLoad(load_budget &budget, const load_budget::request &request)
 {
-    const auto running = findTicket(budget.running, ask.owner, ask.ticket);
+    const auto running = findTicket(budget.running, request.owner, request.ticket);
     if (running != budget.running.end()) {
-        running->at = ask.at;
-        running->askedAgain = true;
+        running->confirmedAt = request.requestedAt;
+        running->resend = true;
         return;
     }
-    const auto waiting = findTicket(budget.waiting, ask.owner, ask.ticket);
+    const auto waiting = findTicket(budget.waiting, request.owner, request.ticket);
     if (waiting != budget.waiting.end()) {
-        *waiting = ask;
+        *waiting = request;
     } else {
-        budget.waiting.push_back(ask);
+        budget.waiting.push_back(request);
     }
 }
 
-void releaseBudget(load_budget &budget, const std::string &owner, std::uint64_t ticket)
+void releaseLoad(load_budget &budget, const std::string &owner, std::uint64_t ticket)
 {
     const auto matches = [&](const auto &entry) {
         return sameTicket(entry, owner, ticket);
@@ -148,18 +148,18 @@
     std::erase_if(budget.waiting, matches);
 }
 
-std::vector<load_budget::granted> grantBudget(
+std::vector<load_budget::grant> grantLoads(
     load_budget &budget, double perSecond, std::uint32_t concurrency, millis now)
 {
     fillTokens(budget, perSecond, now);
-    forgetSilent(budget, now);
-    auto grants = repeatedGrants(budget);
+    removeExpired(budget, now);
+    auto grants = extractResends(budget);
     while (budget.tokens >= 1 && budget.running.size() < concurrency && !budget.waiting.empty()) {
         const auto next =
             std::max_element(budget.waiting.begin(), budget.waiting.end(), [](const auto &a, const auto &b) {
                 return a.urgency < b.urgency;
             });
-        const load_budget::granted grant{next->owner, next->ticket, now};
+        const load_budget::grant grant{next->owner, next->ticket, now};
         budget.waiting.erase(next);
         budget.running.push_back(grant);
         budget.tokens -= 1;
@@ -168,7 +168,7 @@
     return grants;
 }
 
-bool mayLoadUnbrokered(double perSecond, std::uint32_t liveOwners, millis sinceLast)
+bool mayLoadWithoutBroker(double perSecond, std::uint32_t liveOwners, millis sinceLast)
 {
     if (perSecond <= 0) {
         return false;
@@ -182,7 +182,7 @@
         return 0;
     }
     const double longest =
-        std::min(backoffFirstMs * std::exp2(failures - 1.0), static_cast<double>(backoffMaxMs));
+        std::min(minBackoffMs * std::exp2(failures - 1.0), static_cast<double>(maxBackoffMs));
     // Half of it is random, so that the owners which failed together don't come back together.
     return static_cast<std::int64_t>(longest * (0.5 + 0.5 * std::clamp(random01, 0.0, 1.0)));
 }
--- a/packages/coordination/owner_engine.cpp
+++ b/packages/coordination/owner_engine.cpp
@@ -15,39 +15,39 @@
 
 /// What an answer of the engine's says of it, also in an answer that is about something else. What waits goes
 /// back to its entries at once.
-void owner_task::hearWords(const std::string &name, const answer_words &said)
+void owner_task::onServerNotice(const std::string &name, const answer_words &notice)
 {
-    owned *server = find(name);
+    owned_server *server = find(name);
     if (server == nullptr) {
         return;
     }
-    const std::string start = startOf(*server);
+    const std::string incarnation = incarnationOf(*server);
     const millis now = bootNow();
-    if (said.leaving && hearLeaving(m_words, start, now)) {
-        spdlog::info("owner: {} says that it is leaving.", start);
+    if (notice.leaving && recordLeaving(m_notices, incarnation, now)) {
+        spdlog::info("owner: {} says that it is leaving.", incarnation);
         refuseWaiting(*server, nullptr, error_kind::NoServer, "the server is leaving", {});
     }
-    if (hearPause(m_words, start, m_options.self, said.pause, now)) {
-        spdlog::info("owner: {} wants nothing for {} ms.", start, said.pause.count);
+    if (recordPause(m_notices, incarnation, m_options.self, notice.pause, now)) {
+        spdlog::info("owner: {} wants nothing for {} ms.", incarnation, notice.pause.count);
         refuseWaiting(*server, nullptr, error_kind::Overloaded, "the server wants a pause",
-            comeBackAfter(pauseOf(*server)));
+            spreadRetryAfter(remainingPause(*server)));
     }
 }
 
-void owner_task::poll(owned &server)
+void owner_task::poll(owned_server &server)
 {
-    server.polling = true;
+    server.pollPending = true;
     server.polledAt = bootNow();
-    const std::string name = server.where.name;
-    server.runs->state(stateTimeout, [this, name](const std::optional<engine_state> &state, const error &) {
-        owned *found = find(name);
-        if (found == nullptr || !found->held) {
+    const std::string name = server.instance.name;
+    server.client->state(stateTimeout, [this, name](const std::optional<engine_state> &state, const error &) {
+        owned_server *found = find(name);
+        if (found == nullptr || !found->isOwned) {
             return;
         }
-        found->polling = false;
+        found->pollPending = false;
         if (state) {
             applyState(*found, *state);
-            pump(*found);
+            dispatchWaiting(*found);
         }
     });
     if (!server.pinsKnown) {
@@ -55,87 +55,87 @@
     }
 }
 
-void owner_task::applyState(owned &server, const engine_state &state)
+void owner_task::applyState(owned_server &server, const engine_state &state)
 {
-    const bool restarted = server.known && state.incarnation != server.incarnation;
+    const bool restarted = server.stateKnown && state.incarnation != server.incarnation;
     if (restarted) {
-        spdlog::warn("owner: {} restarted. Its adapters are gone.", server.where.name);
+        spdlog::warn("owner: {} restarted. Its adapters are gone.", server.instance.name);
         // Guards against: the engine forgot its fencing number with everything else, so it would take an
         // order of an older owner again. It shows as an adapter unloaded under a new stream. Nothing is run
         // or loaded there until our number stands on it anew.
-        server.unclaimed = server.checksFencing;
-        m_bus.post(engine_restarted{server.where.name});
-        m_crashes.onServerEnded(server.where.name);
-        server.baseOrdered = false;
+        server.claimLost = server.checksFencing;
+        m_bus.post(engine_restarted{server.instance.name});
+        m_crashes.onServerCrashed(server.instance.name);
+        server.baseLoadOrdered = false;
         // Nothing of before the restart runs there any more.
         std::vector<request_id> ended;
-        for (const auto &[id, one] : m_lingering) {
-            if (one.request.server == server.where.name) {
+        for (const auto &[id, job] : m_awaitingEngineEnd) {
+            if (job.request.server == server.instance.name) {
                 ended.push_back(id);
             }
         }
         for (const request_id &id : ended) {
-            const adapter_ref ref = m_lingering.at(id).request.adapter;
-            m_lingering.erase(id);
+            const adapter_ref ref = m_awaitingEngineEnd.at(id).request.adapter;
+            m_awaitingEngineEnd.erase(id);
             --server.adapters[ref].inFlight;
             --server.inFlight;
         }
     }
-    server.known = true;
+    server.stateKnown = true;
     server.incarnation = state.incarnation;
     server.baseModel = state.baseModel;
     server.role = state.role;
     server.slots = state.slots;
     server.batchLimit = std::max<std::uint32_t>(1, state.batchLimit);
     if (state.leaving) {
-        hearWords(server.where.name, {true, {}});
+        onServerNotice(server.instance.name, {true, {}});
     }
     const std::set<adapter_ref> resident(state.resident.begin(), state.resident.end());
     const millis now = bootNow();
     for (const adapter_ref &ref : resident) {
-        slot &where = server.adapters[ref];
-        if (!where.resident && !where.loading && !where.unloading) {
-            where.resident = true;
-            where.loadedAt = now;
+        adapter_slot &slot = server.adapters[ref];
+        if (!slot.resident && !slot.loading && !slot.unloading) {
+            slot.resident = true;
+            slot.loadedAt = now;
         }
     }
     for (auto entry = server.adapters.begin(); entry != server.adapters.end();) {
-        slot &where = entry->second;
-        if (where.resident && !server.ordering && resident.count(entry->first) == 0) {
-            where.resident = false;
-            where.pinned = false;
+        adapter_slot &slot = entry->second;
+        if (slot.resident && !server.orderPending && resident.count(entry->first) == 0) {
+            slot.resident = false;
+            slot.pinned = false;
         }
         // Arrival rates of adapters that nobody asks for any more are dropped, so that memory follows use.
-        const bool idle = !where.resident && !where.loading && !where.unloading && where.inFlight == 0
-            && where.waiting.empty() && decayed(where.arrivals, now).slow < 0.001 && where.notBefore <= now;
+        const bool idle = !slot.resident && !slot.loading && !slot.unloading && slot.inFlight == 0
+            && slot.waiting.empty() && decayed(slot.arrivals, now).slow < 0.001 && slot.notBefore <= now;
         entry = idle ? server.adapters.erase(entry) : std::next(entry);
     }
-    // A cold engine has no base model: order the one that the live list names for it.
-    if (state.baseModel.empty() && state.role != "loading" && !server.baseOrdered && takesWork(server)
+    // A cold engine has no base model: order the job that the live list names for it.
+    if (state.baseModel.empty() && state.role != "loading" && !server.baseLoadOrdered && acceptsWork(server)
         && mayOrder(order_kind::Role, server.checksFencing, m_leaseUntil, now)) {
-        server.baseOrdered = true;
-        spdlog::info("owner: {} loads its base model {}.", server.where.name, server.where.service);
-        server.guarded->role("serving", server.where.service, server.fencing, stateTimeout,
-            [this, name = server.where.name](const engine_order_end &how) {
-                if (owned *found = find(name); found != nullptr && !how.ok) {
-                    found->baseOrdered = false;
+        server.baseLoadOrdered = true;
+        spdlog::info("owner: {} loads its base model {}.", server.instance.name, server.instance.service);
+        server.guardedClient->role("serving", server.instance.service, server.fencingToken, stateTimeout,
+            [this, name = server.instance.name](const engine_order_end &response) {
+                if (owned_server *found = find(name); found != nullptr && !response.ok) {
+                    found->baseLoadOrdered = false;
                 }
             });
     }
 }
 
-void owner_task::pollReport(owned &server)
+void owner_task::pollReport(owned_server &server)
 {
-    const std::string name = server.where.name;
-    server.runs->report(
+    const std::string name = server.instance.name;
+    server.client->report(
         stateTimeout, [this, name](const std::optional<engine_report> &report, const error &) {
-            owned *found = find(name);
-            if (found == nullptr || !found->held || !report) {
+            owned_server *found = find(name);
+            if (found == nullptr || !found->isOwned || !report) {
                 return;
             }
-            // Only a report made after our own claim tells what the old owner's tenure left running; one made
+            // Only a report made after our own claim tells what the old owner's tenure left running; job made
             // before it may miss a request that the old owner handed over later.
-            if (!found->checksFencing || report->fencing < found->fencing) {
+            if (!found->checksFencing || report->fencing < found->fencingToken) {
                 return;
             }
             std::set<adapter_ref> running;
@@ -145,9 +145,9 @@
                 }
             }
             found->pinsKnown = true;
-            for (auto &[ref, where] : found->adapters) {
-                where.pinned = where.pinned && running.count(ref) != 0;
-                found->pinsKnown = found->pinsKnown && !where.pinned;
+            for (auto &[ref, slot] : found->adapters) {
+                slot.pinned = slot.pinned && running.count(ref) != 0;
+                found->pinsKnown = found->pinsKnown && !slot.pinned;
             }
         });
 }
--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -12,69 +12,71 @@
 namespace {
 
 /// Queue places of a server, in batches: what can start within about this many service times.
-constexpr std::uint32_t queueBatches = 4;
+constexpr std::uint32_t maxQueuedBatches = 4;
 /// Weight of a new sample in the running means.
-constexpr double meanWeight = 0.1;
+constexpr double newestSampleWeight = 0.1;
 /// A caller whose adapter finds no slot comes back this soon at the latest: an earlier owner's end shows in
 /// about a second, and other servers' slots change as often.
-constexpr millis keptSlotRetry{1'000};
+constexpr millis maxPinnedSlotRetryAfter{1'000};
 
 }
 
-admission_answer owner_task::askAdmission(
-    const owned &server, const slot *wanted, const run_request &request) const
+admission_decision owner_task::checkAdmission(
+    const owned_server &server, const adapter_slot *wanted, const run_request &request) const
 {
     admission_view queue;
     queue.inFlight = server.inFlight;
     queue.batchLimit = server.batchLimit;
-    queue.waitingLimit = server.batchLimit * queueBatches;
+    queue.waitingLimit = server.batchLimit * maxQueuedBatches;
     queue.waitingAhead = server.waiting;
-    queue.meanServiceMs = server.serviceMs;
+    queue.meanServiceMs = server.meanServiceMs;
     queue.resident = wanted != nullptr && wanted->resident && !wanted->unloading;
-    queue.loadMs = server.loadMs;
+    queue.loadMs = server.meanLoadMs;
     const millis now = bootNow();
-    queue.roomInMs =
-        static_cast<double>(std::max<std::int64_t>((roomFrom(server, wanted, now) - now).count, 0));
-    for (const auto &[ref, where] : server.adapters) {
-        queue.loadsAhead += !where.resident && !where.waiting.empty() && !(ref == request.adapter) ? 1U : 0U;
+    queue.slotFreeInMs =
+        static_cast<double>(std::max<std::int64_t>((slotAvailableAt(server, wanted, now) - now).count, 0));
+    for (const auto &[ref, slot] : server.adapters) {
+        queue.loadsAhead += !slot.resident && !slot.waiting.empty() && !(ref == request.adapter) ? 1U : 0U;
     }
-    const auto mine = server.callersWaiting.find(request.caller);
-    queue.callerWaiting = mine == server.callersWaiting.end() ? 0 : mine->second;
+    const auto ownWaiting = server.callersWaiting.find(request.caller);
+    queue.callerWaiting = ownWaiting == server.callersWaiting.end() ? 0 : ownWaiting->second;
     queue.callersWaiting = static_cast<std::uint32_t>(server.callersWaiting.size())
-        + (mine == server.callersWaiting.end() ? 1U : 0U);
-    admission_answer answer = admit(queue, request.rank, {request.deadlineMs});
-    if (queue.roomInMs > 0) {
+        + (ownWaiting == server.callersWaiting.end() ? 1U : 0U);
+    admission_decision decision = admit(queue, request.rank, {request.deadlineMs});
+    if (queue.slotFreeInMs > 0) {
         // The earlier owner may be heard to have ended any time, and other servers may have room.
-        answer.retryAfter = std::min(answer.retryAfter, keptSlotRetry);
+        decision.retryAfter = std::min(decision.retryAfter, maxPinnedSlotRetryAfter);
     }
-    return answer;
+    return decision;
 }
 
 void owner_task::onRun(const std::string &from, const run_request &request)
 {
-    owned *server = find(request.server);
-    if (server == nullptr || !server->held || server->releasing) {
-        const auto holder = m_holders.find(request.server);
-        run_end answer{
+    owned_server *server = find(request.server);
+    if (server == nullptr || !server->isOwned || server->releasing) {
+        const auto otherOwner = m_otherOwners.find(request.server);
+        run_end runEnd{
             request.id, outcome::NotRun, error_kind::NotOwner, "not the owner of " + request.server};
-        answer.owner = holder == m_holders.end() || holder->second == m_options.self ? "" : holder->second;
-        m_bus.post(send_to{from, answer});
+        runEnd.owner = otherOwner == m_otherOwners.end() || otherOwner->second == m_options.self
+            ? ""
+            : otherOwner->second;
+        m_bus.post(send_to{from, runEnd});
         return;
     }
     // Guards against: the same frame delivered twice would run twice. A request id is used once.
     if (m_jobs.count(request.id) != 0) {
         return;
     }
-    if (!takesWork(*server)) {
+    if (!acceptsWork(*server)) {
         refuse(from, request, error_kind::NoServer, "the server is leaving or drained", {});
         return;
     }
-    if (const millis pause = pauseOf(*server); pause > millis{}) {
-        refuse(from, request, error_kind::Overloaded, "the server wants a pause", comeBackAfter(pause));
+    if (const millis pause = remainingPause(*server); pause > millis{}) {
+        refuse(from, request, error_kind::Overloaded, "the server wants a pause", spreadRetryAfter(pause));
         return;
     }
     const millis now = bootNow();
-    if (!server->known || server->role != "serving" || server->unclaimed || now < server->mayRunAt) {
+    if (!server->stateKnown || server->role != "serving" || server->claimLost || now < server->mayRunAt) {
         refuse(from, request, error_kind::NoServer, "the server is starting",
             std::max(millis{startingPollMs}, server->mayRunAt - now));
         return;
@@ -83,242 +85,244 @@
         refuse(from, request, error_kind::NotOwner, "the lease has lapsed", {startingPollMs});
         return;
     }
-    slot &wanted = server->adapters[request.adapter];
+    adapter_slot &wanted = server->adapters[request.adapter];
     countArrivals(wanted.arrivals, 1, now);
     if (!wanted.resident && wanted.notBefore > now) {
         refuse(from, request, error_kind::LoadFailed, "loading failed lately", wanted.notBefore - now);
         return;
     }
-    const admission_answer answer = askAdmission(*server, &wanted, request);
-    if (!answer.admitted) {
-        refuse(from, request, answer.why, "queue of " + request.server, answer.retryAfter);
+    const admission_decision decision = checkAdmission(*server, &wanted, request);
+    if (!decision.admitted) {
+        refuse(from, request, decision.why, "queue of " + request.server, decision.retryAfter);
         return;
     }
-    job &one = m_jobs[request.id];
-    one.request = request;
-    one.from = from;
-    one.arrived = now;
-    one.deadline = now + millis{request.deadlineMs};
-    one.waitedForLoad = !wanted.resident;
-    enqueue(*server, one);
-    pump(*server);
+    request_job &job = m_jobs[request.id];
+    job.request = request;
+    job.entry = from;
+    job.arrived = now;
+    job.deadline = now + millis{request.deadlineMs};
+    job.waitedForLoad = !wanted.resident;
+    enqueue(*server, job);
+    dispatchWaiting(*server);
 }
 
 void owner_task::refuse(const std::string &from, const run_request &request, error_kind why,
     const std::string &detail, millis retryAfter)
 {
-    run_end answer{request.id, outcome::NotRun, why, detail, retryAfter.count};
-    if (owned *server = find(request.server); server != nullptr) {
-        answer.hint = hintOf(*server);
+    run_end runEnd{request.id, outcome::NotRun, why, detail, retryAfter.count};
+    if (owned_server *server = find(request.server); server != nullptr) {
+        runEnd.hint = hintOf(*server);
         if (const auto found = server->adapters.find(request.adapter); found != server->adapters.end()) {
-            answer.replicas = replicasOf(*server, request.adapter, found->second);
+            runEnd.replicas = replicasOf(*server, request.adapter, found->second);
         }
     }
-    m_bus.post(send_to{from, answer});
+    m_bus.post(send_to{from, runEnd});
 }
 
-void owner_task::enqueue(owned &server, job &one)
+void owner_task::enqueue(owned_server &server, request_job &job)
 {
-    server.adapters[one.request.adapter].waiting.push_back(one.request.id);
+    server.adapters[job.request.adapter].waiting.push_back(job.request.id);
     ++server.waiting;
-    ++server.callersWaiting[one.request.caller];
+    ++server.callersWaiting[job.request.caller];
 }
 
-void owner_task::dequeue(owned &server, const job &one)
+void owner_task::dequeue(owned_server &server, const request_job &job)
 {
-    auto &queue = server.adapters[one.request.adapter].waiting;
-    queue.erase(std::remove(queue.begin(), queue.end(), one.request.id), queue.end());
+    auto &queue = server.adapters[job.request.adapter].waiting;
+    queue.erase(std::remove(queue.begin(), queue.end(), job.request.id), queue.end());
     --server.waiting;
-    const auto caller = server.callersWaiting.find(one.request.caller);
+    const auto caller = server.callersWaiting.find(job.request.caller);
     if (caller != server.callersWaiting.end() && --caller->second == 0) {
         server.callersWaiting.erase(caller);
     }
 }
 
 /// The waiting request to start next: best priority, then the earliest deadline, of resident adapters.
-owner_task::job *owner_task::nextJob(owned &server)
+owner_task::request_job *owner_task::nextJob(owned_server &server)
 {
-    job *best = nullptr;
+    request_job *best = nullptr;
     for (auto &entry : server.adapters) {
-        slot &where = entry.second;
-        if (!where.resident || where.unloading) {
+        adapter_slot &slot = entry.second;
+        if (!slot.resident || slot.unloading) {
             continue;
         }
-        for (const request_id &id : where.waiting) {
-            job &one = m_jobs.at(id);
-            if (best == nullptr || one.request.rank < best->request.rank
-                || (one.request.rank == best->request.rank && one.deadline < best->deadline)) {
-                best = &one;
+        for (const request_id &id : slot.waiting) {
+            request_job &job = m_jobs.at(id);
+            if (best == nullptr || job.request.rank < best->request.rank
+                || (job.request.rank == best->request.rank && job.deadline < best->deadline)) {
+                best = &job;
             }
         }
     }
     return best;
 }
 
-void owner_task::pump(owned &server)
+void owner_task::dispatchWaiting(owned_server &server)
 {
-    while (server.held && server.known && !server.unclaimed && server.waiting > 0 && takesWork(server)
-        && pauseOf(server) <= millis{} && server.inFlight < server.batchLimit) {
-        job *one = nextJob(server);
-        if (one == nullptr) {
+    while (server.isOwned && server.stateKnown && !server.claimLost && server.waiting > 0
+        && acceptsWork(server) && remainingPause(server) <= millis{} && server.inFlight < server.batchLimit) {
+        request_job *job = nextJob(server);
+        if (job == nullptr) {
             break;
         }
-        start(server, *one);
+        startJob(server, *job);
     }
-    wantLoads(server);
+    scheduleLoads(server);
 }
 
-void owner_task::refuseBlocked(const job &one)
+void owner_task::refuseBlocked(const request_job &job)
 {
-    answerEnd(one,
-        {one.request.id, outcome::NotRun, error_kind::EndsServers, "servers ended under this request",
-            m_crashes.comeBackAfter(one.request.fingerprint).count});
-    m_jobs.erase(one.request.id);
+    sendRunEnd(job,
+        {job.request.id, outcome::NotRun, error_kind::EndsServers, "servers ended under this request",
+            m_crashes.blockedRetryAfter(job.request.fingerprint).count});
+    m_jobs.erase(job.request.id);
 }
 
 /// Waiting for an engine that it won't be handed to would only cost its caller time.
-void owner_task::refuseWaitingLike(const std::string &fingerprint)
+void owner_task::refuseWaitingWithFingerprint(const std::string &fingerprint)
 {
     std::vector<request_id> waiting;
-    for (const auto &[id, one] : m_jobs) {
-        const bool waits = one.startedAt == millis{} && !one.request.trial;
-        if (waits && one.request.fingerprint == fingerprint) {
+    for (const auto &[id, job] : m_jobs) {
+        const bool waits = job.startedAt == millis{} && !job.request.trial;
+        if (waits && job.request.fingerprint == fingerprint) {
             waiting.push_back(id);
         }
     }
     for (const request_id &id : waiting) {
-        const job one = m_jobs.at(id);
-        dequeue(m_servers.at(one.request.server), one);
-        refuseBlocked(one);
+        const request_job job = m_jobs.at(id);
+        dequeue(m_servers.at(job.request.server), job);
+        refuseBlocked(job);
     }
 }
 
-void owner_task::start(owned &server, job &one)
+void owner_task::startJob(owned_server &server, request_job &job)
 {
     const millis now = bootNow();
-    dequeue(server, one);
-    if (!one.request.trial
-        && m_crashes.isBlocked(one.request.fingerprint)) { // since it was admitted, or its entry hadn't heard
-        refuseBlocked(one);
+    dequeue(server, job);
+    if (!job.request.trial
+        && m_crashes.isBlocked(job.request.fingerprint)) { // since it was admitted, or its entry hadn't heard
+        refuseBlocked(job);
         return;
     }
-    one.target = {server.where.name, startOf(server), {server.where.address, server.where.port}};
-    slot &where = server.adapters[one.request.adapter];
-    one.startedAt = now;
-    one.stall =
-        one.waitedForLoad ? std::max(millis{}, std::min(now, where.loadedAt) - one.arrived) : millis{};
-    ++where.inFlight;
+    job.target = {
+        server.instance.name, incarnationOf(server), {server.instance.address, server.instance.port}};
+    adapter_slot &slot = server.adapters[job.request.adapter];
+    job.startedAt = now;
+    job.stall = job.waitedForLoad ? std::max(millis{}, std::min(now, slot.loadedAt) - job.arrived) : millis{};
+    ++slot.inFlight;
     ++server.inFlight;
-    where.lastUsed = now;
+    slot.lastUsed = now;
     engine_run run;
-    run.path = one.request.path;
-    run.body = one.request.body;
-    run.id = one.request.id;
-    run.fencing = server.fencing;
-    run.rank = one.request.rank;
-    run.idempotent = one.request.idempotent;
-    run.deadline = one.deadline - now;
-    const request_id id = one.request.id;
-    one.call = server.runs->run(
+    run.path = job.request.path;
+    run.body = job.request.body;
+    run.id = job.request.id;
+    run.fencing = server.fencingToken;
+    run.rank = job.request.rank;
+    run.idempotent = job.request.idempotent;
+    run.deadline = job.deadline - now;
+    const request_id id = job.request.id;
+    job.call = server.client->run(
         run,
         [this, id](std::string_view adapter) {
             const auto found = m_jobs.find(id);
             if (found == m_jobs.end()) {
                 return;
             }
-            job &running = found->second;
+            request_job &running = found->second;
             const millis queued = running.startedAt - running.arrived - running.stall;
             // Guards against: an engine that answers from a neighbour's adapter or an older version. It shows
             // as another name in the engine's own header; no byte of that answer has gone out yet.
             if (adapter != toString(running.request.adapter)) {
                 spdlog::error("owner: {} ran {} for {}. The answer is dropped.", running.request.server,
                     adapter, toString(running.request.adapter));
-                end(id,
+                finishRun(id,
                     {outcome::Unknown, {error_kind::Internal, running.request.server, "wrong adapter"}, {}});
                 return;
             }
             m_bus.post(send_to{
-                running.from, run_started{id, std::string(adapter), running.stall.count, queued.count}});
+                running.entry, run_started{id, std::string(adapter), running.stall.count, queued.count}});
         },
         [this, id](std::string_view bytes) {
             const auto found = m_jobs.find(id);
             if (found != m_jobs.end()) {
-                m_bus.post(send_to{found->second.from, run_bytes{id, std::string(bytes)}});
+                m_bus.post(send_to{found->second.entry, run_bytes{id, std::string(bytes)}});
             }
         },
-        [this, id](const engine_run_end &how) {
-            end(id, how);
+        [this, id](const engine_run_end &response) {
+            finishRun(id, response);
         });
 }
 
 /// Whether the engine may have ended under a run: its answer broke off, or the run was given up.
-void owner_task::tellCrashes(const job &one, const owned &server, const engine_run_end &how)
+void owner_task::reportToCrashTask(
+    const request_job &job, const owned_server &server, const engine_run_end &response)
 {
-    const std::string &fingerprint = one.request.fingerprint;
-    if (how.result == outcome::Done) {
-        m_crashes.onAnswered(fingerprint);
+    const std::string &fingerprint = job.request.fingerprint;
+    if (response.result == outcome::Done) {
+        m_crashes.onResponseComplete(fingerprint);
     }
-    if (how.result != outcome::Unknown || leaves(server)) {
+    if (response.result != outcome::Unknown || isServerLeaving(server)) {
         return;
     }
-    if (how.why.kind == error_kind::ConnectionLost) {
-        m_crashes.onBroken(fingerprint, one.target);
+    if (response.why.kind == error_kind::ConnectionLost) {
+        m_crashes.onResponseBroken(fingerprint, job.target);
     } else {
-        m_crashes.onGivenUp(fingerprint, one.target);
+        m_crashes.onSendAbandoned(fingerprint, job.target);
     }
-    const bool restarted = one.target.start != startOf(server);
+    const bool restarted = job.target.incarnation != incarnationOf(server);
     if (restarted) { // seen by the poll before the connection broke
-        m_crashes.onServerEnded(server.where.name);
+        m_crashes.onServerCrashed(server.instance.name);
     }
 }
 
-void owner_task::end(const request_id &id, const engine_run_end &how)
+void owner_task::finishRun(const request_id &id, const engine_run_end &response)
 {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end()) {
         return;
     }
-    const job one = std::move(found->second);
+    const request_job job = std::move(found->second);
     m_jobs.erase(found);
-    owned *server = find(one.request.server);
+    owned_server *server = find(job.request.server);
     if (server == nullptr) {
         return;
     }
-    tellCrashes(one, *server, how);
-    slot &where = server->adapters[one.request.adapter];
-    if (how.result == outcome::Unknown) {
-        linger(one);
+    reportToCrashTask(job, *server, response);
+    adapter_slot &slot = server->adapters[job.request.adapter];
+    if (response.result == outcome::Unknown) {
+        awaitEngineEnd(job);
     } else {
-        --where.inFlight;
+        --slot.inFlight;
         --server->inFlight;
     }
     const millis now = bootNow();
-    if (how.result == outcome::Done) {
-        const auto took = static_cast<double>((now - one.startedAt).count);
-        server->serviceMs += (took - server->serviceMs) * (server->serviceMs == 0 ? 1 : meanWeight);
+    if (response.result == outcome::Done) {
+        const auto elapsedMs = static_cast<double>((now - job.startedAt).count);
+        server->meanServiceMs +=
+            (elapsedMs - server->meanServiceMs) * (server->meanServiceMs == 0 ? 1 : newestSampleWeight);
     }
-    if (how.why.kind == error_kind::StaleFencing) {
-        m_bus.post(fencing_refused{one.request.server, server->fencing + 1});
+    if (response.why.kind == error_kind::StaleFencing) {
+        m_bus.post(fencing_refused{job.request.server, server->fencingToken + 1});
     }
-    if (how.result != outcome::Done) {
+    if (response.result != outcome::Done) {
         // The engine may have restarted, be leaving, or no longer have the adapter. Look again.
         server->polledAt = {};
     }
-    run_end answer{id, how.result, how.why.kind, how.why.detail, how.retryAfter.count};
-    answer.hint = hintOf(*server);
-    answer.replicas = replicasOf(*server, one.request.adapter, where);
-    answerEnd(one, answer);
-    if (!server->held && server->inFlight == 0) {
-        m_servers.erase(one.request.server);
+    run_end runEnd{id, response.result, response.why.kind, response.why.detail, response.retryAfter.count};
+    runEnd.hint = hintOf(*server);
+    runEnd.replicas = replicasOf(*server, job.request.adapter, slot);
+    sendRunEnd(job, runEnd);
+    if (!server->isOwned && server->inFlight == 0) {
+        m_servers.erase(job.request.server);
         return;
     }
-    pump(*server);
+    dispatchWaiting(*server);
 }
 
-void owner_task::answerEnd(const job &one, const run_end &answer)
+void owner_task::sendRunEnd(const request_job &job, const run_end &runEnd)
 {
-    if (!one.cancelled) {
-        m_bus.post(send_to{one.from, answer});
+    if (!job.cancelled) {
+        m_bus.post(send_to{job.entry, runEnd});
     }
 }
 
@@ -330,129 +334,132 @@
     }
 }
 
-void owner_task::cancelJob(job &one)
+void owner_task::cancelJob(request_job &job)
 {
-    owned &server = m_servers.at(one.request.server);
-    const request_id id = one.request.id;
-    if (one.startedAt == millis{}) {
-        dequeue(server, one);
-        answerEnd(one,
+    owned_server &server = m_servers.at(job.request.server);
+    const request_id id = job.request.id;
+    if (job.startedAt == millis{}) {
+        dequeue(server, job);
+        sendRunEnd(job,
             {id, outcome::NotRun, error_kind::Timeout, "cancelled before it started", 0, "", hintOf(server)});
         m_jobs.erase(id);
-        wantLoads(server);
+        scheduleLoads(server);
         return;
     }
-    end(id, {outcome::Unknown, {error_kind::Timeout, one.request.server, "cancelled while running"}, {}});
+    finishRun(
+        id, {outcome::Unknown, {error_kind::Timeout, job.request.server, "cancelled while running"}, {}});
 }
 
 /// Keeps the place of a run that ended here but perhaps not on the engine. Guards against: a stream breaks
 /// off or is cancelled, its slot looks free, and the adapter is unloaded under a request that the engine
 /// still runs. The place is given back when the engine confirms the cancel, at the latest at the request's
-/// deadline, which the engine was told.
-void owner_task::linger(const job &one)
+/// deadline, adapter the engine was told.
+void owner_task::awaitEngineEnd(const request_job &job)
 {
-    m_lingering[one.request.id] = one;
-    const request_id id = one.request.id;
-    m_servers.at(one.request.server).runs->cancel(one.call, id, [this, id](const engine_order_end &how) {
-        if (how.ok) {
-            lingered(id);
-        }
-    });
+    m_awaitingEngineEnd[job.request.id] = job;
+    const request_id id = job.request.id;
+    m_servers.at(job.request.server)
+        .client->cancel(job.call, id, [this, id](const engine_order_end &response) {
+            if (response.ok) {
+                onEngineEnded(id);
+            }
+        });
 }
 
-void owner_task::lingered(const request_id &id)
+void owner_task::onEngineEnded(const request_id &id)
 {
-    const auto found = m_lingering.find(id);
-    if (found == m_lingering.end()) {
+    const auto found = m_awaitingEngineEnd.find(id);
+    if (found == m_awaitingEngineEnd.end()) {
         return;
     }
     const run_request request = std::move(found->second.request);
-    m_lingering.erase(found);
-    owned *server = find(request.server);
+    m_awaitingEngineEnd.erase(found);
+    owned_server *server = find(request.server);
     if (server == nullptr) {
         return;
     }
     --server->adapters[request.adapter].inFlight;
     --server->inFlight;
-    if (!server->held && server->inFlight == 0) {
+    if (!server->isOwned && server->inFlight == 0) {
         m_servers.erase(request.server);
         return;
     }
-    pump(*server);
+    dispatchWaiting(*server);
 }
 
-void owner_task::refuseWaiting(
-    owned &server, const adapter_ref *only, error_kind why, const std::string &detail, millis retryAfter)
+void owner_task::refuseWaiting(owned_server &server, const adapter_ref *adapter, error_kind why,
+    const std::string &detail, millis retryAfter)
 {
     std::vector<request_id> waiting;
-    for (const auto &[ref, where] : server.adapters) {
-        if (only == nullptr || ref == *only) {
-            waiting.insert(waiting.end(), where.waiting.begin(), where.waiting.end());
+    for (const auto &[ref, slot] : server.adapters) {
+        if (adapter == nullptr || ref == *adapter) {
+            waiting.insert(waiting.end(), slot.waiting.begin(), slot.waiting.end());
         }
     }
     for (const request_id &id : waiting) {
-        const job one = m_jobs.at(id);
-        dequeue(server, one);
+        const request_job job = m_jobs.at(id);
+        dequeue(server, job);
         m_jobs.erase(id);
-        run_end answer{id, outcome::NotRun, why, detail, retryAfter.count};
-        answer.hint = hintOf(server);
-        answerEnd(one, answer);
+        run_end runEnd{id, outcome::NotRun, why, detail, retryAfter.count};
+        runEnd.hint = hintOf(server);
+        sendRunEnd(job, runEnd);
     }
 }
 
 /// Requests whose adapter is loaded and that wait for a place in the batch. Those that wait for a load take
-/// no place yet: counted as fill they would send other adapters' requests to servers that have to load them
-/// too.
-std::uint32_t owner_task::waitingForPlace(const owned &server) const
+/// no place yet: crashedIncarnations as fill they would send other adapters' requests to servers that have to
+/// load them too.
+std::uint32_t owner_task::waitingForBatch(const owned_server &server) const
 {
     std::size_t count = 0;
-    for (const auto &[ref, where] : server.adapters) {
-        count += where.resident ? where.waiting.size() : 0;
+    for (const auto &[ref, slot] : server.adapters) {
+        count += slot.resident ? slot.waiting.size() : 0;
     }
     return static_cast<std::uint32_t>(count);
 }
 
-server_hint owner_task::hintOf(const owned &server) const
+server_hint owner_task::hintOf(const owned_server &server) const
 {
     server_hint hint;
-    hint.server = server.where.name;
+    hint.server = server.instance.name;
     hint.inFlight = server.inFlight;
-    hint.waiting = waitingForPlace(server);
+    hint.waiting = waitingForBatch(server);
     hint.batchLimit = server.batchLimit;
-    hint.closed = !takesWork(server) || pauseOf(server) > millis{} || !server.known
-        || server.role != "serving" || server.unclaimed;
+    hint.closed = !acceptsWork(server) || remainingPause(server) > millis{} || !server.stateKnown
+        || server.role != "serving" || server.claimLost;
     hint.freeSlots = server.slots - std::min(server.slots, usedSlots(server));
     return hint;
 }
 
 std::vector<server_hint> owner_task::hints() const
 {
-    std::vector<server_hint> list;
+    std::vector<server_hint> hints;
     for (const auto &[name, server] : m_servers) {
-        if (server.held) {
-            list.push_back(hintOf(server));
+        if (server.isOwned) {
+            hints.push_back(hintOf(server));
         }
     }
-    return list;
+    return hints;
 }
 
-std::vector<std::string> owner_task::replicasOf(owned &server, const adapter_ref &which, slot &where)
+std::vector<std::string> owner_task::replicasOf(
+    owned_server &server, const adapter_ref &adapter, adapter_slot &slot)
 {
-    const std::vector<replica_site> &sites = m_sites[server.where.service];
-    // Only the adapter's first server by rendezvous hash speaks for it, so entries hear one voice. Who that
+    const std::vector<replica_candidate> &candidates = m_replicaCandidates[server.instance.service];
+    // Only the adapter's first server by rendezvous hash speaks for it, so entries hear job voice. Who that
     // is changes with the list of servers alone; hashing thousands of them for each answer would cost too
     // much.
-    if (where.sitesRevision != m_sitesRevision) {
-        const auto nameAt = [&sites](std::size_t i) -> std::string_view {
-            return sites[i].server;
+    if (slot.candidatesRevision != m_candidatesRevision) {
+        const auto nameAt = [&candidates](std::size_t i) -> std::string_view {
+            return candidates[i].server;
         };
-        const auto top = rendezvousTop(which.adapter, sites.size(), 1, nameAt, [](std::size_t) {
+        const auto top = rendezvousTop(adapter.adapter, candidates.size(), 1, nameAt, [](std::size_t) {
             return true;
         });
-        where.primary = !top.empty() && sites[top.front()].server == server.where.name;
-        where.sitesRevision = m_sitesRevision;
+        slot.primary = !top.empty() && candidates[top.front()].server == server.instance.name;
+        slot.candidatesRevision = m_candidatesRevision;
     }
-    if (!where.primary) {
+    if (!slot.primary) {
         return {};
     }
     replica_policy policy;
@@ -461,12 +468,12 @@
         policy.stallWeight = m_config->policy.stallWeight;
     }
     policy.batchLimit = server.batchLimit;
-    arrival_rate whole = decayed(where.arrivals, bootNow());
-    whole.fast *= std::max<std::uint32_t>(1, where.replicas);
-    whole.slow *= std::max<std::uint32_t>(1, where.replicas);
-    where.replicas =
-        wantedReplicas(whole, server.serviceMs, std::max<std::uint32_t>(1, where.replicas), policy);
-    return replicaSites(which.adapter, sites, where.replicas);
+    arrival_rate whole = decayed(slot.arrivals, bootNow());
+    whole.fast *= std::max<std::uint32_t>(1, slot.replicas);
+    whole.slow *= std::max<std::uint32_t>(1, slot.replicas);
+    slot.replicas =
+        wantedReplicas(whole, server.meanServiceMs, std::max<std::uint32_t>(1, slot.replicas), policy);
+    return chooseReplicaServers(adapter.adapter, candidates, slot.replicas);
 }
 
 }
--- a/packages/coordination/owner_status.cpp
+++ b/packages/coordination/owner_status.cpp
@@ -18,14 +18,15 @@
 {
     nlohmann::json list = nlohmann::json::array();
     for (const auto &[name, server] : m_servers) {
-        if (!server.held) {
+        if (!server.isOwned) {
             continue;
         }
-        list.push_back({{"name", name}, {"owner", m_options.self}, {"fencing", server.fencing},
-            {"role", server.role}, {"failure_domain", server.where.failureDomain}, {"slots", server.slots},
+        list.push_back({{"name", name}, {"owner", m_options.self}, {"fencing", server.fencingToken},
+            {"role", server.role}, {"failure_domain", server.instance.failureDomain}, {"slots", server.slots},
             {"used", usedSlots(server)}, {"in_flight", server.inFlight}, {"batch_limit", server.batchLimit},
-            {"waiting", server.waiting}, {"leaving", leaves(server)}, {"pause_ms", pauseOf(server).count},
-            {"draining", server.draining}, {"checks_fencing", server.checksFencing}});
+            {"waiting", server.waiting}, {"leaving", isServerLeaving(server)},
+            {"pause_ms", remainingPause(server).count}, {"draining", server.draining},
+            {"checks_fencing", server.checksFencing}});
     }
     return list.dump();
 }
@@ -34,12 +35,12 @@
 {
     nlohmann::json list = nlohmann::json::array();
     for (const auto &[name, server] : m_servers) {
-        for (const auto &[ref, where] : server.adapters) {
-            if (!server.held || !(where.resident || where.loading)) {
+        for (const auto &[ref, slot] : server.adapters) {
+            if (!server.isOwned || !(slot.resident || slot.loading)) {
                 continue;
             }
             list.push_back({{"adapter", toString(ref)}, {"server", name}, {"owner", m_options.self},
-                {"in_flight", where.inFlight}, {"state", where.resident ? "resident" : "loading"}});
+                {"in_flight", slot.inFlight}, {"state", slot.resident ? "resident" : "loading"}});
         }
     }
     return list.dump();
--- a/packages/coordination/owner_task.cpp
+++ b/packages/coordination/owner_task.cpp
@@ -10,177 +10,177 @@
 
 namespace {
 
-constexpr std::int64_t tickMs = 50;
-/// The time to come back after, where no load or request has been seen to its end yet to tell a better one.
-constexpr std::int64_t shortestRetryMs = 500;
+constexpr std::int64_t tickIntervalMs = 50;
+/// The time to come back after, slot no load or request has been seen to its end yet to tell a better job.
+constexpr std::int64_t minRetryAfterMs = 500;
 /// An engine's whole state is a kilobyte or more with full slots, so it is asked for seldom while all is
 /// well, and at once after a run or order that failed.
-constexpr std::int64_t pollMs = 3'000;
+constexpr std::int64_t pollIntervalMs = 3'000;
 
 }
 
-owner_task::owner_task(bus &messages, loop &eventLoop, http_client &runs, http_client &guarded,
+owner_task::owner_task(bus &messages, loop &eventLoop, http_client &http, http_client &guardedHttp,
     crash_task &crashes, options given)
     : m_bus(messages)
     , m_loop(eventLoop)
-    , m_runs(runs)
-    , m_guarded(guarded)
+    , m_http(http)
+    , m_guardedHttp(guardedHttp)
     , m_crashes(crashes)
     , m_options(std::move(given))
     , m_random(std::random_device{}())
 {
-    m_bus.on<received<run_request>>([this](const received<run_request> &news) {
-        onRun(news.from, news.body);
+    m_bus.on<received<run_request>>([this](const received<run_request> &event) {
+        onRun(event.from, event.body);
     });
-    m_bus.on<received<run_cancel>>([this](const received<run_cancel> &news) {
-        onCancel(news.body);
+    m_bus.on<received<run_cancel>>([this](const received<run_cancel> &event) {
+        onCancel(event.body);
     });
-    m_bus.on<received<load_grant>>([this](const received<load_grant> &news) {
-        onGrant(news.body.ticket);
+    m_bus.on<received<load_grant>>([this](const received<load_grant> &event) {
+        onGrant(event.body.ticket);
     });
-    m_bus.on<received<status_ask>>([this](const received<status_ask> &news) {
-        onStatus(news.from, news.body);
+    m_bus.on<received<status_ask>>([this](const received<status_ask> &event) {
+        onStatus(event.from, event.body);
     });
-    m_bus.on<received<drain_order>>([this](const received<drain_order> &news) {
+    m_bus.on<received<drain_order>>([this](const received<drain_order> &event) {
         // Every daemon remembers it, so that the server stays drained when it changes hands.
-        if (news.body.drain) {
-            m_drained.insert(news.body.server);
+        if (event.body.drain) {
+            m_drained.insert(event.body.server);
         } else {
-            m_drained.erase(news.body.server);
+            m_drained.erase(event.body.server);
         }
-        if (owned *server = find(news.body.server); server != nullptr) {
-            server->draining = news.body.drain;
-            spdlog::info("owner: {} {} by an operator.", news.body.server,
-                news.body.drain ? "is drained" : "takes work again");
+        if (owned_server *server = find(event.body.server); server != nullptr) {
+            server->draining = event.body.drain;
+            spdlog::info("owner: {} {} by an operator.", event.body.server,
+                event.body.drain ? "is drained" : "takes work again");
         }
     });
-    m_bus.on<server_gained>([this](const server_gained &news) {
-        onGained(news);
+    m_bus.on<server_gained>([this](const server_gained &event) {
+        onGained(event);
     });
-    m_bus.on<server_lost>([this](const server_lost &news) {
-        onLost(news.server);
+    m_bus.on<server_lost>([this](const server_lost &event) {
+        onLost(event.server);
     });
-    m_bus.on<release_server>([this](const release_server &news) {
-        onRelease(news.server);
+    m_bus.on<release_server>([this](const release_server &event) {
+        onRelease(event.server);
     });
-    m_bus.on<tenure_ended>([this](const tenure_ended &news) {
-        if (owned *server = find(news.server); server != nullptr) {
-            server->mayEvictAt = news.mayEvictAt;
+    m_bus.on<tenure_ended>([this](const tenure_ended &event) {
+        if (owned_server *server = find(event.server); server != nullptr) {
+            server->mayEvictAt = event.mayEvictAt;
         }
     });
-    m_bus.on<lease_confirmed>([this](const lease_confirmed &news) {
-        m_leaseUntil = news.until;
+    m_bus.on<lease_confirmed>([this](const lease_confirmed &event) {
+        m_leaseUntil = event.until;
     });
-    m_bus.on<owner_known>([this](const owner_known &news) {
-        m_holders[news.server] = news.owner;
+    m_bus.on<owner_known>([this](const owner_known &event) {
+        m_otherOwners[event.server] = event.owner;
     });
-    m_bus.on<live_list_changed>([this](const live_list_changed &news) {
-        onLiveList(news.view);
+    m_bus.on<live_list_changed>([this](const live_list_changed &event) {
+        onLiveList(event.view);
     });
-    m_bus.on<config_changed>([this](const config_changed &news) {
-        m_config = news.current;
+    m_bus.on<config_changed>([this](const config_changed &event) {
+        m_config = event.current;
     });
-    m_bus.on<members_changed>([this](const members_changed &news) {
+    m_bus.on<members_changed>([this](const members_changed &event) {
         m_brokers.clear();
-        for (const member &one : news.members) {
-            if (one.state == peer_state::Alive) {
-                m_brokers.push_back(one.name);
+        for (const member &peer : event.members) {
+            if (peer.state == peer_state::Alive) {
+                m_brokers.push_back(peer.name);
             }
         }
-        m_members = static_cast<std::uint32_t>(std::max<std::size_t>(1, m_brokers.size()));
+        m_liveDaemons = static_cast<std::uint32_t>(std::max<std::size_t>(1, m_brokers.size()));
     });
-    m_bus.on<link_broken>([this](const link_broken &news) {
+    m_bus.on<link_broken>([this](const link_broken &event) {
         // A broker that can't be reached is passed over at once, not when membership has seen its death.
-        m_brokers.erase(std::remove(m_brokers.begin(), m_brokers.end(), news.peer), m_brokers.end());
+        m_brokers.erase(std::remove(m_brokers.begin(), m_brokers.end(), event.peer), m_brokers.end());
         for (auto &entry : m_servers) {
-            entry.second.ticketAt = {};
+            entry.second.ticketRequestedAt = {};
         }
         // The entry is gone, and with it the callers of its requests: their places serve others.
-        std::vector<request_id> orphans;
-        for (const auto &[id, one] : m_jobs) {
-            if (one.from == news.peer) {
-                orphans.push_back(id);
+        std::vector<request_id> orphanedRequests;
+        for (const auto &[id, job] : m_jobs) {
+            if (job.entry == event.peer) {
+                orphanedRequests.push_back(id);
             }
         }
-        for (const request_id &id : orphans) {
+        for (const request_id &id : orphanedRequests) {
             onCancel({id});
         }
     });
-    m_bus.on<request_blocked>([this](const request_blocked &news) {
-        refuseWaitingLike(news.fingerprint);
+    m_bus.on<request_blocked>([this](const request_blocked &event) {
+        refuseWaitingWithFingerprint(event.fingerprint);
     });
     m_bus.on<drain_began>([this](const drain_began &) {
-        m_leavingSoon = true;
+        m_isDraining = true;
     });
-    m_timer = m_loop.timer({tickMs}, {tickMs}, [this] {
+    m_timer = m_loop.timer({tickIntervalMs}, {tickIntervalMs}, [this] {
         tick();
     });
 }
 
-owner_task::owned *owner_task::find(const std::string &name)
+owner_task::owned_server *owner_task::find(const std::string &name)
 {
     const auto found = m_servers.find(name);
     return found == m_servers.end() ? nullptr : &found->second;
 }
 
-bool owner_task::takesWork(const owned &server) const
+bool owner_task::acceptsWork(const owned_server &server) const
 {
-    return server.held && !server.releasing && !server.draining && !leaves(server);
+    return server.isOwned && !server.releasing && !server.draining && !isServerLeaving(server);
 }
 
 /// Names the start of the engine that was seen last.
-std::string owner_task::startOf(const owned &server)
+std::string owner_task::incarnationOf(const owned_server &server)
 {
-    return server.where.name + '@' + server.incarnation;
+    return server.instance.name + '@' + server.incarnation;
 }
 
 /// When callers that are refused together are to come back: apart from each other.
-millis owner_task::comeBackAfter(millis wait)
+millis owner_task::spreadRetryAfter(millis wait)
 {
-    const double share = std::uniform_real_distribution<double>(1, 1 + comeBackSpread)(m_random);
-    return {static_cast<std::int64_t>(static_cast<double>(wait.count) * share)};
+    const double factor = std::uniform_real_distribution<double>(1, 1 + retryAfterSpread)(m_random);
+    return {static_cast<std::int64_t>(static_cast<double>(wait.count) * factor)};
 }
 
-bool owner_task::leaves(const owned &server) const
+bool owner_task::isServerLeaving(const owned_server &server) const
 {
-    return server.where.leaving || isLeaving(m_words, startOf(server));
+    return server.instance.leaving || isLeaving(m_notices, incarnationOf(server));
 }
 
-/// What is left of the time for which the engine wants nothing from this daemon; 0: it takes calls.
-millis owner_task::pauseOf(const owned &server) const
+/// What is left of the time for adapter the engine wants nothing from this daemon; 0: it takes calls.
+millis owner_task::remainingPause(const owned_server &server) const
 {
-    return pauseLeft(m_words, startOf(server), m_options.self, bootNow());
+    return pauseLeft(m_notices, incarnationOf(server), m_options.self, bootNow());
 }
 
 // ---- servers gained and lost
 
-void owner_task::onGained(const server_gained &news)
+void owner_task::onGained(const server_gained &event)
 {
-    owned &server = m_servers[news.server.name];
-    server.where = news.server;
+    owned_server &server = m_servers[event.server.name];
+    server.instance = event.server;
     server.releasing = false;
-    server.releaseAsked = false;
-    server.fencing = news.fencing;
-    server.unclaimed = false;
-    server.checksFencing = news.checksFencing;
-    server.mayRunAt = news.mayRunAt;
-    server.mayEvictAt = news.mayEvictAt;
-    if (server.held) {
+    server.releaseRequested = false;
+    server.fencingToken = event.fencing;
+    server.claimLost = false;
+    server.checksFencing = event.checksFencing;
+    server.mayRunAt = event.mayRunAt;
+    server.mayEvictAt = event.mayEvictAt;
+    if (server.isOwned) {
         return; // the same tenure under a higher number
     }
-    server.held = true;
-    server.known = false;
-    server.draining = m_drained.count(news.server.name) != 0;
-    server.pinsKnown = news.pinned.empty();
-    const std::string url = "http://" + news.server.address + ":" + std::to_string(news.server.port);
-    server.runs = std::make_unique<engine_client>(m_runs, url);
-    server.guarded = std::make_unique<engine_client>(news.checksFencing ? m_runs : m_guarded, url);
-    for (engine_client *client : {server.runs.get(), server.guarded.get()}) {
-        client->onWords([this, name = news.server.name](const answer_words &said) {
-            hearWords(name, said);
+    server.isOwned = true;
+    server.stateKnown = false;
+    server.draining = m_drained.count(event.server.name) != 0;
+    server.pinsKnown = event.pinned.empty();
+    const std::string url = "http://" + event.server.address + ":" + std::to_string(event.server.port);
+    server.client = std::make_unique<engine_client>(m_http, url);
+    server.guardedClient = std::make_unique<engine_client>(event.checksFencing ? m_http : m_guardedHttp, url);
+    for (engine_client *client : {server.client.get(), server.guardedClient.get()}) {
+        client->onWords([this, name = event.server.name](const answer_words &notice) {
+            onServerNotice(name, notice);
         });
     }
-    for (const adapter_ref &ref : news.pinned) {
+    for (const adapter_ref &ref : event.pinned) {
         server.adapters[ref].pinned = true;
     }
     poll(server);
@@ -188,13 +188,13 @@
 
 void owner_task::onLost(const std::string &name)
 {
-    owned *server = find(name);
+    owned_server *server = find(name);
     if (server == nullptr) {
         return;
     }
-    server->held = false;
-    server->releaseAsked = false;
-    dropTicket(*server);
+    server->isOwned = false;
+    server->releaseRequested = false;
+    releaseTicket(*server);
     refuseWaiting(*server, nullptr, error_kind::NotOwner, "the server changed hands", {});
     if (server->inFlight == 0) {
         m_servers.erase(name);
@@ -203,68 +203,69 @@
 
 void owner_task::onRelease(const std::string &name)
 {
-    owned *server = find(name);
+    owned_server *server = find(name);
     if (server == nullptr) {
         m_bus.post(server_released{name, {}, {}});
         return;
     }
     server->releasing = true;
-    server->releaseAsked = true;
-    dropTicket(*server);
+    server->releaseRequested = true;
+    releaseTicket(*server);
     refuseWaiting(*server, nullptr, error_kind::NotOwner, "the server changes hands", {});
-    answerRelease(*server);
+    completeRelease(*server);
 }
 
-void owner_task::answerRelease(owned &server)
+void owner_task::completeRelease(owned_server &server)
 {
-    const bool unloadOut = std::any_of(server.adapters.begin(), server.adapters.end(), [](const auto &entry) {
-        return entry.second.unloading;
-    });
+    const bool unloadPending =
+        std::any_of(server.adapters.begin(), server.adapters.end(), [](const auto &entry) {
+            return entry.second.unloading;
+        });
     // Guards against: an unload of ours reaches the engine after the next owner, told that the release is in
     // order, has begun to run requests. It shows as a stream that breaks off. Where the engine checks fencing
     // numbers it refuses the order by then, and the release need not wait for its answer.
-    if (!server.releaseAsked || (unloadOut && !server.checksFencing)) {
+    if (!server.releaseRequested || (unloadPending && !server.checksFencing)) {
         return;
     }
-    server.releaseAsked = false;
-    server_released answer{server.where.name, {}, {}};
+    server.releaseRequested = false;
+    server_released released{server.instance.name, {}, {}};
     const millis now = bootNow();
-    millis streamsEnd = now;
-    for (const auto *jobs : {&m_jobs, &m_lingering}) {
-        for (const auto &[id, one] : *jobs) {
-            if (one.request.server == server.where.name) {
-                streamsEnd = std::max(streamsEnd, one.deadline);
+    millis streamsEndAt = now;
+    for (const auto *jobs : {&m_jobs, &m_awaitingEngineEnd}) {
+        for (const auto &[id, job] : *jobs) {
+            if (job.request.server == server.instance.name) {
+                streamsEndAt = std::max(streamsEndAt, job.deadline);
             }
         }
     }
     // An adapter that an older owner's streams may still run on stays pinned for the next owner too.
-    for (const auto &[ref, where] : server.adapters) {
-        if (where.inFlight > 0 || where.pinned || where.loading) {
-            answer.running.push_back(ref);
+    for (const auto &[ref, slot] : server.adapters) {
+        if (slot.inFlight > 0 || slot.pinned || slot.loading) {
+            released.running.push_back(ref);
         }
     }
-    answer.drain = releaseDrain(now, streamsEnd, server.mayEvictAt);
-    m_bus.post(answer);
+    released.drain = releaseDrain(now, streamsEndAt, server.mayEvictAt);
+    m_bus.post(released);
 }
 
 void owner_task::onLiveList(const live_view &view)
 {
-    m_sites.clear();
-    ++m_sitesRevision;
+    m_replicaCandidates.clear();
+    ++m_candidatesRevision;
     for (const auto &[name, instance] : view.instances) {
         if (instance.kind != instance_kind::Engine) {
             continue;
         }
         if (!instance.leaving) {
-            m_sites[instance.service].push_back({name, instance.failureDomain, false});
+            m_replicaCandidates[instance.service].push_back({name, instance.failureDomain, false});
         }
-        owned *server = find(name);
+        owned_server *server = find(name);
         if (server == nullptr) {
             continue;
         }
-        const bool news = instance.leaving && !server->where.leaving;
-        server->where.leaving = instance.leaving;
-        if (news) {
+        const bool leavingNow = instance.leaving && !server->instance.leaving;
+        server->instance.leaving = instance.leaving;
+        if (leavingNow) {
             spdlog::info("owner: {} is leaving. No new work goes there.", name);
             refuseWaiting(*server, nullptr, error_kind::NoServer, "the server is leaving", {});
         }
@@ -278,83 +279,84 @@
     const millis now = bootNow();
     checkDeadlines(now);
     for (auto &entry : m_servers) {
-        owned &server = entry.second;
-        if (!server.held) {
+        owned_server &server = entry.second;
+        if (!server.isOwned) {
             continue;
         }
-        answerRelease(server);
-        const bool settled =
-            server.known && server.role == "serving" && !server.unclaimed && server.pinsKnown;
-        const millis pause{settled ? pollMs : startingPollMs};
-        if (!server.polling && pauseOf(server) <= millis{} && now - server.polledAt >= pause) {
+        completeRelease(server);
+        const bool operational =
+            server.stateKnown && server.role == "serving" && !server.claimLost && server.pinsKnown;
+        const millis interval{operational ? pollIntervalMs : startingPollMs};
+        if (!server.pollPending && remainingPause(server) <= millis{} && now - server.polledAt >= interval) {
             poll(server);
         }
-        wantLoads(server);
+        scheduleLoads(server);
     }
-    drained();
+    checkDrained();
 }
 
 void owner_task::checkDeadlines(millis now)
 {
-    std::vector<request_id> over;
-    for (const auto &[id, one] : m_jobs) {
+    std::vector<request_id> expired;
+    for (const auto &[id, job] : m_jobs) {
         // A waiting request that can't be answered in time any more gets its final answer now and not at its
-        // deadline; a running one is broken off at the deadline.
-        const auto server = m_servers.find(one.request.server);
-        const double service = server == m_servers.end() ? 0 : server->second.serviceMs;
-        const millis need = one.startedAt == millis{} ? millis{static_cast<std::int64_t>(service)} : millis{};
+        // deadline; a running job is broken off at the deadline.
+        const auto server = m_servers.find(job.request.server);
+        const double serviceMs = server == m_servers.end() ? 0 : server->second.meanServiceMs;
+        const millis need =
+            job.startedAt == millis{} ? millis{static_cast<std::int64_t>(serviceMs)} : millis{};
         millis start = now;
-        if (one.startedAt == millis{} && server != m_servers.end()) {
-            const auto wanted = server->second.adapters.find(one.request.adapter);
+        if (job.startedAt == millis{} && server != m_servers.end()) {
+            const auto wanted = server->second.adapters.find(job.request.adapter);
             start = std::max(now,
-                roomFrom(server->second, wanted == server->second.adapters.end() ? nullptr : &wanted->second,
-                    now));
+                slotAvailableAt(server->second,
+                    wanted == server->second.adapters.end() ? nullptr : &wanted->second, now));
         }
-        if (start + need >= one.deadline) {
-            over.push_back(id);
+        if (start + need >= job.deadline) {
+            expired.push_back(id);
         }
     }
-    std::vector<request_id> surelyEnded;
-    for (const auto &[id, one] : m_lingering) {
-        if (now >= one.deadline) {
-            surelyEnded.push_back(id);
+    std::vector<request_id> pastDeadline;
+    for (const auto &[id, job] : m_awaitingEngineEnd) {
+        if (now >= job.deadline) {
+            pastDeadline.push_back(id);
         }
     }
-    for (const request_id &id : surelyEnded) {
-        lingered(id);
+    for (const request_id &id : pastDeadline) {
+        onEngineEnded(id);
     }
-    for (const request_id &id : over) {
+    for (const request_id &id : expired) {
         const auto found = m_jobs.find(id);
         if (found == m_jobs.end()) {
             continue;
         }
-        job &one = found->second;
-        if (one.startedAt != millis{}) {
-            cancelJob(one);
+        request_job &job = found->second;
+        if (job.startedAt != millis{}) {
+            cancelJob(job);
             continue;
         }
-        owned &server = m_servers.at(one.request.server);
-        const job late = one;
-        dequeue(server, late);
+        owned_server &server = m_servers.at(job.request.server);
+        const request_job expiredJob = job;
+        dequeue(server, expiredJob);
         m_jobs.erase(id);
-        const bool forLoad = !server.adapters[late.request.adapter].resident;
-        run_end answer{id, outcome::NotRun, error_kind::DeadlineTooShort,
+        const bool forLoad = !server.adapters[expiredJob.request.adapter].resident;
+        run_end runEnd{id, outcome::NotRun, error_kind::DeadlineTooShort,
             forLoad ? "still waiting for the adapter's load" : "still waiting for a place in the batch"};
-        const double queueMs = std::max(server.loadMs, server.serviceMs);
-        answer.retryAfterMs = std::max(shortestRetryMs, static_cast<std::int64_t>(queueMs));
-        answer.hint = hintOf(server);
-        answerEnd(late, answer);
+        const double queueMs = std::max(server.meanLoadMs, server.meanServiceMs);
+        runEnd.retryAfterMs = std::max(minRetryAfterMs, static_cast<std::int64_t>(queueMs));
+        runEnd.hint = hintOf(server);
+        sendRunEnd(expiredJob, runEnd);
     }
 }
 
-void owner_task::drained()
+void owner_task::checkDrained()
 {
-    const bool quiet = m_leavingSoon && m_jobs.empty() && m_lingering.empty()
+    const bool isIdle = m_isDraining && m_jobs.empty() && m_awaitingEngineEnd.empty()
         && std::none_of(m_servers.begin(), m_servers.end(), [](const auto &entry) {
-               return entry.second.held;
+               return entry.second.isOwned;
            });
-    if (quiet && !m_drainedSaid) {
-        m_drainedSaid = true;
+    if (isIdle && !m_drainedPosted) {
+        m_drainedPosted = true;
         m_bus.post(owner_drained{});
     }
 }
--- a/packages/coordination/quota_bucket.h
+++ b/packages/coordination/quota_bucket.h
@@ -10,7 +10,7 @@
 struct quota_bucket
 {
     double level = 0;
-    millis filled;
+    millis filledAt;
 };
 
 /// Lets the time up to `now` flow in, at `rate` units a second up to `depth`. What lies above a smaller depth
@@ -18,9 +18,9 @@
 inline void fill(quota_bucket &bucket, double rate, double depth, millis now)
 {
     constexpr double msPerSecond = 1'000;
-    const auto span = static_cast<double>(std::max<std::int64_t>((now - bucket.filled).count, 0));
-    bucket.level = std::min(bucket.level + rate * span / msPerSecond, depth);
-    bucket.filled = std::max(bucket.filled, now);
+    const auto elapsedMs = static_cast<double>(std::max<std::int64_t>((now - bucket.filledAt).count, 0));
+    bucket.level = std::min(bucket.level + rate * elapsedMs / msPerSecond, depth);
+    bucket.filledAt = std::max(bucket.filledAt, now);
 }
 
 }
--- a/packages/coordination/quota_client.cpp
+++ b/packages/coordination/quota_client.cpp
@@ -10,164 +10,169 @@
 
 /// Demand is averaged over about so many requests, within bounds: where they are many, clients that move are
 /// felt within a second; where they are few, a chance gap is not taken for an end.
-constexpr double demandRequests = 8;
-constexpr double demandSpanLeastMs = 500;
-constexpr double demandSpanMostMs = 4'000;
+constexpr double demandWindowRequests = 8;
+constexpr double minDemandWindowMs = 500;
+constexpr double maxDemandWindowMs = 4'000;
 /// The home is told early of demand that has changed by so much, up or down.
-constexpr double demandChange = 2.5;
-constexpr millis askEarlyAfter{200};
-/// Without a request for so many usual gaps between two, its callers have gone elsewhere. By chance one gap
+constexpr double demandChangeFactor = 2.5;
+constexpr millis minEarlyRequestGap{200};
+/// Without a request for so many usual gaps between two, its callers have gone elsewhere. By chance state gap
 /// in 1,100 is as long.
-constexpr double gapsToIdle = 7;
+constexpr double idleAfterGaps = 7;
 /// Fewer requests a second are no demand worth a part.
-constexpr double leastRequests = 0.1;
-constexpr double costWeight = 0.1; ///< of the latest request in the usual cost
+constexpr double minRequestsPerSecond = 0.1;
+constexpr double newestCostWeight = 0.1; ///< of the latest request in the usual cost
 /// After so many asks without an answer callers wait no more.
-constexpr int missesMost = 2;
-constexpr millis askAgainAfter{400};
+constexpr int maxMissedResponses = 2;
+constexpr millis retryRequestAfter{400};
 /// Asks for which nobody waits: a home that serves a thousand daemons hears some hundred asks a second.
-constexpr millis askEvery{1'000};
-constexpr double askEveryPerDaemonMs = 2;
+constexpr millis requestInterval{1'000};
+constexpr double requestIntervalPerDaemonMs = 2;
 /// Where a daemon holds nothing, it only has to stay in contact; a part's life is five times as long. In a
 /// fleet of hundreds most daemons have no callers of most accounts.
-constexpr millis askIdleEvery{4'000};
+constexpr millis idleRequestInterval{4'000};
 /// A part that became much smaller is free for others once the home knows that this daemon goes by it.
-constexpr double confirmBelow = 0.7;
-constexpr millis confirmAfter{100};
-constexpr millis greetEvery{40};
-constexpr int greetingsFirst = 3;
+constexpr double confirmDropRatio = 0.7;
+constexpr millis confirmDelay{100};
+constexpr millis handshakeInterval{40};
+constexpr int handshakeCount = 3;
 /// How long a caller waits for a home to be known.
-constexpr millis homePatience{300};
-constexpr millis leastRoomWait{20};
-constexpr millis mostRoomWait{1'000};
+constexpr millis homeDiscoveryTimeout{300};
+constexpr millis minRetryAfter{20};
+constexpr millis maxRetryAfter{1'000};
 /// An ask and its answer fit into a datagram.
-constexpr std::size_t wantsMost = 500;
-constexpr double unitsLeast = 1e-6; ///< rounding
+constexpr std::size_t maxWantsPerRequest = 500;
+constexpr double roundingUnits = 1e-6; ///< rounding
 constexpr double msPerSecond = 1'000;
 
 /// When a daemon that hears nothing from its home begins to use its equal part: all that it held has run out.
-std::optional<millis> aloneFrom(const quota_desk &desk, const desk_shard &shard)
+std::optional<millis> fallbackFrom(const quota_client &client, const quota_client_shard &shard)
 {
-    return shard.contact ? std::optional(*shard.contact + desk.plan.aloneAfter) : std::nullopt;
+    return shard.lastContact ? std::optional(*shard.lastContact + client.plan.fallbackAfter) : std::nullopt;
 }
 
-bool isAlone(const quota_desk &desk, const desk_shard &shard, millis now)
+bool isDisconnected(const quota_client &client, const quota_client_shard &shard, millis now)
 {
-    const auto from = aloneFrom(desk, shard);
+    const auto from = fallbackFrom(client, shard);
     return from && now >= *from;
 }
 
 /// Guards against: a daemon that stood still, or lost its home, goes on with a part that the home has given
 /// to others. It shows as an account over its limit after a freeze or a cut. Holds because each use of a
 /// bucket first lets the part run out by the clock that also runs while the machine is suspended.
-void settle(const quota_desk &desk, desk_account &account, const desk_shard &shard, millis now)
+void updateBucket(
+    const quota_client &client, quota_client_account &account, const quota_client_shard &shard, millis now)
 {
     const auto fillAt = [&account](double share, millis until) {
         fill(account.bucket, share * account.limit.rate, share * account.limit.burst, until);
     };
-    if (account.part > 0 && account.partUntil <= now) {
-        fillAt(account.part, account.partUntil);
-        account.part = 0;
+    if (account.share > 0 && account.shareUntil <= now) {
+        fillAt(account.share, account.shareUntil);
+        account.share = 0;
     }
-    if (isAlone(desk, shard, now)) {
-        account.bucket.filled = std::max(account.bucket.filled, *aloneFrom(desk, shard));
-        fillAt(shard.alone, now);
+    if (isDisconnected(client, shard, now)) {
+        account.bucket.filledAt = std::max(account.bucket.filledAt, *fallbackFrom(client, shard));
+        fillAt(shard.fallbackShare, now);
     } else {
-        fillAt(account.part, now);
+        fillAt(account.share, now);
     }
 }
 
-double demandSpan(const desk_account &account)
+double demandWindowMs(const quota_client_account &account)
 {
-    const double span =
-        account.demand > 0 ? demandRequests * account.cost * msPerSecond / account.demand : demandSpanMostMs;
-    return std::clamp(span, demandSpanLeastMs, demandSpanMostMs);
+    const double windowMs = account.demand > 0
+        ? demandWindowRequests * account.meanCost * msPerSecond / account.demand
+        : maxDemandWindowMs;
+    return std::clamp(windowMs, minDemandWindowMs, maxDemandWindowMs);
 }
 
-double demandNow(const desk_account &account, millis now)
+double currentDemand(const quota_client_account &account, millis now)
 {
-    const auto age = static_cast<double>((now - account.demandAt).count);
-    if (age * account.demand > gapsToIdle * account.cost * msPerSecond) {
+    const auto age = static_cast<double>((now - account.demandUpdatedAt).count);
+    if (age * account.demand > idleAfterGaps * account.meanCost * msPerSecond) {
         return 0;
     }
-    return account.demand * std::exp(-age / demandSpan(account));
+    return account.demand * std::exp(-age / demandWindowMs(account));
 }
 
-void noteDemand(desk_account &account, double cost, millis now)
+void recordDemand(quota_client_account &account, double cost, millis now)
 {
-    account.cost = account.cost == 0 ? cost : account.cost + costWeight * (cost - account.cost);
-    const double span = demandSpan(account);
-    account.demand = demandNow(account, now) + cost * msPerSecond / span;
-    account.demandAt = now;
+    account.meanCost =
+        account.meanCost == 0 ? cost : account.meanCost + newestCostWeight * (cost - account.meanCost);
+    const double windowMs = demandWindowMs(account);
+    account.demand = currentDemand(account, now) + cost * msPerSecond / windowMs;
+    account.demandUpdatedAt = now;
 }
 
 /// Whether the home goes by a demand that is far from what it is now.
-bool hasChanged(const desk_account &account, millis now)
+bool demandChanged(const quota_client_account &account, millis now)
 {
-    const double demand = demandNow(account, now);
-    return demand * demandChange < account.demandTold || demand > account.demandTold * demandChange;
+    const double demand = currentDemand(account, now);
+    return demand * demandChangeFactor < account.reportedDemand
+        || demand > account.reportedDemand * demandChangeFactor;
 }
 
-/// Whether its demand here may deserve a part, one whose bucket can hold a request; the home knows whether.
-bool wantsPart(const quota_desk &desk, const desk_account &account, millis now)
+/// Whether its demand here may deserve a part, state whose bucket can hold a request; the home knows whether.
+bool wantsShare(const quota_client &client, const quota_client_account &account, millis now)
 {
-    const bool fits = desk.plan.heldByOne * account.limit.burst >= account.cost;
-    return fits && demandNow(account, now) >= leastRequests * account.cost;
+    const bool fits = client.plan.maxDaemonShare * account.limit.burst >= account.meanCost;
+    return fits && currentDemand(account, now) >= minRequestsPerSecond * account.meanCost;
 }
 
 /// When a request of that cost would find room here, or at the home.
-millis roomAfter(
-    const quota_desk &desk, const desk_account &account, std::uint64_t hash, double cost, millis now)
+millis retryDelay(const quota_client &client, const quota_client_account &account, std::uint64_t hash,
+    double cost, millis now)
 {
-    const double rate = shareHere(desk, hash, now) * account.limit.rate;
-    const double lacks = std::max(cost - account.bucket.level, 0.0);
-    millis here = mostRoomWait;
+    const double rate = localShare(client, hash, now) * account.limit.rate;
+    const double missing = std::max(cost - account.bucket.level, 0.0);
+    millis localWait = maxRetryAfter;
     if (rate > 0) {
-        const double span = std::min(lacks * msPerSecond / rate, static_cast<double>(mostRoomWait.count));
-        here = {static_cast<std::int64_t>(span)};
+        const double waitMs =
+            std::min(missing * msPerSecond / rate, static_cast<double>(maxRetryAfter.count));
+        localWait = {static_cast<std::int64_t>(waitMs)};
     }
-    const millis atHome = account.noRoomUntil > now ? account.noRoomUntil - now : here;
-    return std::max(leastRoomWait, std::min(here, atHome));
+    const millis homeWait = account.exhaustedUntil > now ? account.exhaustedUntil - now : localWait;
+    return std::max(minRetryAfter, std::min(localWait, homeWait));
 }
 
 /// The callers that what is here reaches for, in the order in which they came.
-void serveWaiting(desk_account &account, double &extra, std::vector<quota_settled> &out)
+void serveWaiting(quota_client_account &account, double &extra, std::vector<resolved_waiter> &resolved)
 {
     while (!account.waiting.empty()) {
-        const desk_account::waiter &next = account.waiting.front();
-        if (account.bucket.level + extra + unitsLeast < next.cost) {
+        const quota_client_account::waiter &next = account.waiting.front();
+        if (account.bucket.level + extra + roundingUnits < next.cost) {
             return;
         }
         const double fromExtra = std::min(extra, next.cost);
         extra -= fromExtra;
         account.bucket.level -= next.cost - fromExtra;
-        out.push_back({next.id, {quota_verdict::Granted, {}}});
+        resolved.push_back({next.id, {quota_result::Granted, {}}});
         account.waiting.pop_front();
     }
 }
 
-void refuseWaiting(const quota_desk &desk, desk_account &account, std::uint64_t hash, quota_verdict verdict,
-    millis now, std::vector<quota_settled> &out)
+void refuseWaiting(const quota_client &client, quota_client_account &account, std::uint64_t hash,
+    quota_result result, millis now, std::vector<resolved_waiter> &resolved)
 {
-    for (const desk_account::waiter &each : account.waiting) {
-        out.push_back({each.id, {verdict, roomAfter(desk, account, hash, each.cost, now)}});
+    for (const quota_client_account::waiter &each : account.waiting) {
+        resolved.push_back({each.id, {result, retryDelay(client, account, hash, each.cost, now)}});
     }
     account.waiting.clear();
 }
 
-quota_want wantOf(desk_account &account, std::uint64_t hash, millis now)
+quota_want makeWant(quota_client_account &account, std::uint64_t hash, millis now)
 {
     quota_want want{hash, 0, 0, 0, 0, 0, 0};
-    account.demandTold = demandNow(account, now);
-    want.demandMilli = toMilli(account.demandTold);
-    want.costMilli = toMilli(account.cost);
-    account.heldTold = account.part;
-    want.heldPpm = toPpm(account.part);
-    want.unusedMilli = toMilli(std::exchange(account.unused, 0));
-    account.needAsked = !account.waiting.empty();
-    if (account.needAsked) {
+    account.reportedDemand = currentDemand(account, now);
+    want.demandMilli = toMilli(account.reportedDemand);
+    want.costMilli = toMilli(account.meanCost);
+    account.reportedShare = account.share;
+    want.heldPpm = toPpm(account.share);
+    want.unusedMilli = toMilli(std::exchange(account.unusedUnits, 0));
+    account.needRequested = !account.waiting.empty();
+    if (account.needRequested) {
         double need = -account.bucket.level;
-        for (const desk_account::waiter &each : account.waiting) {
+        for (const quota_client_account::waiter &each : account.waiting) {
             need += each.cost;
         }
         want.needMilli = toMilli(need) + 1; // rounded up
@@ -177,265 +182,268 @@
 }
 
 /// Uses its part no more, before the home is told.
-void leavePart(desk_account &account)
+void dropShare(quota_client_account &account)
 {
-    account.part = 0;
+    account.share = 0;
     account.bucket.level = std::min(account.bucket.level, 0.0);
 }
 
 /// Whether somebody waits for the home's word on an account.
-bool isWanted(const desk_account &account)
+bool hasWaiters(const quota_client_account &account)
 {
     return !account.waiting.empty();
 }
 
 /// The wants of a shard: of those that somebody waits for, or of all there is to say.
-std::vector<quota_want> wantsOf(quota_desk &desk, std::uint32_t index, bool all, millis now)
+std::vector<quota_want> wantsOf(quota_client &client, std::uint32_t index, bool all, millis now)
 {
     std::vector<quota_want> wants;
-    for (auto &[hash, account] : desk.accounts) {
+    for (auto &[hash, account] : client.accounts) {
         if (shardOf(hash) != index) {
             continue;
         }
-        settle(desk, account, desk.shards[index], now);
-        const bool answered = desk.shards[index].missed == 0; // else nobody could give it back
-        if (answered && account.waiting.empty() && demandNow(account, now) == 0) {
-            leavePart(account); // at once, not a round later
+        updateBucket(client, account, client.shards[index], now);
+        const bool answered = client.shards[index].missedResponses == 0; // else nobody could give it back
+        if (answered && account.waiting.empty() && currentDemand(account, now) == 0) {
+            dropShare(account); // at once, not a round later
         }
-        const bool left = account.heldTold > 0 && account.part == 0;
-        const bool tells = account.part > 0 || left || account.unused >= 1 || wantsPart(desk, account, now);
-        if (!isWanted(account) && !(all && tells)) {
+        const bool shareDropped = account.reportedShare > 0 && account.share == 0;
+        const bool reportable =
+            account.share > 0 || shareDropped || account.unusedUnits >= 1 || wantsShare(client, account, now);
+        if (!hasWaiters(account) && !(all && reportable)) {
             continue;
         }
-        if (wants.size() >= wantsMost) {
-            leavePart(account); // the home must not be left to guess
+        if (wants.size() >= maxWantsPerRequest) {
+            dropShare(account); // the home must not be left to guess
             continue;
         }
-        wants.push_back(wantOf(account, hash, now));
+        wants.push_back(makeWant(account, hash, now));
     }
     return wants;
 }
 
 /// Accounts that nobody has asked for lately.
-void dropIdle(quota_desk &desk, millis now)
+void removeIdleAccounts(quota_client &client, millis now)
 {
-    std::erase_if(desk.accounts, [&desk, now](const auto &each) {
-        const desk_account &account = each.second;
-        return account.waiting.empty() && account.part == 0 && account.unused < 1
-            && now - account.demandAt > desk.plan.partLife;
+    std::erase_if(client.accounts, [&client, now](const auto &each) {
+        const quota_client_account &account = each.second;
+        return account.waiting.empty() && account.share == 0 && account.unusedUnits < 1
+            && now - account.demandUpdatedAt > client.plan.shareLifetime;
     });
 }
 
 }
 
-std::string_view nameOf(quota_verdict value)
+std::string_view nameOf(quota_result value)
 {
     static constexpr std::string_view names[] = {"granted", "waits", "over", "too_large", "home_away"};
     return names[static_cast<std::size_t>(value)];
 }
 
-double shareHere(const quota_desk &desk, std::uint64_t account, millis now)
+double localShare(const quota_client &client, std::uint64_t account, millis now)
 {
-    const desk_shard &shard = desk.shards[shardOf(account)];
-    if (isAlone(desk, shard, now)) {
-        return shard.alone;
+    const quota_client_shard &shard = client.shards[shardOf(account)];
+    if (isDisconnected(client, shard, now)) {
+        return shard.fallbackShare;
     }
-    const auto found = desk.accounts.find(account);
-    const bool holds = found != desk.accounts.end() && found->second.partUntil > now;
-    return holds ? found->second.part : 0;
+    const auto found = client.accounts.find(account);
+    const bool holds = found != client.accounts.end() && found->second.shareUntil > now;
+    return holds ? found->second.share : 0;
 }
 
-quota_decision takeUnits(quota_desk &desk, std::uint64_t account, const quota_limit &limit, std::uint64_t id,
-    double cost, millis now)
+quota_decision acquireUnits(quota_client &client, std::uint64_t account, const quota_limit &limit,
+    std::uint64_t id, double cost, millis now)
 {
-    if (cost > limit.burst + mostDebt(limit, desk.rules)) {
-        return {quota_verdict::TooLarge, {}};
+    if (cost > limit.burst + maxDebt(limit, client.rules)) {
+        return {quota_result::TooLarge, {}};
     }
-    desk_account &one = desk.accounts[account];
-    desk_shard &shard = desk.shards[shardOf(account)];
-    one.limit = limit;
-    settle(desk, one, shard, now);
-    noteDemand(one, cost, now);
-    if (one.waiting.empty() && one.bucket.level + unitsLeast >= cost) {
-        one.bucket.level -= cost;
-        return {quota_verdict::Granted, {}};
+    quota_client_account &state = client.accounts[account];
+    quota_client_shard &shard = client.shards[shardOf(account)];
+    state.limit = limit;
+    updateBucket(client, state, shard, now);
+    recordDemand(state, cost, now);
+    if (state.waiting.empty() && state.bucket.level + roundingUnits >= cost) {
+        state.bucket.level -= cost;
+        return {quota_result::Granted, {}};
     }
-    if (one.noRoomUntil > now) {
-        return {quota_verdict::Over, roomAfter(desk, one, account, cost, now)};
+    if (state.exhaustedUntil > now) {
+        return {quota_result::LimitReached, retryDelay(client, state, account, cost, now)};
     }
-    if (shard.missed >= missesMost) {
-        return {quota_verdict::HomeAway, roomAfter(desk, one, account, cost, now)};
+    if (shard.missedResponses >= maxMissedResponses) {
+        return {quota_result::HomeUnavailable, retryDelay(client, state, account, cost, now)};
     }
-    one.waiting.push_back({id, cost, now});
-    return {quota_verdict::Waits, {}};
+    state.waiting.push_back({id, cost, now});
+    return {quota_result::Pending, {}};
 }
 
-void dropWaiter(quota_desk &desk, std::uint64_t account, std::uint64_t id)
+void cancelWaiter(quota_client &client, std::uint64_t account, std::uint64_t id)
 {
-    const auto found = desk.accounts.find(account);
-    if (found != desk.accounts.end()) {
-        std::erase_if(found->second.waiting, [id](const desk_account::waiter &each) {
+    const auto found = client.accounts.find(account);
+    if (found != client.accounts.end()) {
+        std::erase_if(found->second.waiting, [id](const quota_client_account::waiter &each) {
             return each.id == id;
         });
     }
 }
 
-void returnUnits(quota_desk &desk, std::uint64_t account, double cost, millis now)
+void returnUnits(quota_client &client, std::uint64_t account, double cost, millis now)
 {
-    const auto found = desk.accounts.find(account);
-    if (found == desk.accounts.end()) {
+    const auto found = client.accounts.find(account);
+    if (found == client.accounts.end()) {
         return;
     }
-    desk_account &one = found->second;
-    settle(desk, one, desk.shards[shardOf(account)], now);
-    const double depth = shareHere(desk, account, now) * one.limit.burst;
-    const double fits = std::clamp(depth - one.bucket.level, 0.0, cost);
-    one.bucket.level += fits;
-    one.unused += cost - fits;
+    quota_client_account &state = found->second;
+    updateBucket(client, state, client.shards[shardOf(account)], now);
+    const double depth = localShare(client, account, now) * state.limit.burst;
+    const double fits = std::clamp(depth - state.bucket.level, 0.0, cost);
+    state.bucket.level += fits;
+    state.unusedUnits += cost - fits;
 }
 
-void setHome(quota_desk &desk, std::uint32_t shard, const std::string &home, std::int64_t term, millis now)
+void setHome(
+    quota_client &client, std::uint32_t shard, const std::string &home, std::int64_t term, millis now)
 {
-    desk_shard &one = desk.shards[shard];
-    if (one.home == home && one.homeTerm == term) {
+    quota_client_shard &state = client.shards[shard];
+    if (state.home == home && state.homeTerm == term) {
         return;
     }
-    one.home = home;
-    one.homeTerm = term;
-    one.heardAll = false;
-    one.open = false;
-    one.missed = 0;
-    one.greetings = greetingsFirst;
-    one.askAt = now;
+    state.home = home;
+    state.homeTerm = term;
+    state.fullyReported = false;
+    state.requestPending = false;
+    state.missedResponses = 0;
+    state.handshakesLeft = handshakeCount;
+    state.nextRequestAt = now;
 }
 
-std::vector<addressed_ask> asksDue(quota_desk &desk, std::size_t daemons, millis now)
+std::vector<addressed_request> dueRequests(quota_client &client, std::size_t daemons, millis now)
 {
-    dropIdle(desk, now);
-    std::vector<addressed_ask> out;
-    const millis every = std::max(
-        askEvery, millis{static_cast<std::int64_t>(askEveryPerDaemonMs * static_cast<double>(daemons))});
-    std::array<bool, quotaShards> wanted{};
+    removeIdleAccounts(client, now);
+    std::vector<addressed_request> requests;
+    const millis every = std::max(requestInterval,
+        millis{static_cast<std::int64_t>(requestIntervalPerDaemonMs * static_cast<double>(daemons))});
+    std::array<bool, quotaShards> hasWaitersIn{};
     std::array<bool, quotaShards> changed{};
     std::array<bool, quotaShards> holds{};
-    for (const auto &[hash, account] : desk.accounts) {
+    for (const auto &[hash, account] : client.accounts) {
         const std::uint32_t shard = shardOf(hash);
-        wanted[shard] = wanted[shard] || isWanted(account);
-        const bool matters = account.part > 0 || wantsPart(desk, account, now);
-        holds[shard] = holds[shard] || matters;
-        changed[shard] = changed[shard] || (matters && hasChanged(account, now));
+        hasWaitersIn[shard] = hasWaitersIn[shard] || hasWaiters(account);
+        const bool relevant = account.share > 0 || wantsShare(client, account, now);
+        holds[shard] = holds[shard] || relevant;
+        changed[shard] = changed[shard] || (relevant && demandChanged(account, now));
     }
     for (std::uint32_t i = 0; i < quotaShards; ++i) {
-        desk_shard &shard = desk.shards[i];
-        if (shard.open && now - shard.sentAt > answerLife) {
-            shard.open = false;
-            ++shard.missed;
-            shard.askAt = now + (shard.missed < missesMost ? millis{} : askAgainAfter);
+        quota_client_shard &shard = client.shards[i];
+        if (shard.requestPending && now - shard.sentAt > quotaResponseTimeout) {
+            shard.requestPending = false;
+            ++shard.missedResponses;
+            shard.nextRequestAt =
+                now + (shard.missedResponses < maxMissedResponses ? millis{} : retryRequestAfter);
         }
-        const bool early = changed[i] && now - shard.sentAt >= askEarlyAfter;
-        const bool due = now >= shard.askAt || early;
-        const bool urgent = wanted[i] && shard.missed < missesMost;
-        if (shard.home.empty() || shard.open || !(due || urgent)) {
+        const bool early = changed[i] && now - shard.sentAt >= minEarlyRequestGap;
+        const bool due = now >= shard.nextRequestAt || early;
+        const bool urgent = hasWaitersIn[i] && shard.missedResponses < maxMissedResponses;
+        if (shard.home.empty() || shard.requestPending || !(due || urgent)) {
             continue;
         }
-        quota_ask ask{i, ++shard.round, shard.answered, toPpm(shard.alone), {}};
-        ask.wants = wantsOf(desk, i, due || !shard.heardAll, now);
-        shard.open = true;
+        quota_ask ask{i, ++shard.round, shard.answeredRound, toPpm(shard.fallbackShare), {}};
+        ask.wants = wantsOf(client, i, due || !shard.fullyReported, now);
+        shard.requestPending = true;
         shard.sentAt = now;
         if (due) {
-            shard.greetings = std::max(shard.greetings - 1, 0);
-            const millis usual = holds[i] ? every : std::max(every, askIdleEvery);
-            shard.askAt = now + (shard.greetings > 0 ? greetEvery : usual);
+            shard.handshakesLeft = std::max(shard.handshakesLeft - 1, 0);
+            const millis usual = holds[i] ? every : std::max(every, idleRequestInterval);
+            shard.nextRequestAt = now + (shard.handshakesLeft > 0 ? handshakeInterval : usual);
         }
-        out.push_back({shard.home, std::move(ask)});
+        requests.push_back({shard.home, std::move(ask)});
     }
-    return out;
+    return requests;
 }
 
-std::vector<quota_settled> takeAnswer(quota_desk &desk, const quota_answer &answer, millis now)
+std::vector<resolved_waiter> applyResponse(quota_client &client, const quota_answer &answer, millis now)
 {
-    std::vector<quota_settled> out;
+    std::vector<resolved_waiter> resolved;
     if (answer.shard >= quotaShards) {
-        return out;
+        return resolved;
     }
-    desk_shard &shard = desk.shards[answer.shard];
-    if (!shard.open || answer.round != shard.round || now - shard.sentAt > answerLife) {
-        return out; // late or doubled: the home doesn't go by it
+    quota_client_shard &shard = client.shards[answer.shard];
+    if (!shard.requestPending || answer.round != shard.round || now - shard.sentAt > quotaResponseTimeout) {
+        return resolved; // late or doubled: the home doesn't go by it
     }
     for (const quota_give &give : answer.gives) {
-        if (const auto found = desk.accounts.find(give.account); found != desk.accounts.end()) {
-            settle(desk, found->second, shard, now);
+        if (const auto found = client.accounts.find(give.account); found != client.accounts.end()) {
+            updateBucket(client, found->second, shard, now);
         }
     }
-    shard.open = false;
-    shard.missed = 0;
-    shard.heardAll = true;
-    shard.answered = answer.round;
-    shard.contact = shard.sentAt;
-    shard.alone = fromPpm(answer.alonePpm);
+    shard.requestPending = false;
+    shard.missedResponses = 0;
+    shard.fullyReported = true;
+    shard.answeredRound = answer.round;
+    shard.lastContact = shard.sentAt;
+    shard.fallbackShare = fromPpm(answer.alonePpm);
     for (const quota_give &give : answer.gives) {
-        const auto found = desk.accounts.find(give.account);
-        if (found == desk.accounts.end()) {
+        const auto found = client.accounts.find(give.account);
+        if (found == client.accounts.end()) {
             continue;
         }
-        desk_account &account = found->second;
-        const double part = fromPpm(give.partPpm);
-        if (part < account.part * confirmBelow) {
-            shard.askAt = std::min(shard.askAt, now + confirmAfter);
+        quota_client_account &account = found->second;
+        const double share = fromPpm(give.partPpm);
+        if (share < account.share * confirmDropRatio) {
+            shard.nextRequestAt = std::min(shard.nextRequestAt, now + confirmDelay);
         }
-        account.part = part;
-        account.partUntil = shard.sentAt + desk.plan.partLife;
-        settle(desk, account, shard, now);
+        account.share = share;
+        account.shareUntil = shard.sentAt + client.plan.shareLifetime;
+        updateBucket(client, account, shard, now);
         double extra = fromMilli(give.unitsMilli);
-        serveWaiting(account, extra, out);
-        const double depth = account.part * account.limit.burst;
+        serveWaiting(account, extra, resolved);
+        const double depth = account.share * account.limit.burst;
         const double fits = std::clamp(depth - account.bucket.level, 0.0, extra);
         account.bucket.level += fits;
-        account.unused += extra - fits;
+        account.unusedUnits += extra - fits;
         if (give.roomMs > 0) {
-            account.noRoomUntil = now + std::clamp(millis{give.roomMs}, leastRoomWait, mostRoomWait);
-            refuseWaiting(desk, account, give.account, quota_verdict::Over, now, out);
-        } else if (give.unitsMilli <= 0 && account.needAsked) {
-            refuseWaiting(desk, account, give.account, quota_verdict::HomeAway, now, out);
+            account.exhaustedUntil = now + std::clamp(millis{give.roomMs}, minRetryAfter, maxRetryAfter);
+            refuseWaiting(client, account, give.account, quota_result::LimitReached, now, resolved);
+        } else if (give.unitsMilli <= 0 && account.needRequested) {
+            refuseWaiting(client, account, give.account, quota_result::HomeUnavailable, now, resolved);
         }
     }
-    return out;
+    return resolved;
 }
 
-std::vector<quota_settled> overdue(quota_desk &desk, millis now)
+std::vector<resolved_waiter> expireWaiters(quota_client &client, millis now)
 {
-    std::vector<quota_settled> out;
-    for (auto &[hash, account] : desk.accounts) {
-        const desk_shard &shard = desk.shards[shardOf(hash)];
-        const bool away = shard.missed >= missesMost
+    std::vector<resolved_waiter> resolved;
+    for (auto &[hash, account] : client.accounts) {
+        const quota_client_shard &shard = client.shards[shardOf(hash)];
+        const bool away = shard.missedResponses >= maxMissedResponses
             || (shard.home.empty() && !account.waiting.empty()
-                && now - account.waiting.front().since >= homePatience);
+                && now - account.waiting.front().arrivedAt >= homeDiscoveryTimeout);
         if (away) {
-            refuseWaiting(desk, account, hash, quota_verdict::HomeAway, now, out);
+            refuseWaiting(client, account, hash, quota_result::HomeUnavailable, now, resolved);
         }
     }
-    return out;
+    return resolved;
 }
 
-std::vector<quota_settled> setLimit(
-    quota_desk &desk, std::uint64_t account, const std::optional<quota_limit> &limit, millis now)
+std::vector<resolved_waiter> setLimit(
+    quota_client &client, std::uint64_t account, const std::optional<quota_limit> &limit, millis now)
 {
-    std::vector<quota_settled> out;
-    const auto found = desk.accounts.find(account);
-    if (found == desk.accounts.end()) {
-        return out;
+    std::vector<resolved_waiter> resolved;
+    const auto found = client.accounts.find(account);
+    if (found == client.accounts.end()) {
+        return resolved;
     }
     if (limit && isLimited(*limit)) {
-        settle(desk, found->second, desk.shards[shardOf(account)], now);
+        updateBucket(client, found->second, client.shards[shardOf(account)], now);
         found->second.limit = *limit;
-        settle(desk, found->second, desk.shards[shardOf(account)], now);
-        return out;
+        updateBucket(client, found->second, client.shards[shardOf(account)], now);
+        return resolved;
     }
-    for (const desk_account::waiter &each : found->second.waiting) {
-        out.push_back({each.id, {quota_verdict::Granted, {}}});
+    for (const quota_client_account::waiter &each : found->second.waiting) {
+        resolved.push_back({each.id, {quota_result::Granted, {}}});
     }
-    desk.accounts.erase(found);
-    return out;
+    client.accounts.erase(found);
+    return resolved;
 }
 
 }
--- a/packages/coordination/quota_home.cpp
+++ b/packages/coordination/quota_home.cpp
@@ -5,182 +5,190 @@
 
 namespace briarhead {
 
-millis givesFrom(const quota_home &home, const quota_plan &plan)
+millis grantsFrom(const quota_home &home, const quota_plan &plan)
 {
-    return home.handedOver ? home.since : home.since + plan.takeoverWait;
+    return home.handedOver ? home.startedAt : home.startedAt + plan.takeoverWait;
 }
 
 namespace {
 
 /// Cut-off daemons are counted anew so often. A daemon that becomes one in between is counted ahead of time.
-constexpr millis surveyEvery{100};
+constexpr millis surveyInterval{100};
 constexpr millis surveyMargin{250};
 /// An answer may be acknowledged by any of the next asks.
-constexpr std::size_t roundsKept = 4;
+constexpr std::size_t maxRecentRounds = 4;
 /// The home keeps so much to give, however much is wanted as parts.
-constexpr double leastGiven = 0.1;
+constexpr double minHomeShare = 0.1;
 /// By then each daemon that lives has been heard.
-constexpr millis learning{1'500};
+constexpr millis learningPeriod{1'500};
 constexpr double msPerSecond = 1'000;
 
 /// What a daemon that is cut off for long may use of each limit.
-double equalPart(const quota_home &home)
+double equalShare(const quota_home &home)
 {
     return 1.0 / static_cast<double>(std::max<std::size_t>(home.fleet.size(), 1));
 }
 
-bool isSilentFor(const quota_member &member, millis span, millis now)
+bool isUnresponsiveFor(const quota_member &member, millis span, millis now)
 {
-    return !member.contact || now + surveyMargin >= *member.contact + span;
+    return !member.lastContact || now + surveyMargin >= *member.lastContact + span;
 }
 
 /// Counts anew which daemons are cut off, and which weren't heard yet: those may still hold what a former
 /// home gave. Says whether either changed.
 bool survey(quota_home &home, const quota_plan &plan, millis now)
 {
-    if (home.surveyed.count != 0 && now - home.surveyed < surveyEvery) {
+    if (home.surveyedAt.count != 0 && now - home.surveyedAt < surveyInterval) {
         return false;
     }
-    home.surveyed = now;
-    home.fading = 0;
-    const double silentBefore = std::exchange(home.silent, 0);
-    const std::size_t unheardBefore = std::exchange(home.unheard, 0);
-    const double equal = equalPart(home);
+    home.surveyedAt = now;
+    home.fallbackReserved = 0;
+    const double fallbackBefore = std::exchange(home.fallbackInUse, 0);
+    const std::size_t unknownBefore = std::exchange(home.unknownDaemons, 0);
+    const double equal = equalShare(home);
     for (const std::string &node : home.fleet) {
         const auto found = home.members.find(node);
         if (found == home.members.end()) {
-            ++home.unheard;
-            home.silent += equal;
-            home.fading += equal;
+            ++home.unknownDaemons;
+            home.fallbackInUse += equal;
+            home.fallbackReserved += equal;
             continue;
         }
         const quota_member &member = found->second;
-        home.silent += isSilentFor(member, plan.aloneAfter, now) ? member.alone : 0;
-        home.fading += isSilentFor(member, plan.fadingAfter, now) ? member.alone : 0;
+        home.fallbackInUse += isUnresponsiveFor(member, plan.fallbackAfter, now) ? member.fallbackShare : 0;
+        home.fallbackReserved +=
+            isUnresponsiveFor(member, plan.fallbackReservedAfter, now) ? member.fallbackShare : 0;
     }
-    if (home.silent < silentBefore || home.unheard < unheardBefore) {
-        home.loosened = now;
+    if (home.fallbackInUse < fallbackBefore || home.unknownDaemons < unknownBefore) {
+        home.usageDecreasedAt = now;
     }
-    return home.silent != silentBefore || home.unheard != unheardBefore;
+    return home.fallbackInUse != fallbackBefore || home.unknownDaemons != unknownBefore;
 }
 
 /// Parts that daemons not heard yet may hold from a former home. They have run out a part's life after the
 /// last one that it can have given.
-double unlearned(const quota_home &home, const quota_plan &plan, const home_account &account, millis now)
+double unknownShares(
+    const quota_home &home, const quota_plan &plan, const quota_home_account &account, millis now)
 {
-    if (now >= givesFrom(home, plan) + plan.partLife) {
+    if (now >= grantsFrom(home, plan) + plan.shareLifetime) {
         return 0;
     }
-    const double most = static_cast<double>(home.unheard) * plan.heldByOne;
-    return std::max(0.0, std::min(plan.held - account.learned, most));
+    const double maxUnknown = static_cast<double>(home.unknownDaemons) * plan.maxDaemonShare;
+    return std::max(0.0, std::min(plan.maxTotalShares - account.learnedShares, maxUnknown));
 }
 
-double heldBy(const home_account &account, millis now)
+double heldShares(const quota_home_account &account, millis now)
 {
     double held = 0;
     for (const auto &[node, holding] : account.holdings) {
-        held += holding.until > now ? holding.part : 0;
+        held += holding.until > now ? holding.share : 0;
     }
     return held;
 }
 
-double homeShare(const quota_home &home, const quota_plan &plan, const home_account &account, millis now)
+double availableShare(
+    const quota_home &home, const quota_plan &plan, const quota_home_account &account, millis now)
 {
-    const double taken = home.silent + unlearned(home, plan, account, now) + heldBy(account, now);
-    return std::max(0.0, 1 - taken);
+    const double inUse =
+        home.fallbackInUse + unknownShares(home, plan, account, now) + heldShares(account, now);
+    return std::max(0.0, 1 - inUse);
 }
 
-bool mayGive(const quota_home &home, const quota_plan &plan, millis now)
+bool mayGrant(const quota_home &home, const quota_plan &plan, millis now)
 {
-    return now >= givesFrom(home, plan);
+    return now >= grantsFrom(home, plan);
 }
 
 /// What flows into an account's bucket from now on.
-void setShare(const quota_home &home, const quota_plan &plan, home_account &account, const quota_limit &limit,
-    millis now)
+void setFillShare(const quota_home &home, const quota_plan &plan, quota_home_account &account,
+    const quota_limit &limit, millis now)
 {
-    account.share = mayGive(home, plan, now) ? homeShare(home, plan, account, now) : 0;
-    fill(account.bucket, 0, account.share * limit.burst, now);
+    account.fillShare = mayGrant(home, plan, now) ? availableShare(home, plan, account, now) : 0;
+    fill(account.bucket, 0, account.fillShare * limit.burst, now);
 }
 
-void fillAccount(home_account &account, const quota_limit &limit, millis now)
+void fillAccount(quota_home_account &account, const quota_limit &limit, millis now)
 {
-    fill(account.bucket, account.share * limit.rate, account.share * limit.burst, now);
+    fill(account.bucket, account.fillShare * limit.rate, account.fillShare * limit.burst, now);
 }
 
 /// Whether the ask is a new one of a process that lives. Notes from when on the daemon has been in contact:
 /// an ask was sent after the answer that it acknowledges, and that answer left here at a known time.
-bool hearRound(quota_home &home, const quota_asker &asker, const quota_ask &ask, bool &first, millis now)
+bool acceptRound(
+    quota_home &home, const quota_requester &requester, const quota_ask &ask, bool &first, millis now)
 {
-    const auto [at, isNew] = home.members.try_emplace(asker.node);
-    quota_member &member = at->second;
+    const auto [entry, isNew] = home.members.try_emplace(requester.node);
+    quota_member &member = entry->second;
     first = isNew;
-    if (member.incarnation != asker.incarnation) {
+    if (member.incarnation != requester.incarnation) {
         // A late message of a process that has ended. The time of its start tells, but for a clock that was
         // set back meanwhile; then its record does.
-        if (!isNew && asker.incarnation < member.incarnation && !asker.recorded) {
+        if (!isNew && requester.incarnation < member.incarnation && !requester.recorded) {
             return false;
         }
         if (!isNew) {
             // One daemon runs under a name at a time: what the one before held went with it.
             for (auto &[hash, account] : home.accounts) {
-                account.holdings.erase(asker.node);
+                account.holdings.erase(requester.node);
             }
         }
-        member.incarnation = asker.incarnation;
-        member.rounds.clear();
-        member.contact.reset();
+        member.incarnation = requester.incarnation;
+        member.recentRounds.clear();
+        member.lastContact.reset();
     }
-    if (!member.rounds.empty() && ask.round <= member.rounds.back().round) {
+    if (!member.recentRounds.empty() && ask.round <= member.recentRounds.back().round) {
         return false;
     }
-    for (const auto &before : member.rounds) {
+    for (const auto &before : member.recentRounds) {
         if (before.round == ask.answered) {
-            member.contact = std::max(member.contact, std::optional(before.heard - answerLife));
+            member.lastContact =
+                std::max(member.lastContact, std::optional(before.receivedAt - quotaResponseTimeout));
         }
     }
-    member.rounds.push_back({ask.round, now});
-    while (member.rounds.size() > roundsKept) {
-        member.rounds.pop_front();
+    member.recentRounds.push_back({ask.round, now});
+    while (member.recentRounds.size() > maxRecentRounds) {
+        member.recentRounds.pop_front();
     }
-    member.alone = std::max(fromPpm(ask.alonePpm), equalPart(home));
+    member.fallbackShare = std::max(fromPpm(ask.alonePpm), equalShare(home));
     return true;
 }
 
 /// The part that a daemon gets, in place of what it holds: by its demand among all, and no more than is free.
 /// All that may be held is dealt out, so that daemons bear a home's end with room to spare.
-double partFor(const quota_home &home, const quota_plan &plan, const home_account &account,
+double shareFor(const quota_home &home, const quota_plan &plan, const quota_home_account &account,
     const quota_limit &limit, const std::string &node, const quota_want &want, millis now)
 {
     const double held = fromPpm(want.heldPpm);
-    if (!mayGive(home, plan, now)) {
+    if (!mayGrant(home, plan, now)) {
         return held; // what is given back now couldn't be dealt out again
     }
-    const double available = std::max(0.0, std::min(plan.held, 1 - home.fading - leastGiven));
-    double demand = 0;
-    double others = 0;
+    const double available =
+        std::max(0.0, std::min(plan.maxTotalShares, 1 - home.fallbackReserved - minHomeShare));
+    double totalDemand = 0;
+    double otherShares = 0;
     for (const auto &[holder, holding] : account.holdings) {
         if (holding.until > now) {
-            demand += holding.demand;
-            others += holder == node ? 0 : holding.part;
+            totalDemand += holding.demand;
+            otherShares += holder == node ? 0 : holding.share;
         }
     }
-    const double own = fromMilli(want.demandMilli);
-    const double fair = demand > 0 ? available * own / demand : 0;
-    const double target = std::min({fair, plan.headroom * own / limit.rate, plan.heldByOne});
-    const double free = available - unlearned(home, plan, account, now) - others - held;
-    if (now < givesFrom(home, plan) + learning) {
+    const double ownDemand = fromMilli(want.demandMilli);
+    const double proportionalShare = totalDemand > 0 ? available * ownDemand / totalDemand : 0;
+    const double target =
+        std::min({proportionalShare, plan.headroom * ownDemand / limit.rate, plan.maxDaemonShare});
+    const double free = available - unknownShares(home, plan, account, now) - otherShares - held;
+    if (now < grantsFrom(home, plan) + learningPeriod) {
         // Who else there is, is not known yet.
         return std::max(held, std::min(target, held + std::max(0.0, free)));
     }
-    const double part = std::max(0.0, std::min(target, held + free));
-    const bool holdsRequest = part * limit.burst >= fromMilli(want.costMilli);
-    return holdsRequest ? part : 0; // a bucket that never holds one is of no use
+    const double share = std::max(0.0, std::min(target, held + free));
+    const bool holdsRequest = share * limit.burst >= fromMilli(want.costMilli);
+    return holdsRequest ? share : 0; // a bucket that never holds one is of no use
 }
 
 /// Takes what callers wait for out of the home's bucket, or says when there may be some.
-void giveUnits(const quota_plan &plan, const quota_rules &rules, const quota_limit &limit,
-    home_account &account, const quota_want &want, quota_give &give)
+void grantUnits(const quota_plan &plan, const quota_rules &rules, const quota_limit &limit,
+    quota_home_account &account, const quota_want &want, quota_give &give)
 {
     const double moved = fromMilli(give.unitsMilli);
     const double need = std::max(0.0, fromMilli(want.needMilli) - moved);
@@ -188,74 +196,77 @@
         return;
     }
     const double first = std::min(std::max(0.0, fromMilli(want.firstMilli) - moved), need);
-    const double debt = mostDebt(limit, rules);
+    const double debt = maxDebt(limit, rules);
     const double room = account.bucket.level >= 0 ? account.bucket.level + debt : 0;
-    if (account.share > 0 && room >= first) {
+    if (account.fillShare > 0 && room >= first) {
         const std::int64_t given = toMilli(std::min(need, room));
         give.unitsMilli += given;
         account.bucket.level -= fromMilli(given);
         return;
     }
-    if (account.share <= 0) {
+    if (account.fillShare <= 0) {
         return; // nothing can be given yet, which says nothing of the limit
     }
-    const double lacks = std::max(-account.bucket.level, first - debt - account.bucket.level);
-    const double span = lacks * msPerSecond / (account.share * limit.rate);
-    give.roomMs = static_cast<std::int64_t>(std::clamp(span, 1.0, static_cast<double>(plan.partLife.count)));
+    const double missing = std::max(-account.bucket.level, first - debt - account.bucket.level);
+    const double waitMs = missing * msPerSecond / (account.fillShare * limit.rate);
+    give.roomMs =
+        static_cast<std::int64_t>(std::clamp(waitMs, 1.0, static_cast<double>(plan.shareLifetime.count)));
 }
 
 /// An account that is asked for the first time had nothing given here since this is its home, so that its
 /// burst is there; but not for times at which daemons may have used more of it than now.
-home_account &accountOf(
+quota_home_account &findOrAddAccount(
     quota_home &home, const quota_plan &plan, const quota_limit &limit, std::uint64_t hash, millis now)
 {
-    const auto [at, isNew] = home.accounts.try_emplace(hash);
-    home_account &account = at->second;
+    const auto [entry, isNew] = home.accounts.try_emplace(hash);
+    quota_home_account &account = entry->second;
     if (isNew) {
-        const millis learned = givesFrom(home, plan) + (home.unheard > 0 ? plan.partLife : millis{});
-        account.bucket.filled = std::min(now, std::max({home.loosened, givesFrom(home, plan), learned}));
-        setShare(home, plan, account, limit, now);
+        const millis learned =
+            grantsFrom(home, plan) + (home.unknownDaemons > 0 ? plan.shareLifetime : millis{});
+        account.bucket.filledAt =
+            std::min(now, std::max({home.usageDecreasedAt, grantsFrom(home, plan), learned}));
+        setFillShare(home, plan, account, limit, now);
     }
     return account;
 }
 
 /// A part brings along what it takes off the bucket here, so that dealing a limit out loses nothing of a
 /// burst.
-void moveLevel(home_account &account, const quota_limit &limit, double growth, quota_give &give)
+void moveUnits(quota_home_account &account, const quota_limit &limit, double growth, quota_give &give)
 {
-    const double above = account.bucket.level - account.share * limit.burst;
-    const double moved = std::min(above, growth * limit.burst);
+    const double excess = account.bucket.level - account.fillShare * limit.burst;
+    const double moved = std::min(excess, growth * limit.burst);
     if (moved > 0) {
         give.unitsMilli += toMilli(moved);
         account.bucket.level -= moved;
     }
 }
 
-quota_give answerWant(quota_home &home, const quota_plan &plan, const quota_rules &rules,
+quota_give handleWant(quota_home &home, const quota_plan &plan, const quota_rules &rules,
     const quota_limit &limit, const std::string &node, const quota_want &want, bool first, millis now)
 {
-    home_account &account = accountOf(home, plan, limit, want.account, now);
+    quota_home_account &account = findOrAddAccount(home, plan, limit, want.account, now);
     fillAccount(account, limit, now);
     const double held = fromPpm(want.heldPpm);
-    account.learned += first ? held : 0;
+    account.learnedShares += first ? held : 0;
     quota_holding &holding = account.holdings[node];
     holding.demand = fromMilli(want.demandMilli);
-    holding.part = held;
-    holding.until = now + plan.partLife;
+    holding.share = held;
+    holding.until = now + plan.shareLifetime;
     quota_give give{want.account, 0, 0, 0};
-    give.partPpm = toPpm(partFor(home, plan, account, limit, node, want, now));
-    holding.part = std::max(held, fromPpm(give.partPpm));
+    give.partPpm = toPpm(shareFor(home, plan, account, limit, node, want, now));
+    holding.share = std::max(held, fromPpm(give.partPpm));
     account.bucket.level += fromMilli(want.unusedMilli);
-    const double growth = holding.part - held;
-    account.share = mayGive(home, plan, now) ? homeShare(home, plan, account, now) : 0;
-    moveLevel(account, limit, growth, give);
-    fill(account.bucket, 0, account.share * limit.burst, now);
-    giveUnits(plan, rules, limit, account, want, give);
+    const double growth = holding.share - held;
+    account.fillShare = mayGrant(home, plan, now) ? availableShare(home, plan, account, now) : 0;
+    moveUnits(account, limit, growth, give);
+    fill(account.bucket, 0, account.fillShare * limit.burst, now);
+    grantUnits(plan, rules, limit, account, want, give);
     return give;
 }
 
 /// Lets what daemons that are cut off use flow into no bucket here, and what they don't use any more.
-void refillAll(quota_home &home, const quota_plan &plan, const limit_lookup &limitOf, millis now)
+void updateAllAccounts(quota_home &home, const quota_plan &plan, const limit_lookup &limitOf, millis now)
 {
     for (auto &[hash, account] : home.accounts) {
         const auto limit = limitOf(hash);
@@ -264,14 +275,15 @@
         }
         // Since the last survey, which is long ago if this process stood still, daemons can have become cut
         // off at any time, but none can have come back unheard.
-        const double before = account.share;
-        account.share = std::min(before, mayGive(home, plan, now) ? homeShare(home, plan, account, now) : 0);
+        const double before = account.fillShare;
+        account.fillShare =
+            std::min(before, mayGrant(home, plan, now) ? availableShare(home, plan, account, now) : 0);
         fillAccount(account, *limit, now);
-        setShare(home, plan, account, *limit, now);
+        setFillShare(home, plan, account, *limit, now);
     }
 }
 
-void dropOver(home_account &account, millis now)
+void removeExpiredHoldings(quota_home_account &account, millis now)
 {
     std::erase_if(account.holdings, [now](const auto &each) {
         return each.second.until <= now;
@@ -280,10 +292,10 @@
 
 }
 
-quota_home beginHome(millis now, bool handedOver)
+quota_home startHome(millis now, bool handedOver)
 {
     quota_home home;
-    home.since = now;
+    home.startedAt = now;
     home.handedOver = handedOver;
     return home;
 }
@@ -293,43 +305,43 @@
     home.fleet = std::move(fleet);
 }
 
-std::optional<quota_answer> answerAsk(quota_home &home, const quota_plan &plan, const quota_rules &rules,
-    const limit_lookup &limitOf, const quota_asker &asker, const quota_ask &ask, millis now)
+std::optional<quota_answer> handleRequest(quota_home &home, const quota_plan &plan, const quota_rules &rules,
+    const limit_lookup &limitOf, const quota_requester &requester, const quota_ask &ask, millis now)
 {
     bool first = false;
-    if (!hearRound(home, asker, ask, first, now)) {
+    if (!acceptRound(home, requester, ask, first, now)) {
         return std::nullopt;
     }
     if (first) {
-        home.surveyed = {}; // one daemon less that is unknown
+        home.surveyedAt = {}; // one daemon less that is unknown
     }
     if (survey(home, plan, now)) {
-        refillAll(home, plan, limitOf, now);
+        updateAllAccounts(home, plan, limitOf, now);
     }
-    quota_answer answer{ask.shard, ask.round, toPpm(equalPart(home)), {}};
+    quota_answer answer{ask.shard, ask.round, toPpm(equalShare(home)), {}};
     for (const quota_want &want : ask.wants) {
         const auto limit = limitOf(want.account);
         if (!limit || !isLimited(*limit)) {
             answer.gives.push_back({want.account, 0, 0, 0});
             continue;
         }
-        answer.gives.push_back(answerWant(home, plan, rules, *limit, asker.node, want, first, now));
-        dropOver(home.accounts[want.account], now);
+        answer.gives.push_back(handleWant(home, plan, rules, *limit, requester.node, want, first, now));
+        removeExpiredHoldings(home.accounts[want.account], now);
     }
     return answer;
 }
 
-double shareOfHome(
+double homeFillShare(
     quota_home &home, const quota_plan &plan, const limit_lookup &limitOf, std::uint64_t account, millis now)
 {
     if (survey(home, plan, now)) {
-        refillAll(home, plan, limitOf, now);
+        updateAllAccounts(home, plan, limitOf, now);
     }
     const auto found = home.accounts.find(account);
-    return found == home.accounts.end() ? 0 : found->second.share;
+    return found == home.accounts.end() ? 0 : found->second.fillShare;
 }
 
-void forgetAccounts(quota_home &home, const limit_lookup &limitOf)
+void removeUnlimitedAccounts(quota_home &home, const limit_lookup &limitOf)
 {
     std::erase_if(home.accounts, [&limitOf](const auto &each) {
         const auto limit = limitOf(each.first);
--- a/packages/coordination/quota_plan.cpp
+++ b/packages/coordination/quota_plan.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr double overageForAge = 0.75;
-constexpr double overageForDebt = 0.25;
-constexpr double slackForDebt = 0.5;
+constexpr double overageShareForAge = 0.75;
+constexpr double overageShareForDebt = 0.25;
+constexpr double slackShareForDebt = 0.5;
 /// Less is no time to find a server in.
-constexpr millis leastLife{100};
+constexpr millis minUnitsLifetime{100};
 constexpr double msPerSecond = 1'000;
 constexpr double milliPerUnit = 1'000;
 constexpr double ppmOfAll = 1'000'000;
-constexpr double mostUnits = 1e12;
+constexpr double maxUnits = 1e12;
 /// So that a whole number that went through a fraction stays itself.
 constexpr double rounding = 1e-6;
 
@@ -24,12 +24,12 @@
 
 std::int64_t toMilli(double units)
 {
-    return static_cast<std::int64_t>(std::clamp(units, 0.0, mostUnits) * milliPerUnit + rounding);
+    return static_cast<std::int64_t>(std::clamp(units, 0.0, maxUnits) * milliPerUnit + rounding);
 }
 
 double fromMilli(std::int64_t milli)
 {
-    return std::clamp(static_cast<double>(milli) / milliPerUnit, 0.0, mostUnits);
+    return std::clamp(static_cast<double>(milli) / milliPerUnit, 0.0, maxUnits);
 }
 
 std::uint32_t toPpm(double fraction)
@@ -52,16 +52,16 @@
     return static_cast<std::uint32_t>(account % quotaShards);
 }
 
-millis unitsLife(const quota_rules &rules)
+millis unitsLifetime(const quota_rules &rules)
 {
-    const double span = overageForAge * rules.overage * static_cast<double>(rules.window.count);
-    return std::max(leastLife, millis{static_cast<std::int64_t>(span)});
+    const double lifetimeMs = overageShareForAge * rules.overage * static_cast<double>(rules.window.count);
+    return std::max(minUnitsLifetime, millis{static_cast<std::int64_t>(lifetimeMs)});
 }
 
-double mostDebt(const quota_limit &limit, const quota_rules &rules)
+double maxDebt(const quota_limit &limit, const quota_rules &rules)
 {
     const double inWindow = limit.rate * static_cast<double>(rules.window.count) / msPerSecond + limit.burst;
-    return overageForDebt * rules.overage * inWindow + slackForDebt * rules.slack;
+    return overageShareForDebt * rules.overage * inWindow + slackShareForDebt * rules.slack;
 }
 
 }
--- a/packages/coordination/quota_task.cpp
+++ b/packages/coordination/quota_task.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 /// How late an ask or a refusal may come that no arrival triggers.
-constexpr millis tickEvery{50};
-constexpr millis claimEvery{500};
+constexpr millis tickInterval{50};
+constexpr millis claimInterval{500};
 /// Some of them may be cut off from the records too.
-constexpr std::size_t successorsTold = 5;
-constexpr std::size_t claimants = 4;
-constexpr millis claimStep{1'000};
+constexpr std::size_t maxSuccessorsNotified = 5;
+constexpr std::size_t maxClaimants = 4;
+constexpr millis claimDelayStep{1'000};
 
 }
 
@@ -25,88 +25,90 @@
     return names[static_cast<std::size_t>(value)];
 }
 
-quota_task::quota_task(loop &eventLoop, quota_links links, const quota_plan &plan, const quota_rules &rules)
+quota_task::quota_task(
+    loop &eventLoop, quota_callbacks callbacks, const quota_plan &plan, const quota_rules &rules)
     : m_loop(eventLoop)
-    , m_links(std::move(links))
+    , m_callbacks(std::move(callbacks))
 {
-    m_desk.plan = plan;
-    m_desk.rules = rules;
-    m_timer = m_loop.timer(tickEvery, tickEvery, [this] {
+    m_client.plan = plan;
+    m_client.rules = rules;
+    m_timer = m_loop.timer(tickInterval, tickInterval, [this] {
         tick();
     });
 }
 
-std::uint64_t quota_task::take(std::uint64_t account, const quota_limit &limit, double cost, on_decision done)
+std::uint64_t quota_task::acquire(
+    std::uint64_t account, const quota_limit &limit, double cost, on_decision done)
 {
-    const std::uint64_t id = ++m_lastWaiting;
-    const quota_decision decision = takeUnits(m_desk, account, limit, id, cost, bootNow());
-    if (decision.verdict != quota_verdict::Waits) {
+    const std::uint64_t id = ++m_lastWaiterId;
+    const quota_decision decision = acquireUnits(m_client, account, limit, id, cost, bootNow());
+    if (decision.result != quota_result::Pending) {
         done(decision);
         return 0;
     }
     m_waiting.emplace(id, std::move(done));
-    sendAsks();
+    sendRequests();
     return m_waiting.count(id) != 0 ? id : 0;
 }
 
-void quota_task::dropTake(std::uint64_t account, std::uint64_t waiting)
+void quota_task::cancelAcquire(std::uint64_t account, std::uint64_t waiting)
 {
     if (m_waiting.erase(waiting) != 0) {
-        dropWaiter(m_desk, account, waiting);
+        cancelWaiter(m_client, account, waiting);
     }
 }
 
-void quota_task::giveBack(std::uint64_t account, double cost)
+void quota_task::releaseUnits(std::uint64_t account, double cost)
 {
-    returnUnits(m_desk, account, cost, bootNow());
+    returnUnits(m_client, account, cost, bootNow());
 }
 
-millis quota_task::unitsLife() const
+millis quota_task::unitsLifetime() const
 {
-    return briarhead::unitsLife(m_desk.rules);
+    return briarhead::unitsLifetime(m_client.rules);
 }
 
-void quota_task::hear(const quota_asker &asker, const quota_ask &ask)
+void quota_task::onRequest(const quota_requester &requester, const quota_ask &ask)
 {
     const auto home = m_homes.find(ask.shard);
-    if (m_stopped || home == m_homes.end() || bootNow() >= m_links.provenUntil()) {
+    if (m_stopped || home == m_homes.end() || bootNow() >= m_callbacks.confirmedUntil()) {
         return;
     }
-    const auto answer =
-        answerAsk(home->second.book, m_desk.plan, m_desk.rules, m_links.limitOf, asker, ask, bootNow());
+    const auto answer = handleRequest(
+        home->second.state, m_client.plan, m_client.rules, m_callbacks.limitOf, requester, ask, bootNow());
     if (answer) {
-        ++m_counters.answers;
-        m_links.answer(asker.node, *answer);
+        ++m_counters.responses;
+        m_callbacks.sendResponse(requester.node, *answer);
     }
 }
 
-void quota_task::hear(const quota_answer &answer)
+void quota_task::onMessage(const quota_answer &answer)
 {
-    settleAll(takeAnswer(m_desk, answer, bootNow()));
-    sendAsks();
+    notifyWaiters(applyResponse(m_client, answer, bootNow()));
+    sendRequests();
 }
 
-void quota_task::hear(const quota_release &release)
+void quota_task::onMessage(const quota_release &release)
 {
-    const auto record = release.shard < quotaShards ? m_links.homeOf(release.shard) : std::nullopt;
-    const bool settled = record && record->settled && record->term == release.term;
-    if (m_stopped || !settled || record->node == m_links.self) {
+    const auto record = release.shard < quotaShards ? m_callbacks.homeOf(release.shard) : std::nullopt;
+    const bool predecessorExpired = record && record->predecessorExpired && record->term == release.term;
+    if (m_stopped || !predecessorExpired || record->node == m_callbacks.self) {
         return;
     }
     m_handedOver[release.shard] = true;
-    m_links.claim(release.shard, true);
+    m_callbacks.claim(release.shard, true);
 }
 
 /// Guards against: a home that starts again while it waits for its predecessor's end, and takes its own
 /// record for a proof that nobody else gives. It would show as an account over its limit. Holds because only
 /// a record that says so is one.
-void quota_task::settleHomes()
+void quota_task::recordPredecessorsExpired()
 {
     for (const auto &[shard, home] : m_homes) {
-        const auto record = m_links.homeOf(shard);
-        const bool gives = bootNow() >= givesFrom(home.book, m_desk.plan);
-        if (gives && record && record->own && !record->settled) {
-            m_links.settle(shard);
+        const auto record = m_callbacks.homeOf(shard);
+        const bool gives = bootNow() >= grantsFrom(home.state, m_client.plan);
+        if (gives && record && record->own && !record->predecessorExpired) {
+            m_callbacks.recordPredecessorExpired(shard);
         }
     }
 }
@@ -117,37 +119,37 @@
 /// successor can take the record that it still has.
 void quota_task::releaseHomes()
 {
-    if (!m_homes.empty() && m_links.cutFromRecords()) {
+    if (!m_homes.empty() && m_callbacks.isDisconnectedFromRecords()) {
         for (const auto &[shard, home] : m_homes) {
-            m_released[shard] = home.term;
-            m_links.log({quota_event::HomeReleased, shard, m_links.self, home.term, false});
+            m_releasedTerms[shard] = home.term;
+            m_callbacks.log({quota_event::HomeReleased, shard, m_callbacks.self, home.term, false});
         }
         m_homes.clear();
     }
-    for (const auto &[shard, term] : m_released) {
-        std::vector<std::string> others = m_links.fleet();
-        std::erase(others, m_links.self);
+    for (const auto &[shard, term] : m_releasedTerms) {
+        std::vector<std::string> others = m_callbacks.fleet();
+        std::erase(others, m_callbacks.self);
         const std::string key = "quota/" + std::to_string(shard);
-        for (const std::string &node : rendezvousOrder(key, others, successorsTold)) {
-            m_links.release(node, {shard, term});
+        for (const std::string &node : rendezvousOrder(key, others, maxSuccessorsNotified)) {
+            m_callbacks.sendRelease(node, {shard, term});
         }
     }
 }
 
-void quota_task::settleAll(const std::vector<quota_settled> &settled)
+void quota_task::notifyWaiters(const std::vector<resolved_waiter> &settled)
 {
-    for (const quota_settled &each : settled) {
+    for (const resolved_waiter &each : settled) {
         if (auto waiting = m_waiting.extract(each.id); !waiting.empty()) {
             waiting.mapped()(each.decision);
         }
     }
 }
 
-void quota_task::sendAsks()
+void quota_task::sendRequests()
 {
-    for (const addressed_ask &each : asksDue(m_desk, m_links.daemons(), bootNow())) {
-        ++m_counters.asks;
-        m_links.ask(each.home, each.ask);
+    for (const addressed_request &each : dueRequests(m_client, m_callbacks.daemons(), bootNow())) {
+        ++m_counters.requests;
+        m_callbacks.sendRequest(each.home, each.ask);
     }
 }
 
@@ -156,70 +158,70 @@
     if (!m_active) {
         return;
     }
-    settleAll(overdue(m_desk, bootNow()));
-    sendAsks();
+    notifyWaiters(expireWaiters(m_client, bootNow()));
+    sendRequests();
     claimVacant();
 }
 
-void quota_task::onLimits(bool any)
+void quota_task::onLimitsChanged(bool any)
 {
     m_active = any;
     const millis now = bootNow();
     std::vector<std::uint64_t> accounts;
-    for (const auto &[hash, account] : m_desk.accounts) {
+    for (const auto &[hash, account] : m_client.accounts) {
         accounts.push_back(hash);
     }
     for (const std::uint64_t hash : accounts) {
-        settleAll(setLimit(m_desk, hash, m_links.limitOf(hash), now));
+        notifyWaiters(setLimit(m_client, hash, m_callbacks.limitOf(hash), now));
     }
     for (auto &[shard, home] : m_homes) {
-        forgetAccounts(home.book, m_links.limitOf);
+        removeUnlimitedAccounts(home.state, m_callbacks.limitOf);
     }
 }
 
-void quota_task::onRecords()
+void quota_task::onRecordsChanged()
 {
     const millis now = bootNow();
-    const std::vector<std::string> fleet = m_links.fleet();
+    const std::vector<std::string> fleet = m_callbacks.fleet();
     for (std::uint32_t shard = 0; shard < quotaShards; ++shard) {
-        const auto record = m_links.homeOf(shard);
-        const auto released = m_released.find(shard);
-        if (released != m_released.end() && (!record || record->term != released->second)) {
-            m_released.erase(shard);
+        const auto record = m_callbacks.homeOf(shard);
+        const auto released = m_releasedTerms.find(shard);
+        if (released != m_releasedTerms.end() && (!record || record->term != released->second)) {
+            m_releasedTerms.erase(shard);
         }
-        const bool mine = record && record->own && !m_stopped && m_released.count(shard) == 0;
+        const bool isOwn = record && record->own && !m_stopped && m_releasedTerms.count(shard) == 0;
         const auto held = m_homes.find(shard);
-        if (held != m_homes.end() && mine && record->settled) {
+        if (held != m_homes.end() && isOwn && record->predecessorExpired) {
             held->second.term =
                 record->term; // this home's own note; nobody else can have been home meanwhile
         }
-        if (held != m_homes.end() && (!mine || held->second.term != record->term)) {
+        if (held != m_homes.end() && (!isOwn || held->second.term != record->term)) {
             m_homes.erase(held);
-            m_links.log({quota_event::HomeLost, shard, record ? record->node : "", 0, false});
+            m_callbacks.log({quota_event::HomeLost, shard, record ? record->node : "", 0, false});
         }
-        if (mine && m_homes.count(shard) == 0) {
+        if (isOwn && m_homes.count(shard) == 0) {
             const bool handedOver = std::exchange(m_handedOver[shard], false);
-            m_homes.emplace(shard, own_home{record->term, beginHome(now, handedOver)});
-            m_links.log({quota_event::HomeTaken, shard, record->node, record->term, handedOver});
+            m_homes.emplace(shard, own_home{record->term, startHome(now, handedOver)});
+            m_callbacks.log({quota_event::HomeAcquired, shard, record->node, record->term, handedOver});
         }
         if (const auto home = m_homes.find(shard); home != m_homes.end()) {
-            setFleet(home->second.book, fleet);
+            setFleet(home->second.state, fleet);
         }
         const std::string node = record ? record->node : "";
-        if (!node.empty() && node != m_desk.shards[shard].home) {
-            m_links.log({quota_event::HomeFound, shard, node, record->term, false});
+        if (!node.empty() && node != m_client.shards[shard].home) {
+            m_callbacks.log({quota_event::HomeFound, shard, node, record->term, false});
         }
-        setHome(m_desk, shard, node, record ? record->term : 0, now);
+        setHome(m_client, shard, node, record ? record->term : 0, now);
     }
 }
 
 /// The first in rendezvous order takes a vacant shard at once; each one behind waits longer, for those before
 /// it may be unable to.
-bool quota_task::isProposed(std::uint32_t shard, millis vacantFor) const
+bool quota_task::mayClaim(std::uint32_t shard, millis vacantFor) const
 {
-    const auto order = rendezvousOrder("quota/" + std::to_string(shard), m_links.live(), claimants);
-    const auto own = std::find(order.begin(), order.end(), m_links.self);
-    return own != order.end() && vacantFor.count >= claimStep.count * (own - order.begin());
+    const auto order = rendezvousOrder("quota/" + std::to_string(shard), m_callbacks.live(), maxClaimants);
+    const auto own = std::find(order.begin(), order.end(), m_callbacks.self);
+    return own != order.end() && vacantFor.count >= claimDelayStep.count * (own - order.begin());
 }
 
 /// A shard without a home is claimed by the daemon that rendezvous hashing proposes; one that this daemon
@@ -227,23 +229,23 @@
 void quota_task::claimVacant()
 {
     const millis now = bootNow();
-    if (m_stopped || now - m_claimedAt < claimEvery) {
+    if (m_stopped || now - m_lastClaimAt < claimInterval) {
         return;
     }
-    m_claimedAt = now;
+    m_lastClaimAt = now;
     releaseHomes();
-    settleHomes();
+    recordPredecessorsExpired();
     for (std::uint32_t shard = 0; shard < quotaShards; ++shard) {
-        const auto record = m_links.homeOf(shard);
-        const bool formerSelf = record && record->node == m_links.self && !record->own;
+        const auto record = m_callbacks.homeOf(shard);
+        const bool formerSelf = record && record->node == m_callbacks.self && !record->own;
         const bool vacant = !record || record->node.empty();
         if (!vacant) {
             m_vacantSince.erase(shard);
         }
         const millis since = vacant ? m_vacantSince.try_emplace(shard, now).first->second : now;
-        if (formerSelf || (vacant && isProposed(shard, now - since))) {
-            m_handedOver[shard] = record && record->settled;
-            m_links.claim(shard, false);
+        if (formerSelf || (vacant && mayClaim(shard, now - since))) {
+            m_handedOver[shard] = record && record->predecessorExpired;
+            m_callbacks.claim(shard, false);
         }
     }
 }
@@ -251,20 +253,20 @@
 void quota_task::stop()
 {
     m_stopped = true;
-    onRecords();
+    onRecordsChanged();
 }
 
-quota_standing quota_task::standing(std::uint64_t account) const
+quota_status quota_task::status(std::uint64_t account) const
 {
     const millis now = bootNow();
-    const desk_shard &shard = m_desk.shards[shardOf(account)];
-    const auto found = m_desk.accounts.find(account);
-    quota_standing out;
-    out.share = shareHere(m_desk, account, now);
-    out.level = found == m_desk.accounts.end() ? 0 : found->second.bucket.level;
-    out.home = shard.home;
-    out.contactAge = shard.contact ? now - *shard.contact : millis{-1};
-    return out;
+    const quota_client_shard &shard = m_client.shards[shardOf(account)];
+    const auto found = m_client.accounts.find(account);
+    quota_status result;
+    result.share = localShare(m_client, account, now);
+    result.level = found == m_client.accounts.end() ? 0 : found->second.bucket.level;
+    result.home = shard.home;
+    result.contactAge = shard.lastContact ? now - *shard.lastContact : millis{-1};
+    return result;
 }
 
 const quota_counters &quota_task::counters() const
--- a/packages/coordination/quota_task.h
+++ b/packages/coordination/quota_task.h
@@ -16,17 +16,17 @@
 namespace briarhead {
 
 /// Who is a shard's home, as recorded where only one daemon at a time can be.
-struct home_record
+struct shard_home
 {
     std::string node; ///< empty: the last one has given it up
     std::int64_t term = 0; ///< differs for each daemon that takes it, each time
     bool own = false; ///< this process took it, and its lease lives
-    bool settled = false; ///< whoever was the home before gives nothing any more
+    bool predecessorExpired = false; ///< whoever was the home before gives nothing any more
 };
 
 enum class quota_event : std::uint8_t
 {
-    HomeTaken, ///< this daemon is a shard's home now
+    HomeAcquired, ///< this daemon is a shard's home now
     HomeLost,
     HomeFound, ///< another daemon is
     HomeReleased, ///< this daemon has stopped being one, for a successor
@@ -35,9 +35,9 @@
 std::string_view nameOf(quota_event value);
 
 /// What the task tells the log.
-struct quota_note
+struct quota_log_entry
 {
-    quota_event event = quota_event::HomeTaken;
+    quota_event event = quota_event::HomeAcquired;
     std::uint32_t shard = 0;
     std::string home;
     std::int64_t term = 0;
@@ -45,38 +45,38 @@
 };
 
 /// The task's ways to the other daemons, to the records and to the log; each daemon program has its own.
-struct quota_links
+struct quota_callbacks
 {
     std::string self;
     std::uint64_t incarnation = 0;
     std::function<std::size_t()> daemons; ///< how many there are
     std::function<std::vector<std::string>()> live; ///< those, which may become a home
     std::function<std::vector<std::string>()> fleet; ///< those and others that may still hold a part
-    std::function<void(const std::string &daemon, const quota_ask &ask)> ask;
-    std::function<void(const std::string &daemon, const quota_answer &answer)> answer;
+    std::function<void(const std::string &daemon, const quota_ask &ask)> sendRequest;
+    std::function<void(const std::string &daemon, const quota_answer &answer)> sendResponse;
     /// Nothing: there is no record.
-    std::function<std::optional<home_record>(std::uint32_t shard)> homeOf;
-    std::function<void(const std::string &daemon, const quota_release &release)> release;
+    std::function<std::optional<shard_home>(std::uint32_t shard)> homeOf;
+    std::function<void(const std::string &daemon, const quota_release &release)> sendRelease;
     /// Takes a shard that has no home, or also one whose home has released it.
     std::function<void(std::uint32_t shard, bool released)> claim;
     /// Records that whoever was the home before gives nothing any more; the term changes with it.
-    std::function<void(std::uint32_t shard)> settle;
+    std::function<void(std::uint32_t shard)> recordPredecessorExpired;
     /// Whether this daemon can't renew its records while others could write them.
-    std::function<bool()> cutFromRecords;
+    std::function<bool()> isDisconnectedFromRecords;
     /// Until when this daemon can prove that its records stand.
-    std::function<millis()> provenUntil;
+    std::function<millis()> confirmedUntil;
     limit_lookup limitOf;
-    std::function<void(const quota_note &note)> log;
+    std::function<void(const quota_log_entry &note)> log;
 };
 
 struct quota_counters
 {
-    std::uint64_t asks = 0;
-    std::uint64_t answers = 0; ///< given as a home
+    std::uint64_t requests = 0;
+    std::uint64_t responses = 0; ///< given as a home
 };
 
 /// What a daemon holds of an account's limit, for log lines.
-struct quota_standing
+struct quota_status
 {
     double share = 0; ///< fraction of the limit
     double level = 0; ///< units in the bucket here
@@ -90,57 +90,57 @@
 public:
     using on_decision = std::function<void(const quota_decision &)>;
 
-    quota_task(loop &eventLoop, quota_links links, const quota_plan &plan, const quota_rules &rules);
+    quota_task(loop &eventLoop, quota_callbacks callbacks, const quota_plan &plan, const quota_rules &rules);
 
-    /// Takes units for a request. `done` may be called from inside. Returns what dropTake() wants while it
-    /// waits; 0: it doesn't.
-    std::uint64_t take(std::uint64_t account, const quota_limit &limit, double cost, on_decision done);
-    void dropTake(std::uint64_t account, std::uint64_t waiting);
+    /// Takes units for a request. `done` may be called from inside. Returns what cancelAcquire() wants while
+    /// it waits; 0: it doesn't.
+    std::uint64_t acquire(std::uint64_t account, const quota_limit &limit, double cost, on_decision done);
+    void cancelAcquire(std::uint64_t account, std::uint64_t waiting);
     /// Units taken for a request which did not run; once for each.
-    void giveBack(std::uint64_t account, double cost);
+    void releaseUnits(std::uint64_t account, double cost);
     /// From the taking of units until they have to be taken anew.
-    millis unitsLife() const;
+    millis unitsLifetime() const;
 
-    void hear(const quota_asker &asker, const quota_ask &ask);
-    void hear(const quota_answer &answer);
-    void hear(const quota_release &release);
+    void onRequest(const quota_requester &requester, const quota_ask &ask);
+    void onMessage(const quota_answer &answer);
+    void onMessage(const quota_release &release);
     /// After a change of the configuration: whether any account has a limit, at all.
-    void onLimits(bool any);
+    void onLimitsChanged(bool any);
     /// After a change of the records or of the fleet.
-    void onRecords();
+    void onRecordsChanged();
     /// Gives nothing as a home any more: the records are about to be given up.
     void stop();
 
-    quota_standing standing(std::uint64_t account) const;
+    quota_status status(std::uint64_t account) const;
     const quota_counters &counters() const;
 
 private:
     struct own_home
     {
         std::int64_t term = 0;
-        quota_home book;
+        quota_home state;
     };
 
     void tick();
-    void sendAsks();
-    void settleAll(const std::vector<quota_settled> &settled);
-    bool isProposed(std::uint32_t shard, millis vacantFor) const;
+    void sendRequests();
+    void notifyWaiters(const std::vector<resolved_waiter> &settled);
+    bool mayClaim(std::uint32_t shard, millis vacantFor) const;
     void claimVacant();
     void releaseHomes();
-    void settleHomes();
+    void recordPredecessorsExpired();
 
     loop &m_loop;
-    quota_links m_links;
-    quota_desk m_desk;
+    quota_callbacks m_callbacks;
+    quota_client m_client;
     std::map<std::uint32_t, own_home> m_homes; ///< by shard
     std::map<std::uint32_t, millis> m_vacantSince; ///< by shard
     std::map<std::uint32_t, bool> m_handedOver; ///< of claims under way
     std::map<std::uint32_t, std::int64_t>
-        m_released; ///< shards, and the terms in which nothing is given any more
+        m_releasedTerms; ///< shards, and the terms in which nothing is given any more
     std::map<std::uint64_t, on_decision> m_waiting;
-    std::uint64_t m_lastWaiting = 0;
+    std::uint64_t m_lastWaiterId = 0;
     quota_counters m_counters;
-    millis m_claimedAt;
+    millis m_lastClaimAt;
     bool m_active = false;
     bool m_stopped = false;
     std::shared_ptr<void> m_timer;
--- a/packages/coordination/replicas.cpp
+++ b/packages/coordination/replicas.cpp
@@ -77,8 +77,8 @@
     return safe < now ? now - 1 : now;
 }
 
-std::vector<std::string> replicaSites(
-    std::string_view adapter, std::span<const replica_site> sites, std::uint32_t count)
+std::vector<std::string> chooseReplicaServers(
+    std::string_view adapter, std::span<const replica_candidate> sites, std::uint32_t count)
 {
     const auto order = rendezvousTop(
         adapter, sites.size(), sites.size(),
--- a/packages/coordination/replicas.h
+++ b/packages/coordination/replicas.h
@@ -27,7 +27,7 @@
 arrival_rate decayed(const arrival_rate &rate, millis now);
 
 /// One candidate server for a replica.
-struct replica_site
+struct replica_candidate
 {
     std::string server;
     std::string failureDomain;
@@ -48,7 +48,7 @@
 
 /// The servers to spread over: rendezvous order on the adapter, the first one first, then those in
 /// failure domains not yet used before others.
-std::vector<std::string> replicaSites(
-    std::string_view adapter, std::span<const replica_site> sites, std::uint32_t count);
+std::vector<std::string> chooseReplicaServers(
+    std::string_view adapter, std::span<const replica_candidate> sites, std::uint32_t count);
 
 }
--- a/packages/coordination/request_fingerprint.cpp
+++ b/packages/coordination/request_fingerprint.cpp
@@ -18,12 +18,12 @@
     }
 };
 
-/// Its length goes first, so that bytes that move from one part to the next change the hash.
-void addPart(XXH3_state_t *state, std::string_view part)
+/// Its length goes first, so that bytes that move from one field to the next change the hash.
+void addField(XXH3_state_t *state, std::string_view field)
 {
-    const std::uint64_t length = part.size();
+    const std::uint64_t length = field.size();
     XXH3_128bits_update(state, &length, sizeof(length));
-    XXH3_128bits_update(state, part.data(), part.size());
+    XXH3_128bits_update(state, field.data(), field.size());
 }
 
 std::string hexOf(const XXH128_hash_t &hash)
@@ -42,13 +42,13 @@
 
 }
 
-std::string fingerprintOf(const repeated_content &content)
+std::string fingerprintOf(const request_content &content)
 {
     const std::unique_ptr<XXH3_state_t, state_freer> state(XXH3_createState());
     XXH3_128bits_reset(state.get());
-    for (const std::string_view part :
+    for (const std::string_view field :
         {content.caller, content.method, content.host, content.target, content.body}) {
-        addPart(state.get(), part);
+        addField(state.get(), field);
     }
     return hexOf(XXH3_128bits_digest(state.get()));
 }
--- a/packages/coordination/retry.cpp
+++ b/packages/coordination/retry.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Whether another server may do better at a request that certainly did not run.
-bool helpsElsewhere(error_kind why)
+bool mayHelpElsewhere(error_kind why)
 {
     switch (why) {
     case error_kind::Overloaded:
@@ -24,19 +24,19 @@
     }
 }
 
-millis pauseOf(std::uint32_t opened)
+millis breakerPause(std::uint32_t consecutiveOpens)
 {
-    std::int64_t pauseMs = breakerFirstMs;
-    for (std::uint32_t i = 1; i < opened && pauseMs < breakerMaxMs; ++i) {
+    std::int64_t pauseMs = minBreakerPauseMs;
+    for (std::uint32_t i = 1; i < consecutiveOpens && pauseMs < maxBreakerPauseMs; ++i) {
         pauseMs *= 2;
     }
-    return {std::min(pauseMs, breakerMaxMs)};
+    return {std::min(pauseMs, maxBreakerPauseMs)};
 }
 
 void openBreaker(breaker &state, millis now)
 {
-    ++state.opened;
-    state.openUntil = now + pauseOf(state.opened);
+    ++state.consecutiveOpens;
+    state.openUntil = now + breakerPause(state.consecutiveOpens);
     state.probing = false;
 }
 
@@ -44,10 +44,10 @@
 
 void countSuccess(retry_budget &budget)
 {
-    budget.tokens = std::min(budget.tokens + retryShare, retryBurst);
+    budget.tokens = std::min(budget.tokens + retryRatio, maxSavedRetries);
 }
 
-bool takeRetry(retry_budget &budget)
+bool spendRetry(retry_budget &budget)
 {
     if (budget.tokens < 1) {
         return false;
@@ -56,9 +56,9 @@
     return true;
 }
 
-retry_decision decideRetry(const attempt_end &end, retry_budget &budget)
+retry_decision decideRetry(const attempt_result &end, retry_budget &budget)
 {
-    if (end.result == outcome::Done || end.bytesToCaller || end.attempts >= maxAttempts
+    if (end.result == outcome::Done || end.responseStarted || end.attempts >= maxAttempts
         || end.deadlineLeft <= millis{0}) {
         return retry_decision::Stop;
     }
@@ -69,23 +69,23 @@
     }
     if (end.result == outcome::NotRun) {
         if (end.why == error_kind::NotOwner) {
-            return retry_decision::SameOwner;
+            return retry_decision::RetryNamedOwner;
         }
-        if (!helpsElsewhere(end.why)) {
+        if (!mayHelpElsewhere(end.why)) {
             return retry_decision::Stop;
         }
     }
-    return takeRetry(budget) ? retry_decision::Elsewhere : retry_decision::Stop;
+    return spendRetry(budget) ? retry_decision::RetryOtherServer : retry_decision::Stop;
 }
 
 bool breakerOpen(const breaker &state, millis now)
 {
-    return state.opened > 0 && now < state.openUntil;
+    return state.consecutiveOpens > 0 && now < state.openUntil;
 }
 
 bool breakerAllows(breaker &state, millis now)
 {
-    if (state.opened == 0) {
+    if (state.consecutiveOpens == 0) {
         return true;
     }
     if (breakerOpen(state, now)) {
@@ -94,7 +94,7 @@
     // Guards against a breaker that stays open for good because its probe's end is never reported (the
     // caller went away): the pause starts again here, so another probe follows whatever becomes of this one.
     state.probing = true;
-    state.openUntil = now + pauseOf(state.opened);
+    state.openUntil = now + breakerPause(state.consecutiveOpens);
     return true;
 }
 
@@ -105,14 +105,14 @@
 
 void breakerFailure(breaker &state, millis now)
 {
-    if (state.opened > 0) {
+    if (state.consecutiveOpens > 0) {
         // Requests sent before it opened may still fail; only a probe's failure lengthens the pause.
         if (state.probing) {
             openBreaker(state, now);
         }
         return;
     }
-    if (++state.failures >= breakerFailures) {
+    if (++state.failures >= minBreakerFailures) {
         openBreaker(state, now);
     }
 }
