--- a/packages/coordination/routing.cpp
+++ b/packages/coordination/routing.cpp
@@ -20,19 +20,19 @@
 /// a cached prompt head saves less than a full batch costs.
 constexpr double prefixMargin = 0.15;
 /// Fills closer than this count as equal, and the failure domain decides.
-constexpr double nearTie = 0.05;
+constexpr double maxTieDifference = 0.05;
 /// Up to which fill a server is preferred for being fuller, at a stall weight of 0. Below 1, so that the
 /// requests which other entries send in the same moment still find room.
-constexpr double packTarget = 0.85;
+constexpr double maxTargetFill = 0.85;
 /// How much worse a part of a batch above the target is than one below it.
-constexpr double overTargetCost = 4;
+constexpr double overTargetWeight = 4;
 /// At this fill a batch has no place left.
 constexpr double fullFill = 1;
 /// From this fill on, a request may go to a server that has yet to load the adapter. Above fullFill, since a
 /// short queue passes sooner than a load does.
 constexpr double overflowFill = 1.25;
 
-struct router
+struct routing_context
 {
     const route_query &query;
     std::span<const server_view> servers;
@@ -47,11 +47,11 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-bool fit(const router &at, std::size_t i)
+bool isEligible(const routing_context &context, std::size_t i)
 {
-    const server_view &server = at.servers[i];
-    return !server.leaving && !server.open && server.baseModel == at.query.baseModel
-        && !contains(at.query.tried, server.name);
+    const server_view &server = context.servers[i];
+    return !server.leaving && !server.unavailable && server.baseModel == context.query.baseModel
+        && !contains(context.query.tried, server.name);
 }
 
 std::size_t randomBelow(std::mt19937_64 &random, std::size_t count)
@@ -60,35 +60,35 @@
 }
 
 template <class accept>
-indices firstByAdapter(const router &at, std::size_t count, const accept &accepts)
+indices firstByAdapter(const routing_context &context, std::size_t count, const accept &accepts)
 {
     return rendezvousTop(
-        at.query.adapter.adapter, at.servers.size(), count,
-        [&at](std::size_t i) -> std::string_view {
-            return at.servers[i].name;
+        context.query.adapter.adapter, context.servers.size(), count,
+        [&context](std::size_t i) -> std::string_view {
+            return context.servers[i].name;
         },
         accepts);
 }
 
-indices fitServers(const router &at)
+indices eligibleServers(const routing_context &context)
 {
     indices all;
-    for (std::size_t i = 0; i < at.servers.size(); ++i) {
-        if (fit(at, i)) {
+    for (std::size_t i = 0; i < context.servers.size(); ++i) {
+        if (isEligible(context, i)) {
             all.push_back(i);
         }
     }
     return all;
 }
 
-indices fitReplicas(const router &at)
+indices eligibleReplicas(const routing_context &context)
 {
     indices replicas;
-    if (at.query.replicas.empty()) {
+    if (context.query.replicas.empty()) {
         return replicas;
     }
-    for (std::size_t i = 0; i < at.servers.size(); ++i) {
-        if (contains(at.query.replicas, at.servers[i].name) && fit(at, i)) {
+    for (std::size_t i = 0; i < context.servers.size(); ++i) {
+        if (contains(context.query.replicas, context.servers[i].name) && isEligible(context, i)) {
             replicas.push_back(i);
         }
     }
@@ -96,23 +96,23 @@
 }
 
 /// The replicas, or the adapter's first server; with one more that has room when all of them overflow.
-indices candidates(const router &at)
+indices candidates(const routing_context &context)
 {
-    indices chosen = fitReplicas(at);
+    indices chosen = eligibleReplicas(context);
     if (chosen.empty()) {
-        chosen = firstByAdapter(at, 1, [&at](std::size_t i) {
-            return fit(at, i);
+        chosen = firstByAdapter(context, 1, [&context](std::size_t i) {
+            return isEligible(context, i);
         });
     }
-    const auto fill = [&at](std::size_t i) {
-        return expectedFill(at.servers[i]);
+    const auto fill = [&context](std::size_t i) {
+        return expectedFill(context.servers[i]);
     };
     if (std::all_of(chosen.begin(), chosen.end(), [&](std::size_t i) {
             return fill(i) >= overflowFill;
         })) {
         // None of the chosen ones has room, so a server that has can't be one of them.
-        const auto next = firstByAdapter(at, 1, [&](std::size_t i) {
-            return fit(at, i) && fill(i) < fullFill;
+        const auto next = firstByAdapter(context, 1, [&](std::size_t i) {
+            return isEligible(context, i) && fill(i) < fullFill;
         });
         chosen.insert(chosen.end(), next.begin(), next.end());
     }
@@ -121,33 +121,35 @@
 
 /// The distance from the fill the weight aims for: batches are filled up to it one server after the other,
 /// and spread evenly above it. A stall weight of 1 aims for empty servers, 0 for nearly full ones.
-double costOf(double fill, double stallWeight)
+double distanceFromTarget(double fill, double stallWeight)
 {
-    const double target = packTarget * (1 - std::clamp(stallWeight, 0.0, 1.0));
-    return fill <= target ? target - fill : (fill - target) * overTargetCost;
+    const double target = maxTargetFill * (1 - std::clamp(stallWeight, 0.0, 1.0));
+    return fill <= target ? target - fill : (fill - target) * overTargetWeight;
 }
 
-std::size_t betterByLoad(const router &at, std::size_t a, std::size_t b)
+std::size_t betterByFill(const routing_context &context, std::size_t a, std::size_t b)
 {
-    const double fillA = expectedFill(at.servers[a]);
-    const double fillB = expectedFill(at.servers[b]);
-    if (std::abs(fillA - fillB) >= nearTie) {
-        return costOf(fillA, at.stallWeight) < costOf(fillB, at.stallWeight) ? a : b;
+    const double fillA = expectedFill(context.servers[a]);
+    const double fillB = expectedFill(context.servers[b]);
+    if (std::abs(fillA - fillB) >= maxTieDifference) {
+        return distanceFromTarget(fillA, context.stallWeight) < distanceFromTarget(fillB, context.stallWeight)
+            ? a
+            : b;
     }
-    const bool nearA = at.servers[a].failureDomain == at.query.failureDomain;
-    const bool nearB = at.servers[b].failureDomain == at.query.failureDomain;
+    const bool nearA = context.servers[a].failureDomain == context.query.failureDomain;
+    const bool nearB = context.servers[b].failureDomain == context.query.failureDomain;
     if (nearA != nearB) {
         return nearA ? a : b;
     }
-    return randomBelow(at.random, 2) == 0 ? a : b;
+    return randomBelow(context.random, 2) == 0 ? a : b;
 }
 
-std::size_t firstByPrefix(const router &at, const indices &among)
+std::size_t firstByPrefix(const routing_context &context, const indices &candidateIndices)
 {
     const auto best = rendezvousTop(
-        std::to_string(at.query.prefix), among.size(), 1,
+        std::to_string(context.query.prefix), candidateIndices.size(), 1,
         [&](std::size_t i) -> std::string_view {
-            return at.servers[among[i]].name;
+            return context.servers[candidateIndices[i]].name;
         },
         [](std::size_t) {
             return true;
@@ -157,64 +159,65 @@
 
 /// Power of two choices: random pairs don't run after one least-filled server as all entries would do on
 /// the same late hints.
-std::size_t chooseOfTwo(const router &at, const indices &among)
+std::size_t chooseOfTwo(const routing_context &context, const indices &candidateIndices)
 {
-    if (among.size() == 1) {
-        return among.front();
+    if (candidateIndices.size() == 1) {
+        return candidateIndices.front();
     }
-    const bool byPrefix = at.query.prefix != 0;
-    const std::size_t first = byPrefix ? firstByPrefix(at, among) : randomBelow(at.random, among.size());
-    const std::size_t step = 1 + randomBelow(at.random, among.size() - 1);
-    const std::size_t a = among[first];
-    const std::size_t b = among[(first + step) % among.size()];
+    const bool byPrefix = context.query.prefix != 0;
+    const std::size_t first = byPrefix ? firstByPrefix(context, candidateIndices)
+                                       : randomBelow(context.random, candidateIndices.size());
+    const std::size_t step = 1 + randomBelow(context.random, candidateIndices.size() - 1);
+    const std::size_t a = candidateIndices[first];
+    const std::size_t b = candidateIndices[(first + step) % candidateIndices.size()];
     if (byPrefix) {
-        const double fillA = expectedFill(at.servers[a]);
-        const double fillB = expectedFill(at.servers[b]);
+        const double fillA = expectedFill(context.servers[a]);
+        const double fillB = expectedFill(context.servers[b]);
         if (fillA < fullFill && fillA <= fillB + prefixMargin) {
             return a;
         }
     }
-    return betterByLoad(at, a, b);
+    return betterByFill(context, a, b);
 }
 
-std::optional<std::size_t> leastLoaded(const router &at)
+std::optional<std::size_t> leastLoaded(const routing_context &context)
 {
-    indices all = fitServers(at);
+    indices all = eligibleServers(context);
     // Shuffled first, so that entries with the same view don't all take the first of equals.
-    std::shuffle(all.begin(), all.end(), at.random);
-    const auto best = std::min_element(all.begin(), all.end(), [&at](std::size_t a, std::size_t b) {
-        return expectedFill(at.servers[a]) < expectedFill(at.servers[b]);
+    std::shuffle(all.begin(), all.end(), context.random);
+    const auto best = std::min_element(all.begin(), all.end(), [&context](std::size_t a, std::size_t b) {
+        return expectedFill(context.servers[a]) < expectedFill(context.servers[b]);
     });
     return best == all.end() ? std::nullopt : std::optional(*best);
 }
 
-std::optional<std::size_t> anyOf(const router &at)
+std::optional<std::size_t> randomServer(const routing_context &context)
 {
-    const indices all = fitServers(at);
-    return all.empty() ? std::nullopt : std::optional(all[randomBelow(at.random, all.size())]);
+    const indices all = eligibleServers(context);
+    return all.empty() ? std::nullopt : std::optional(all[randomBelow(context.random, all.size())]);
 }
 
-std::optional<std::size_t> firstOf(const indices &order)
+std::optional<std::size_t> frontOf(const indices &order)
 {
     return order.empty() ? std::nullopt : std::optional(order.front());
 }
 
-std::optional<std::size_t> choose(const router &at, routing_kind kind)
+std::optional<std::size_t> choose(const routing_context &context, routing_kind kind)
 {
     switch (kind) {
     case routing_kind::Random:
-        return anyOf(at);
+        return randomServer(context);
     case routing_kind::LeastLoaded:
-        return leastLoaded(at);
+        return leastLoaded(context);
     case routing_kind::RendezvousLru:
-        return firstOf(firstByAdapter(at, 1, [&at](std::size_t i) {
-            return fit(at, i);
+        return frontOf(firstByAdapter(context, 1, [&context](std::size_t i) {
+            return isEligible(context, i);
         }));
     case routing_kind::Briarhead:
         break;
     }
-    const indices among = candidates(at);
-    return among.empty() ? std::nullopt : std::optional(chooseOfTwo(at, among));
+    const indices candidateIndices = candidates(context);
+    return candidateIndices.empty() ? std::nullopt : std::optional(chooseOfTwo(context, candidateIndices));
 }
 
 }
@@ -250,7 +253,7 @@
 std::optional<std::string> chooseServer(const route_query &query, std::span<const server_view> servers,
     double stallWeight, routing_kind kind, std::mt19937_64 &random)
 {
-    const auto chosen = choose(router{query, servers, stallWeight, random}, kind);
+    const auto chosen = choose(routing_context{query, servers, stallWeight, random}, kind);
     return chosen ? std::optional(servers[*chosen].name) : std::nullopt;
 }
 
--- a/packages/coordination/routing.h
+++ b/packages/coordination/routing.h
@@ -21,7 +21,7 @@
     std::string failureDomain;
     std::string baseModel;
     bool leaving = false; ///< from any source: takes no new work
-    bool open = false; ///< circuit breaker open or owner unreachable
+    bool unavailable = false; ///< circuit breaker open or owner unreachable
     std::uint32_t sentHere = 0; ///< requests this entry has in flight there, first-hand
     std::uint32_t sentSinceHint = 0; ///< of sentHere, those sent after the last hint came
     std::uint32_t hintedInFlight = 0; ///< running at the last hint
@@ -57,9 +57,9 @@
 /// Expected load of a server from first-hand counts and the aged hint, in parts of its batch limit.
 double expectedFill(const server_view &server);
 
-/// The server to send to, or nothing when none is fit. Candidates are the adapter's replicas as hinted
-/// by its owner, else the first by rendezvous hash on the adapter; among replicas the least filled of
-/// two chosen by prefix and by load. `stallWeight` of 1 prefers residency, 0 prefers full batches.
+/// The server to send to, or nothing when none is isEligible. Candidates are the adapter's replicas as hinted
+/// by its owner, else the first by rendezvous hash on the adapter; candidateIndices replicas the least filled
+/// of two chosen by prefix and by load. `stallWeight` of 1 prefers residency, 0 prefers full batches.
 /// `random` makes the choice between equals.
 std::optional<std::string> chooseServer(const route_query &query, std::span<const server_view> servers,
     double stallWeight, routing_kind kind, std::mt19937_64 &random);
--- a/packages/coordination/server_notices.cpp
+++ b/packages/coordination/server_notices.cpp
@@ -4,39 +4,40 @@
 
 namespace briarhead {
 
-bool hearLeaving(server_words &words, const std::string &start, millis now)
+bool recordLeaving(server_notices &notices, const std::string &incarnation, millis now)
 {
-    std::erase_if(words.leaving, [now](const auto &each) {
-        return now - each.second > leavingKept;
+    std::erase_if(notices.leaving, [now](const auto &each) {
+        return now - each.second > leavingRetention;
     });
-    return words.leaving.emplace(start, now).second;
+    return notices.leaving.emplace(incarnation, now).second;
 }
 
-bool hearPause(
-    server_words &words, const std::string &start, const std::string &daemon, millis pause, millis now)
+bool recordPause(server_notices &notices, const std::string &incarnation, const std::string &daemon,
+    millis pause, millis now)
 {
-    std::erase_if(words.pauses, [now](const auto &each) {
+    std::erase_if(notices.pauses, [now](const auto &each) {
         return each.second <= now;
     });
     if (pause <= millis{}) {
         return false;
     }
-    millis &until = words.pauses[{start, daemon}];
-    const millis asked = now + std::min(pause, longestPause);
-    const bool longer = asked > until;
-    until = std::max(until, asked);
+    millis &until = notices.pauses[{incarnation, daemon}];
+    const millis requestedUntil = now + std::min(pause, maxServerPause);
+    const bool longer = requestedUntil > until;
+    until = std::max(until, requestedUntil);
     return longer;
 }
 
-bool isLeaving(const server_words &words, const std::string &start)
+bool isLeaving(const server_notices &notices, const std::string &incarnation)
 {
-    return words.leaving.count(start) != 0;
+    return notices.leaving.count(incarnation) != 0;
 }
 
-millis pauseLeft(const server_words &words, const std::string &start, const std::string &daemon, millis now)
+millis pauseLeft(
+    const server_notices &notices, const std::string &incarnation, const std::string &daemon, millis now)
 {
-    const auto found = words.pauses.find({start, daemon});
-    return found == words.pauses.end() ? millis{} : std::max(found->second - now, millis{});
+    const auto found = notices.pauses.find({incarnation, daemon});
+    return found == notices.pauses.end() ? millis{} : std::max(found->second - now, millis{});
 }
 
 }
--- a/packages/daemon/crash_records.cpp
+++ b/packages/daemon/crash_records.cpp
@@ -20,10 +20,10 @@
 /// After a reading that failed: without the records a new daemon would let through what all others refuse.
 constexpr millis readAgain{500};
 
-void log(const crash_note &note)
+void log(const crash_log_entry &note)
 {
     spdlog::warn("crash: {} {}, {} servers ended, the last {}; {}.", nameOf(note.event), note.fingerprint,
-        note.ends, note.server.empty() ? "-" : note.server, note.source);
+        note.crashes, note.server.empty() ? "-" : note.server, note.source);
 }
 
 }
@@ -39,27 +39,27 @@
     });
 }
 
-crash_links crash_records::links()
+crash_callbacks crash_records::links()
 {
-    crash_links links;
+    crash_callbacks links;
     links.self = m_self;
     links.daemons = [this] {
         return m_daemons;
     };
-    links.tell = [this](const std::string &daemon, const crash_news &news) {
+    links.send = [this](const std::string &daemon, const crash_news &news) {
         m_bus.post(send_to{daemon, news});
     };
-    links.stored = [this](const std::string &fingerprint) {
+    links.storedRecord = [this](const std::string &fingerprint) {
         return stored(fingerprint);
     };
-    links.records = [this] {
+    links.recordCount = [this] {
         return m_records.size();
     };
-    links.keep = [this](const std::string &fingerprint, const crash_record &record,
-                     std::function<void(bool)> done) {
+    links.storeRecord = [this](const std::string &fingerprint, const crash_record &record,
+                            std::function<void(bool)> done) {
         keep(fingerprint, record, std::move(done));
     };
-    links.drop = [this](const std::string &fingerprint) {
+    links.removeRecord = [this](const std::string &fingerprint) {
         drop(fingerprint);
     };
     links.log = log;
@@ -70,7 +70,7 @@
 {
     m_crashes = &crashes;
     m_bus.on<received<crash_news>>([this](const received<crash_news> &news) {
-        m_crashes->hear(news.body);
+        m_crashes->onReport(news.body);
     });
     read();
 }
@@ -110,7 +110,7 @@
     }
     for (const std::string &fingerprint : gone) {
         m_records.erase(fingerprint);
-        m_crashes->onStored(fingerprint, {});
+        m_crashes->onStoredRecord(fingerprint, {});
     }
 }
 
@@ -126,7 +126,7 @@
         spdlog::warn("crash: {} can't be read: {}", entry.key, message(why));
         return;
     }
-    m_crashes->onStored(fingerprint, *record);
+    m_crashes->onStoredRecord(fingerprint, *record);
 }
 
 void crash_records::keep(
--- a/packages/daemon/crash_records.h
+++ b/packages/daemon/crash_records.h
@@ -19,7 +19,7 @@
 {
 public:
     crash_records(bus &messages, loop &eventLoop, kv_client &store, std::string self);
-    crash_links links();
+    crash_callbacks links();
     /// From now on the task hears what daemons tell and what is read.
     void start(crash_task &crashes);
 
--- a/packages/daemon/entry_admit.cpp
+++ b/packages/daemon/entry_admit.cpp
@@ -170,7 +170,7 @@
     one.rank = std::max(one.rank, rule->best);
     const std::string limitKey =
         one.caller + "\n" + rule->callers + "\n" + rule->adapters + "\n" + rule->service;
-    if (const auto wait = overLimit(m_limits[limitKey], *rule, bootNow())) {
+    if (const auto wait = acquireCallerLimit(m_limits[limitKey], *rule, bootNow())) {
         const verdict end{
             outcome::NotRun, {error_kind::Overloaded, one.caller, "the rule's limit is reached"}, *wait};
         record(one, end.result, end.why.kind);
@@ -499,7 +499,7 @@
             first = std::min(first.value_or(left), left);
         }
     }
-    const double share = std::uniform_real_distribution<double>(1, 1 + comeBackSpread)(m_random);
+    const double share = std::uniform_real_distribution<double>(1, 1 + retryAfterSpread)(m_random);
     return first ? millis{static_cast<std::int64_t>(static_cast<double>(first->count) * share)}
                  : usualComeBack;
 }
@@ -515,15 +515,15 @@
     std::erase_if(m_words.leaving, [](const auto &each) {
         return bootNow() - each.second > plainLeavingKept;
     });
-    if (said.leaving && hearLeaving(m_words, one->server, bootNow())) {
+    if (said.leaving && recordLeaving(m_words, one->server, bootNow())) {
         spdlog::info("entry: {} says that it is leaving.", one->server);
     }
-    if (hearPause(m_words, one->server, m_options.self, said.pause, bootNow())) {
+    if (recordPause(m_words, one->server, m_options.self, said.pause, bootNow())) {
         spdlog::info("entry: {} wants nothing for {} ms.", one->server, said.pause.count);
     }
     const auto server = m_serviceServers.find(one->server);
     if (result.complete) {
-        m_crashes.onAnswered(one->fingerprint);
+        m_crashes.onResponseComplete(one->fingerprint);
         const auto type = result.headers.find("content-type");
         one->answerType = type == result.headers.end() ? "application/octet-stream" : type->second;
         if (server != m_serviceServers.end()) {
@@ -542,11 +542,11 @@
         breakerFailure(server->second.health, bootNow());
         if (result.sent && !server->second.where.leaving) {
             // The list tells no starts of plain services: one that ends twice under its name counts once.
-            m_crashes.onBroken(one->fingerprint,
+            m_crashes.onResponseBroken(one->fingerprint,
                 {one->server, one->server, {server->second.where.address, server->second.where.port}});
         }
     }
-    attempt_end end;
+    attempt_result end;
     end.result = result.sent ? outcome::Unknown : outcome::NotRun;
     end.why = result.why.kind;
     end.idempotent = one->idempotent;
@@ -554,7 +554,7 @@
     end.deadlineLeft = one->deadline - bootNow();
     one->mayHaveRun = one->mayHaveRun || result.sent;
     one->lastWhy = {result.why.kind, one->server, result.why.detail};
-    if (decideRetry(end, m_budget) == retry_decision::Elsewhere) {
+    if (decideRetry(end, m_budget) == retry_decision::RetryOtherServer) {
         one->tried.push_back(one->server);
         routeService(one);
         return;
--- a/packages/daemon/entry_task.cpp
+++ b/packages/daemon/entry_task.cpp
@@ -91,7 +91,7 @@
         for (auto entry = servers.begin(); entry != servers.end();) {
             const bool gone = view.instances.count(entry->first) == 0;
             if (gone && !entry->second.where.leaving) {
-                m_crashes.onServerEnded(entry->first);
+                m_crashes.onServerCrashed(entry->first);
             }
             entry = gone ? servers.erase(entry) : std::next(entry);
         }
@@ -125,7 +125,7 @@
         view.baseModel = server.where.service;
         const bool closed = server.hint.closed && now - server.hintAt < millis{closedHintMs};
         view.leaving = server.where.leaving || closed;
-        view.open = breakerOpen(server.health, now);
+        view.unavailable = breakerOpen(server.health, now);
         view.sentHere = server.sentHere;
         view.sentSinceHint = server.sentSinceHint;
         view.hintedInFlight = server.hint.inFlight;
@@ -149,7 +149,7 @@
     // Kept in the table, so that a deadline or a closed connection finds it meanwhile.
     one->id = {m_options.self, m_options.incarnation, ++m_sequence};
     m_pending[one->id] = one;
-    m_crashes.askTrial(one->fingerprint, [this, id = one->id](bool granted) {
+    m_crashes.requestProbe(one->fingerprint, [this, id = one->id](bool granted) {
         onTrial(id, granted);
     });
     return true;
@@ -165,7 +165,7 @@
     if (!granted) {
         answer(one,
             {outcome::NotRun, {error_kind::EndsServers, one->path, "servers ended under this request"},
-                m_crashes.comeBackAfter(one->fingerprint)});
+                m_crashes.blockedRetryAfter(one->fingerprint)});
     } else if (one->service.empty()) {
         route(one);
     } else {
@@ -381,19 +381,19 @@
     one->mayHaveRun = one->mayHaveRun || result == outcome::Unknown;
     one->lastWhy = {why, one->server, detail};
     one->lastRetryAfter = retryAfter;
-    attempt_end end;
+    attempt_result end;
     end.result = result;
     end.why = why;
     end.idempotent = one->idempotent;
-    end.bytesToCaller = one->begun;
+    end.responseStarted = one->begun;
     end.attempts = one->attempts;
     end.deadlineLeft = one->deadline - now;
     switch (decideRetry(end, m_budget)) {
-    case retry_decision::SameOwner:
+    case retry_decision::RetryNamedOwner:
         --one->attempts;
         retryLater(one, m_servers[one->server].owner.empty() ? redirectPauseMs : 0);
         return;
-    case retry_decision::Elsewhere:
+    case retry_decision::RetryOtherServer:
         one->tried.push_back(one->server);
         one->collected.clear();
         one->tokens = 0;
@@ -492,7 +492,7 @@
     const millis now = bootNow();
     const auto limit = m_limits.find(one.limitKey);
     if (!one.limitKey.empty() && limit != m_limits.end()) {
-        releaseLimit(limit->second, now - one.arrived);
+        releaseCallerLimit(limit->second, now - one.arrived);
     }
     request_record entry;
     entry.caller = one.caller;
@@ -533,7 +533,7 @@
     }
     const auto limit = m_limits.find(one->limitKey);
     if (!one->limitKey.empty() && limit != m_limits.end()) {
-        releaseLimit(limit->second, bootNow() - one->arrived);
+        releaseCallerLimit(limit->second, bootNow() - one->arrived);
     }
 }
 
@@ -546,7 +546,7 @@
         return now - entry.second.at >= millis{replicaHintMs};
     });
     std::erase_if(m_limits, [now](const auto &entry) {
-        return entry.second.inFlight == 0 && now - entry.second.filled >= millis{limitIdleMs};
+        return entry.second.inFlight == 0 && now - entry.second.filledAt >= millis{limitIdleMs};
     });
 }
 
--- a/packages/daemon/entry_task.h
+++ b/packages/daemon/entry_task.h
@@ -170,7 +170,7 @@
     std::vector<std::string> m_daemons; ///< alive or suspect: may own servers and be homes of keys
     std::map<std::string, server_state> m_servers; ///< engines
     std::map<std::string, server_state> m_serviceServers;
-    server_words m_words; ///< of plain servers; the list tells no starts of them, so by name
+    server_notices m_words; ///< of plain servers; the list tells no starts of them, so by name
     std::map<std::string, replica_hint> m_replicas; ///< by adapter
     std::map<request_id, pending_ptr> m_pending;
     std::map<std::string, caller_limit> m_limits;
--- a/packages/serving/crash_store.cpp
+++ b/packages/serving/crash_store.cpp
@@ -16,35 +16,35 @@
 
 }
 
-crash_links crashLinks(store_task &store, const std::unique_ptr<fleet_port> &port,
+crash_callbacks crashLinks(store_task &store, const std::unique_ptr<fleet_port> &port,
     const node_settings &settings, decision_log &log)
 {
-    crash_links links;
+    crash_callbacks links;
     links.self = settings.node;
     links.daemons = [&store] {
         return nodesOf(store.view().daemons);
     };
-    links.tell = [&store, &port, self = settings.node](const std::string &node, const crash_news &news) {
+    links.send = [&store, &port, self = settings.node](const std::string &node, const crash_news &news) {
         sendToNode(*port, store, self, node, news);
     };
-    links.stored = [&store](const std::string &fingerprint) {
+    links.storedRecord = [&store](const std::string &fingerprint) {
         return storedRecord(store.view(), fingerprint);
     };
-    links.records = [&store] {
+    links.recordCount = [&store] {
         return store.view().crashes.size();
     };
-    links.keep = [&store](const std::string &fingerprint, const crash_record &record,
-                     std::function<void(bool)> done) {
+    links.storeRecord = [&store](const std::string &fingerprint, const crash_record &record,
+                            std::function<void(bool)> done) {
         store.keepCrash(fingerprint, record, std::move(done));
     };
-    links.drop = [&store](const std::string &fingerprint) {
+    links.removeRecord = [&store](const std::string &fingerprint) {
         store.dropCrash(fingerprint);
     };
-    links.log = [&log](const crash_note &note) {
+    links.log = [&log](const crash_log_entry &note) {
         log.important("crash." + std::string(nameOf(note.event)))
             .add("fingerprint", note.fingerprint)
             .add("server", note.server)
-            .add("ends", static_cast<std::int64_t>(note.ends))
+            .add("ends", static_cast<std::int64_t>(note.crashes))
             .add("source", note.source);
     };
     return links;
@@ -54,13 +54,13 @@
 {
     messages.on<view_changed>([&store, &crashes](const view_changed &change) {
         for (const std::string &server : change.endedServers) {
-            crashes.onServerEnded(server);
+            crashes.onServerCrashed(server);
         }
         for (const std::string &fingerprint : change.crashes) {
             const crash_record record = storedRecord(store.view(), fingerprint);
             const bool gone = store.view().crashes.count(fingerprint) == 0;
             if (gone || !record.servers.empty()) { // else another writer's, which says nothing
-                crashes.onStored(fingerprint, record);
+                crashes.onStoredRecord(fingerprint, record);
             }
         }
     });
--- a/packages/serving/crash_store.h
+++ b/packages/serving/crash_store.h
@@ -12,7 +12,7 @@
 namespace briarhead {
 
 /// The ways of a crash_task on the users' platform: datagrams, the platform's store and its list of servers.
-crash_links crashLinks(store_task &store, const std::unique_ptr<fleet_port> &port,
+crash_callbacks crashLinks(store_task &store, const std::unique_ptr<fleet_port> &port,
     const node_settings &settings, decision_log &log);
 /// Lets the task follow what the store tells.
 void followStore(bus &messages, const store_task &store, crash_task &crashes);
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -68,7 +68,7 @@
               static_cast<std::uint64_t>(wallNow().count), log)
         , m_crashes(eventLoop, m_bus, crashLinks(m_store, m_port, m_settings, log))
         , m_quota(std::make_unique<quota_task>(eventLoop,
-              quotaLinks(eventLoop, m_store, m_port, m_settings, log, m_quota), usualQuotaPlan,
+              quotaLinks(eventLoop, m_store, m_port, m_settings, log, m_quota), defaultQuotaPlan,
               settings.quota))
         , m_words(eventLoop, m_bus, m_store, settings, log)
         , m_front(eventLoop, m_bus, m_store, m_crashes, *m_quota, m_words, m_pool, m_parts.requests, settings,
@@ -255,14 +255,14 @@
             } else if constexpr (std::is_same_v<body_type, store_news>) {
                 m_store.onNews(datagram.from, body);
             } else if constexpr (std::is_same_v<body_type, crash_news>) {
-                m_crashes.hear(body);
+                m_crashes.onReport(body);
             } else if constexpr (std::is_same_v<body_type, quota_ask>) {
                 const daemon_record *record = findPeer(m_store.view(), datagram.from);
                 const bool recorded = record != nullptr && record->incarnation == datagram.incarnation;
-                m_quota->hear({datagram.from, datagram.incarnation, recorded}, body);
+                m_quota->onRequest({datagram.from, datagram.incarnation, recorded}, body);
             } else if constexpr (std::is_same_v<body_type,
                                      quota_answer> || std::is_same_v<body_type, quota_release>) {
-                m_quota->hear(body);
+                m_quota->onMessage(body);
             } else if constexpr (std::is_same_v<body_type, word_news>) {
                 m_words.hear(datagram.from, body);
             } else if constexpr (std::is_same_v<body_type, fleet_beat>) {
--- a/packages/serving/edge_metrics.cpp
+++ b/packages/serving/edge_metrics.cpp
@@ -67,7 +67,7 @@
 {
     std::ostringstream out;
     putFront(out, *figures.front);
-    put(out, "server_ends_total", figures.crashes->ends);
+    put(out, "server_ends_total", figures.crashes->serverCrashes);
     put(out, "requests_blocked_total", figures.crashes->blocked);
     put(out, "requests_cleared_total", figures.crashes->cleared);
     putOrders(out, *figures.orders);
@@ -85,8 +85,8 @@
     if (figures.configKnownAt) {
         put(out, "config_age_ms", (bootNow() - *figures.configKnownAt).count);
     }
-    put(out, "quota_asks_total", figures.quota->asks);
-    put(out, "quota_answers_total", figures.quota->answers);
+    put(out, "quota_asks_total", figures.quota->requests);
+    put(out, "quota_answers_total", figures.quota->responses);
     rusage usage{};
     if (getrusage(RUSAGE_SELF, &usage) == 0) {
         put(out, "peak_memory_bytes", usage.ru_maxrss * bytesPerKilobyte);
--- a/packages/serving/front_account.cpp
+++ b/packages/serving/front_account.cpp
@@ -20,7 +20,7 @@
 {
     const double unit = static_cast<double>(rendezvousScore("return", requestId))
         / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-    return {static_cast<std::int64_t>(static_cast<double>(wait.count) * (1 + comeBackSpread * unit))};
+    return {static_cast<std::int64_t>(static_cast<double>(wait.count) * (1 + retryAfterSpread * unit))};
 }
 
 /// Finds the caller's account. False: it has been refused.
@@ -55,16 +55,16 @@
 bool front_task::holdsUnits(const work &one) const
 {
     return one.cost <= 0
-        || (one.unitsHeld >= one.cost && bootNow() - one.unitsTakenAt <= m_quota.unitsLife());
+        || (one.unitsHeld >= one.cost && bootNow() - one.unitsTakenAt <= m_quota.unitsLifetime());
 }
 
 void front_task::giveUnitsBack(work &one)
 {
     if (one.unitsWaiting != 0) {
-        m_quota.dropTake(one.accountId, std::exchange(one.unitsWaiting, 0));
+        m_quota.cancelAcquire(one.accountId, std::exchange(one.unitsWaiting, 0));
     }
     if (one.unitsHeld > 0) {
-        m_quota.giveBack(one.accountId, std::exchange(one.unitsHeld, 0));
+        m_quota.releaseUnits(one.accountId, std::exchange(one.unitsHeld, 0));
     }
 }
 
@@ -85,17 +85,17 @@
     // The limit now in force, not the one at the request's arrival.
     const auto limit = limitOf(*m_store.view().config, one->accountId);
     if (!limit || !isLimited(*limit)) {
-        done({quota_verdict::Granted, {}});
+        done({quota_result::Granted, {}});
         return;
     }
-    one->unitsWaiting = m_quota.take(one->accountId, *limit, one->cost, done);
+    one->unitsWaiting = m_quota.acquire(one->accountId, *limit, one->cost, done);
 }
 
 void front_task::onQuota(const work_ptr &one, const quota_decision &decision, const std::function<void()> &go)
 {
     one->unitsWaiting = 0;
     account_counters &counters = countersOf(*one->account);
-    if (decision.verdict == quota_verdict::Granted) {
+    if (decision.result == quota_result::Granted) {
         ++counters.accepted;
         one->unitsHeld = one->cost;
         one->unitsTakenAt = bootNow();
@@ -103,11 +103,11 @@
         return;
     }
     ++counters.overLimit;
-    const quota_standing standing = m_quota.standing(one->accountId);
+    const quota_status standing = m_quota.status(one->accountId);
     m_log.important("quota.refused")
         .add("id", one->request.id)
         .add("account", one->account->name)
-        .add("verdict", nameOf(decision.verdict))
+        .add("verdict", nameOf(decision.result))
         .add("units", one->cost)
         .add("share", standing.share)
         .add("level", standing.level)
@@ -115,15 +115,16 @@
         .add("contact_age_ms", standing.contactAge)
         .add("config", one->config->version);
     note(*one, place_event::Ended);
-    switch (decision.verdict) {
-    case quota_verdict::TooLarge:
+    switch (decision.result) {
+    case quota_result::TooLarge:
         refuse(one, "larger than the account's limit", comeBackTooLarge, overLimit);
         return;
-    case quota_verdict::HomeAway:
-        refuse(one, "the account's limit can't be asked for", spread(decision.comeBack, one->request.id));
+    case quota_result::HomeUnavailable:
+        refuse(one, "the account's limit can't be asked for", spread(decision.retryAfter, one->request.id));
         return;
     default:
-        refuse(one, "the account's limit is used up", spread(decision.comeBack, one->request.id), overLimit);
+        refuse(
+            one, "the account's limit is used up", spread(decision.retryAfter, one->request.id), overLimit);
         return;
     }
 }
--- a/packages/serving/front_limit.cpp
+++ b/packages/serving/front_limit.cpp
@@ -16,8 +16,9 @@
 std::optional<millis> front_task::turnWait(const std::string &server) const
 {
     const auto limit = m_limits.find(server);
-    return limit == m_limits.end() ? std::nullopt
-                                   : std::optional(std::max(limit->second.turnAt - bootNow(), millis{}));
+    return limit == m_limits.end()
+        ? std::nullopt
+        : std::optional(std::max(limit->second.nextPermitAt - bootNow(), millis{}));
 }
 
 bool front_task::comesTooLate(const work &one, millis turnWait) const
@@ -59,9 +60,9 @@
     one->askedAt = bootNow();
     one->orderer = limitHolder(server);
     ++one->placesTried;
-    named_limit &limit = m_limits.at(server.id);
+    announced_limit &limit = m_limits.at(server.id);
     if (one->orderer.empty()) {
-        limit.turnAt = bootNow() + silentHolder;
+        limit.nextPermitAt = bootNow() + silentHolder;
         one->excluded.insert(server.id);
         startPlain(one);
         return;
--- a/packages/serving/front_route.cpp
+++ b/packages/serving/front_route.cpp
@@ -199,7 +199,7 @@
         (one->way->target - waited).count, -1, 0};
     if (const auto limit = m_limits.find(one->server); limit != m_limits.end()) {
         message.limitMilli = toMilli(limit->second.perSecond);
-        message.limitAgeMs = (bootNow() - limit->second.heard).count;
+        message.limitAgeMs = (bootNow() - limit->second.receivedAt).count;
     }
     one->askTimer = m_loop.timer(askAgainAfter, {}, [this, weak = std::weak_ptr<work>(one)] {
         if (const auto same = weak.lock()) {
@@ -231,7 +231,7 @@
     note(*one, place_event::Ended);
     one->excluded.insert(one->server);
     if (const auto limit = m_limits.find(one->server); limit != m_limits.end()) {
-        limit->second.turnAt = bootNow() + silentHolder; // the next callers are not to wait for it too
+        limit->second.nextPermitAt = bootNow() + silentHolder; // the next callers are not to wait for it too
     }
     start(one);
 }
--- a/packages/serving/front_send.cpp
+++ b/packages/serving/front_send.cpp
@@ -121,7 +121,7 @@
     one->head = head;
     one->meta = meta;
     one->lastEvent = bootNow();
-    m_words.hear(one->request.id, one->server, one->target.start, meta);
+    m_words.hear(one->request.id, one->server, one->target.incarnation, meta);
     hearLimit(*one);
     one->streaming = one->way->kind == repeat_kind::Stream && isSuccess(head.status) && meta.signedByServer;
     if (one->streaming && !one->begun) {
@@ -193,7 +193,7 @@
     }
     if (answered) {
         if (!notRun) {
-            m_crashes.onAnswered(one->fingerprint);
+            m_crashes.onResponseComplete(one->fingerprint);
         }
         one->mayHaveRun = one->mayHaveRun || !notRun;
         const bool notHeld = notRun && one->model && one->granted;
@@ -205,7 +205,7 @@
     const server_access access = m_words.accessOf(server);
     const bool stays = access != server_access::Leaving && access != server_access::Gone;
     if (how == send_end::Broken && stays) {
-        m_crashes.onBroken(one->fingerprint, one->target);
+        m_crashes.onResponseBroken(one->fingerprint, one->target);
     }
     note(*one, place_event::Failed);
     m_log.important("request.broken")
@@ -239,7 +239,7 @@
     if (!serversLeft(*one) || left(*one).count <= 0) {
         return false;
     }
-    if (ran && m_crashes.mayBeFatal(one->fingerprint)) {
+    if (ran && m_crashes.mayBecomeBlocked(one->fingerprint)) {
         m_log.important("repeat.denied").add("id", one->request.id).add("why", "servers ended under it");
         return false;
     }
@@ -320,7 +320,7 @@
         m_pool.cancel(*one->sending);
         one->sending.reset();
         --m_inFlight[one->server];
-        m_crashes.onGivenUp(one->fingerprint, one->target);
+        m_crashes.onSendAbandoned(one->fingerprint, one->target);
         const bool silent = one->head.status == 0 && bootNow() - one->lastEvent > quietLeast;
         if (silent) {
             recordAnswer(m_records[one->server], true, bootNow());
--- a/packages/serving/front_task.cpp
+++ b/packages/serving/front_task.cpp
@@ -223,14 +223,14 @@
 void front_task::refuseBlocked(const work_ptr &one)
 {
     // Its wait is over and another daemon tries it: how that ends is known soon.
-    const millis wait = std::max(m_crashes.comeBackAfter(one->fingerprint), comeBackSoon);
+    const millis wait = std::max(m_crashes.blockedRetryAfter(one->fingerprint), comeBackSoon);
     refuse(one, "servers ended under this request", wait);
 }
 
 /// Refused, unless its wait is over and this daemon is the one that tries it.
 void front_task::tryBlocked(const work_ptr &one)
 {
-    m_crashes.askTrial(one->fingerprint, [this, weak = std::weak_ptr<work>(one)](bool granted) {
+    m_crashes.requestProbe(one->fingerprint, [this, weak = std::weak_ptr<work>(one)](bool granted) {
         const auto same = weak.lock();
         if (!same) {
             return;
--- a/packages/serving/front_task.h
+++ b/packages/serving/front_task.h
@@ -159,7 +159,7 @@
     std::map<std::string, heard_server> m_heard; ///< by server
     std::map<std::string, int> m_inFlight; ///< this entry's, by server
     std::map<std::string, server_record> m_records; ///< by server
-    named_limits &m_limits; ///< of m_words
+    announced_limits &m_limits; ///< of m_words
     std::uint64_t m_lastWork = 0;
     std::size_t m_cells = 1; ///< of this daemon's failure domain
     bool m_taking = true;
--- a/packages/serving/orderer_hold.cpp
+++ b/packages/serving/orderer_hold.cpp
@@ -240,7 +240,7 @@
     one.born = server->born;
     openDesk(one.desk, *server);
     if (const auto known = m_limits.find(id); known != m_limits.end()) {
-        nameLimit(one.desk.limit, known->second.perSecond, known->second.heard, bootNow());
+        nameLimit(one.desk.limit, known->second.perSecond, known->second.receivedAt, bootNow());
     }
     m_servers.emplace(id, std::move(one));
     m_log.important("orderer.taken").add("server", id).add("fence", fence);
--- a/packages/serving/orderer_task.h
+++ b/packages/serving/orderer_task.h
@@ -139,7 +139,7 @@
     load_pace m_pace;
     std::map<std::string, heard_loads> m_heardLoads; ///< by server
     std::map<std::string, server_state> m_servers;
-    named_limits &m_limits; ///< of m_words
+    announced_limits &m_limits; ///< of m_words
     std::map<std::string, millis> m_released; ///< servers given up by another daemon, and when that was seen
     std::map<std::string, std::string> m_holders; ///< other daemons that hold a server's record
     std::map<std::string, vacancy> m_vacated; ///< servers whose record went under another daemon
--- a/packages/serving/quota_store.cpp
+++ b/packages/serving/quota_store.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::optional<home_record> homeOf(const store_task &store, std::uint32_t shard)
+std::optional<shard_home> homeOf(const store_task &store, std::uint32_t shard)
 {
     const auto found = store.view().quotaHomes.find(std::to_string(shard));
     if (found == store.view().quotaHomes.end()) {
@@ -17,15 +17,15 @@
     }
     const orderer_record &record = found->second.record;
     const bool own = store.isOwn(record) && store.isUnderLease(record);
-    return home_record{record.node, found->second.revision, own, found->second.settled};
+    return shard_home{record.node, found->second.revision, own, found->second.settled};
 }
 
 }
 
-quota_links quotaLinks(loop &eventLoop, store_task &store, const std::unique_ptr<fleet_port> &port,
+quota_callbacks quotaLinks(loop &eventLoop, store_task &store, const std::unique_ptr<fleet_port> &port,
     const node_settings &settings, decision_log &log, const std::unique_ptr<quota_task> &self)
 {
-    quota_links links;
+    quota_callbacks links;
     links.self = settings.node;
     links.incarnation = store.incarnation();
     links.daemons = [&store] {
@@ -40,43 +40,43 @@
         nodes.insert(nodes.end(), lapsed.begin(), lapsed.end());
         return nodes;
     };
-    links.ask = [&eventLoop, &store, &port, &self, node = settings.node](
-                    const std::string &daemon, const quota_ask &ask) {
+    links.sendRequest = [&eventLoop, &store, &port, &self, node = settings.node](
+                            const std::string &daemon, const quota_ask &ask) {
         deliverToNode(
             eventLoop, *port, store, node, daemon, ask, [&self, &store, node](const quota_ask &own) {
-                self->hear({node, store.incarnation(), true}, own);
+                self->onRequest({node, store.incarnation(), true}, own);
             });
     };
-    links.answer = [&eventLoop, &store, &port, &self, node = settings.node](
-                       const std::string &daemon, const quota_answer &answer) {
+    links.sendResponse = [&eventLoop, &store, &port, &self, node = settings.node](
+                             const std::string &daemon, const quota_answer &answer) {
         deliverToNode(eventLoop, *port, store, node, daemon, answer, [&self](const quota_answer &own) {
-            self->hear(own);
+            self->onMessage(own);
         });
     };
     links.homeOf = [&store](std::uint32_t shard) {
         return homeOf(store, shard);
     };
-    links.release = [&store, &port, node = settings.node](
-                        const std::string &daemon, const quota_release &release) {
+    links.sendRelease = [&store, &port, node = settings.node](
+                            const std::string &daemon, const quota_release &release) {
         sendToNode(*port, store, node, daemon, release);
     };
     links.claim = [&store](std::uint32_t shard, bool released) {
         store.claimQuotaHome(std::to_string(shard), released);
     };
-    links.settle = [&store](std::uint32_t shard) {
+    links.recordPredecessorExpired = [&store](std::uint32_t shard) {
         store.settleQuotaHome(std::to_string(shard));
     };
-    links.cutFromRecords = [&store] {
+    links.isDisconnectedFromRecords = [&store] {
         return store.isCutOffAlone();
     };
-    links.provenUntil = [&store] {
+    links.confirmedUntil = [&store] {
         return store.quotaHomesProvenUntil();
     };
     links.limitOf = [&store](std::uint64_t account) {
         const auto &config = store.view().config;
         return config ? limitOf(*config, account) : std::nullopt;
     };
-    links.log = [&log](const quota_note &note) {
+    links.log = [&log](const quota_log_entry &note) {
         log.important("quota." + std::string(nameOf(note.event)))
             .add("shard", static_cast<std::int64_t>(note.shard))
             .add("home", note.home)
@@ -91,11 +91,12 @@
     messages.on<view_changed>([&store, &quota](const view_changed &change) {
         if (change.config) {
             const auto &accounts = store.view().config->accounts;
-            quota.onLimits(std::any_of(accounts.begin(), accounts.end(), [](const client_account &account) {
-                return isLimited(account.limit);
-            }));
+            quota.onLimitsChanged(
+                std::any_of(accounts.begin(), accounts.end(), [](const client_account &account) {
+                    return isLimited(account.limit);
+                }));
         }
-        quota.onRecords();
+        quota.onRecordsChanged();
     });
 }
 
--- a/packages/serving/quota_store.h
+++ b/packages/serving/quota_store.h
@@ -14,7 +14,7 @@
 /// The ways of a quota_task on the users' platform: datagrams, records in the platform's store under the
 /// daemon's lease, and the limits of the configuration in force. `self` gets what this daemon sends to
 /// itself.
-quota_links quotaLinks(loop &eventLoop, store_task &store, const std::unique_ptr<fleet_port> &port,
+quota_callbacks quotaLinks(loop &eventLoop, store_task &store, const std::unique_ptr<fleet_port> &port,
     const node_settings &settings, decision_log &log, const std::unique_ptr<quota_task> &self);
 /// Lets the task follow the store's records, daemons and configuration.
 void followStore(bus &messages, const store_task &store, quota_task &quota);
--- a/packages/serving/server_limit.cpp
+++ b/packages/serving/server_limit.cpp
@@ -35,12 +35,12 @@
     return names[static_cast<std::size_t>(value)];
 }
 
-limit_change hearLimit(
-    named_limits &limits, const std::string &server, std::optional<double> limit, millis sentAt, millis now)
+limit_change hearLimit(announced_limits &limits, const std::string &server, std::optional<double> limit,
+    millis sentAt, millis now)
 {
     const auto known = limits.find(server);
     if (!limit) {
-        if (known == limits.end() || sentAt <= known->second.heard) {
+        if (known == limits.end() || sentAt <= known->second.receivedAt) {
             return limit_change::None;
         }
         limits.erase(known);
@@ -52,7 +52,7 @@
     }
     const bool same = known->second.perSecond == *limit;
     known->second.perSecond = *limit;
-    known->second.heard = now;
+    known->second.receivedAt = now;
     return same ? limit_change::None : limit_change::Changed;
 }
 
@@ -67,34 +67,34 @@
 }
 
 void hearKept(
-    named_limits &limits, const std::string &server, std::optional<double> limit, millis wait, millis now)
+    announced_limits &limits, const std::string &server, std::optional<double> limit, millis wait, millis now)
 {
     const auto known = limits.find(server);
     if (!limit) {
-        if (known != limits.end() && now - known->second.heard > limitWordLife) {
+        if (known != limits.end() && now - known->second.receivedAt > limitWordLife) {
             limits.erase(known);
         }
         return;
     }
-    const millis heard = known == limits.end() ? now : known->second.heard;
+    const millis heard = known == limits.end() ? now : known->second.receivedAt;
     limits[server] = {*limit, heard, now + wait};
 }
 
-void hearTold(named_limits &limits, const std::string &server, double perSecond, millis heard, millis now)
+void hearTold(announced_limits &limits, const std::string &server, double perSecond, millis heard, millis now)
 {
     const auto known = limits.find(server);
     if (known == limits.end()) {
         limits[server] = {perSecond, heard, now};
-    } else if (heard > known->second.heard) {
+    } else if (heard > known->second.receivedAt) {
         known->second.perSecond = perSecond;
-        known->second.heard = heard;
+        known->second.receivedAt = heard;
     }
 }
 
-void countTurn(named_limit &limit, millis now)
+void countTurn(announced_limit &limit, millis now)
 {
     const double span = msPerSecond / std::max(limit.perSecond, leastPerSecond);
-    limit.turnAt = std::max(limit.turnAt, now) + millis{std::llround(span)};
+    limit.nextPermitAt = std::max(limit.nextPermitAt, now) + millis{std::llround(span)};
 }
 
 void nameLimit(limit_turns &turns, double perSecond, millis at, millis now)
--- a/packages/serving/server_limit.h
+++ b/packages/serving/server_limit.h
@@ -26,8 +26,8 @@
 
 /// Takes in what an answer says. `limit`: as named; none: the answer names none. Only the answer to a request
 /// that was sent after the limit was last heard of ends it: an earlier one may have been written before it.
-limit_change hearLimit(
-    named_limits &limits, const std::string &server, std::optional<double> limit, millis sentAt, millis now);
+limit_change hearLimit(announced_limits &limits, const std::string &server, std::optional<double> limit,
+    millis sentAt, millis now);
 
 /// As messages carry it; negative: none.
 std::optional<double> limitFrom(std::int64_t milli);
@@ -36,12 +36,13 @@
 millis heardBefore(std::int64_t ageMs, millis now);
 
 /// Takes in what the daemon tells that keeps the limit; none: it is named no more.
-void hearKept(
-    named_limits &limits, const std::string &server, std::optional<double> limit, millis wait, millis now);
+void hearKept(announced_limits &limits, const std::string &server, std::optional<double> limit, millis wait,
+    millis now);
 /// Takes in what another daemon heard of it, at that time, where nothing newer is known.
-void hearTold(named_limits &limits, const std::string &server, double perSecond, millis heard, millis now);
+void hearTold(
+    announced_limits &limits, const std::string &server, double perSecond, millis heard, millis now);
 /// A turn was asked for: until more is heard it counts as taken.
-void countTurn(named_limit &limit, millis now);
+void countTurn(announced_limit &limit, millis now);
 
 /// The turns within one server's limit, as the daemon keeps them that grants them for all others.
 struct limit_turns
--- a/packages/serving/word_task.cpp
+++ b/packages/serving/word_task.cpp
@@ -55,7 +55,7 @@
     m_port = &port;
 }
 
-named_limits &word_task::limits()
+announced_limits &word_task::limits()
 {
     return m_words.limits;
 }
@@ -105,8 +105,8 @@
     if (!meta.leaving && meta.pause <= millis{}) {
         return;
     }
-    const bool leaves = meta.leaving && hearLeaving(m_words, start, bootNow());
-    const bool pauses = hearPause(m_words, start, m_settings.node, meta.pause, bootNow());
+    const bool leaves = meta.leaving && recordLeaving(m_words, start, bootNow());
+    const bool pauses = recordPause(m_words, start, m_settings.node, meta.pause, bootNow());
     m_log.important("server.says")
         .add("id", id)
         .add("server", server)
@@ -130,8 +130,8 @@
 
 void word_task::hear(const std::string &daemon, const word_news &news)
 {
-    const bool leaves = news.leaving && hearLeaving(m_words, news.start, bootNow());
-    const bool pauses = hearPause(m_words, news.start, daemon, millis{news.pauseMs}, bootNow());
+    const bool leaves = news.leaving && recordLeaving(m_words, news.start, bootNow());
+    const bool pauses = recordPause(m_words, news.start, daemon, millis{news.pauseMs}, bootNow());
     if (!leaves && !pauses) {
         return;
     }
--- a/packages/serving/word_task.h
+++ b/packages/serving/word_task.h
@@ -73,7 +73,7 @@
     /// Tells a daemon that doesn't know it that a server leaves, if that is by the server's own word.
     void tellLeaving(const std::string &daemon, const backend_server &server);
 
-    named_limits &limits();
+    announced_limits &limits();
 
 private:
     struct telling
@@ -94,7 +94,7 @@
     node_settings m_settings;
     decision_log &m_log;
     fleet_port *m_port = nullptr;
-    server_words m_words;
+    server_notices m_words;
     std::vector<telling> m_tellings;
     std::shared_ptr<void> m_timer;
 };
--- a/tests/failure/owner_guard_test.cpp
+++ b/tests/failure/owner_guard_test.cpp
@@ -32,23 +32,23 @@
 }
 
 /// Of a daemon without others and without a store.
-crash_links aloneLinks()
+crash_callbacks aloneLinks()
 {
-    crash_links links;
+    crash_callbacks links;
     links.self = "entry-1";
     links.daemons = [] {
         return std::vector<std::string>{"entry-1"};
     };
-    links.tell = [](const std::string &, const crash_news &) {};
-    links.stored = [](const std::string &) {
+    links.send = [](const std::string &, const crash_news &) {};
+    links.storedRecord = [](const std::string &) {
         return crash_record{};
     };
-    links.records = [] {
+    links.recordCount = [] {
         return std::size_t{0};
     };
-    links.keep = [](const std::string &, const crash_record &, const std::function<void(bool)> &) {};
-    links.drop = [](const std::string &) {};
-    links.log = [](const crash_note &) {};
+    links.storeRecord = [](const std::string &, const crash_record &, const std::function<void(bool)> &) {};
+    links.removeRecord = [](const std::string &) {};
+    links.log = [](const crash_log_entry &) {};
     return links;
 }
 
@@ -198,7 +198,7 @@
     ASSERT_TRUE(started(stream));
     const auto waits = ask("a1", 2);
     settleFor(settle);
-    m_crashes.hear({fingerprintNumber(waits), {"e2@1", "e3@1", "e4@1"}});
+    m_crashes.onReport({fingerprintNumber(waits), {"e2@1", "e3@1", "e4@1"}});
     ASSERT_TRUE(ended(waits));
     EXPECT_EQ(m_ends.count(stream), 0U) << "not held until the place is free";
     EXPECT_EQ(m_ends[waits].result, outcome::NotRun);
--- a/tests/measure/decisions.cpp
+++ b/tests/measure/decisions.cpp
@@ -62,7 +62,7 @@
 void measureRouting()
 {
     std::vector<server_view> servers(modelServers);
-    std::vector<replica_site> sites(modelServers);
+    std::vector<replica_candidate> sites(modelServers);
     for (std::size_t i = 0; i < modelServers; ++i) {
         servers[i].name = sites[i].server = "engine-zg-dubrava-" + std::to_string(i);
         servers[i].baseModel = "base";
@@ -80,7 +80,7 @@
         }));
     printRow("decision", 1, "replicaSites of 4 among a model's 341 servers, us",
         microsecondsOf([&](std::size_t i) {
-            static_cast<void>(replicaSites(adapters[i % adapters.size()], sites, 4));
+            static_cast<void>(chooseReplicaServers(adapters[i % adapters.size()], sites, 4));
         }));
 }
 
--- a/tests/serving/crash_task_test.cpp
+++ b/tests/serving/crash_task_test.cpp
@@ -16,7 +16,7 @@
 using http_testing::raw_socket;
 
 const std::string fingerprint(fingerprintDigits, 'a');
-constexpr trial_waits shortWaits{millis{400}, millis{800}};
+constexpr probe_delays shortWaits{millis{400}, millis{800}};
 
 /// What counts ends in one daemon, with its ways to the store and to the others.
 struct counting_daemon
@@ -43,7 +43,7 @@
             shared.events, settings.peers,
             [this](const fleet_datagram &datagram, const peer_address &) {
                 if (const auto *news = std::get_if<crash_news>(&datagram.body)) {
-                    crashes.hear(*news);
+                    crashes.onReport(*news);
                 }
             },
             why);
@@ -115,7 +115,7 @@
         }
         const auto listed = one.store.view().servers.find(server);
         if (listed != one.store.view().servers.end() && !listed->second.draining) {
-            one.crashes.onBroken(fingerprint, targetOf(listed->second));
+            one.crashes.onResponseBroken(fingerprint, targetOf(listed->second));
         }
     }
     void blockEverywhere()
@@ -158,7 +158,7 @@
     }
     runRounds(300);
     EXPECT_FALSE(m_daemons[0]->crashes.isBlocked(fingerprint));
-    EXPECT_EQ(m_daemons[0]->crashes.counters().ends, 0U);
+    EXPECT_EQ(m_daemons[0]->crashes.counters().serverCrashes, 0U);
 }
 
 // A server that had said that it leaves ends, as planned, with a long answer. That is not the request's
@@ -171,7 +171,7 @@
     }));
     loseAnswer(0, "s1", true);
     runRounds(300);
-    EXPECT_EQ(m_daemons[0]->crashes.counters().ends, 0U);
+    EXPECT_EQ(m_daemons[0]->crashes.counters().serverCrashes, 0U);
 }
 
 // A host is gone with its server and answers nothing, or the caller leaves before its request ends the
@@ -179,7 +179,8 @@
 TEST_F(crash_task_test, AServerThatVanishesFromTheStoreAfterASendWasGivenUpCounts)
 {
     for (const char *server : {"s1", "s2", "s3"}) {
-        m_daemons[0]->crashes.onGivenUp(fingerprint, targetOf(m_daemons[0]->store.view().servers.at(server)));
+        m_daemons[0]->crashes.onSendAbandoned(
+            fingerprint, targetOf(m_daemons[0]->store.view().servers.at(server)));
         m_store.remove(std::string("servers/") + server);
     }
     EXPECT_TRUE(allDaemons(blocks));
@@ -192,11 +193,11 @@
     loseAnswer(0, "s1", true);
     loseAnswer(1, "s2", true);
     ASSERT_TRUE(allDaemons(knowsTwo));
-    EXPECT_FALSE(m_daemons[2]->crashes.mayBeFatal(fingerprint));
+    EXPECT_FALSE(m_daemons[2]->crashes.mayBecomeBlocked(fingerprint));
     loseAnswer(2, "s3", false);
-    EXPECT_TRUE(m_daemons[2]->crashes.mayBeFatal(fingerprint));
+    EXPECT_TRUE(m_daemons[2]->crashes.mayBecomeBlocked(fingerprint));
     EXPECT_TRUE(runUntil([this] {
-        return !m_daemons[2]->crashes.mayBeFatal(fingerprint);
+        return !m_daemons[2]->crashes.mayBecomeBlocked(fingerprint);
     })) << "the server lives";
 }
 
@@ -207,7 +208,7 @@
     loseAnswer(0, "s1", true);
     loseAnswer(1, "s2", true);
     ASSERT_TRUE(allDaemons(knowsTwo));
-    m_daemons[3]->crashes.onAnswered(fingerprint);
+    m_daemons[3]->crashes.onResponseComplete(fingerprint);
     EXPECT_TRUE(allDaemons([](const counting_daemon &one) {
         return one.store.view().crashes.empty();
     }));
@@ -223,12 +224,12 @@
 {
     loseAnswer(0, "s1", true);
     ASSERT_TRUE(runUntil([this] {
-        return m_daemons[0]->crashes.counted(fingerprint).size() == 1;
+        return m_daemons[0]->crashes.crashedIncarnations(fingerprint).size() == 1;
     }));
-    m_daemons[0]->crashes.onAnswered(fingerprint);
+    m_daemons[0]->crashes.onResponseComplete(fingerprint);
     m_store.put("briarhead/crash/" + fingerprint, encode(crash_record{{"s2", "s3"}, 0}));
     EXPECT_TRUE(runUntil([this] {
-        return m_daemons[0]->crashes.counted(fingerprint).size() == 2;
+        return m_daemons[0]->crashes.crashedIncarnations(fingerprint).size() == 2;
     }));
     runRounds(2'500);
     EXPECT_EQ(stored().servers.size(), 2U);
@@ -260,7 +261,7 @@
 {
     loseAnswer(0, "s1", true);
     const auto knows = [](const counting_daemon &one) {
-        return !one.crashes.counted(fingerprint).empty();
+        return !one.crashes.crashedIncarnations(fingerprint).empty();
     };
     ASSERT_TRUE(runUntil([&] {
         return std::count_if(m_daemons.begin(), m_daemons.end(), [&](const auto &one) {
@@ -287,7 +288,7 @@
     int answered = 0;
     const auto asks = m_loop.timer({20}, {20}, [&] {
         for (const auto &one : m_daemons) {
-            one->crashes.askTrial(fingerprint, [&](bool isGranted) {
+            one->crashes.requestProbe(fingerprint, [&](bool isGranted) {
                 granted += isGranted ? 1 : 0;
                 ++answered;
             });
@@ -302,7 +303,7 @@
     EXPECT_EQ(granted, 2);
     EXPECT_GT(answered, 100);
     EXPECT_EQ(stored().trials, 2U);
-    EXPECT_EQ(m_daemons[0]->crashes.comeBackAfter(fingerprint), crashMemory);
+    EXPECT_EQ(m_daemons[0]->crashes.blockedRetryAfter(fingerprint), crashRetention);
 }
 
 // An operator knows better and removes the record: the request is taken again.
@@ -336,7 +337,7 @@
 TEST_F(crash_task_test, WhatIsNoRecordHarmsNothing)
 {
     m_store.put("briarhead/crash/" + fingerprint, "no record");
-    m_daemons[0]->crashes.hear({"short", {"s1", "s2", "s3"}});
+    m_daemons[0]->crashes.onReport({"short", {"s1", "s2", "s3"}});
     blockEverywhere();
     EXPECT_TRUE(runUntil([this] {
         return stored().servers.size() == 3;
--- a/tests/serving/edge_test.cpp
+++ b/tests/serving/edge_test.cpp
@@ -511,7 +511,7 @@
     ASSERT_NE(at, std::string::npos) << seen;
     const double wait = std::stod(seen.substr(at + std::strlen("Retry-After: ")));
     EXPECT_GT(wait, 5) << "until it is tried again, not until something else passes";
-    EXPECT_LE(wait, static_cast<double>(trialWaits[0].count) / 1'000);
+    EXPECT_LE(wait, static_cast<double>(probeDelays[0].count) / 1'000);
     EXPECT_EQ(ranOn(m_models), 0U);
 }
 
--- a/tests/serving/platform_test.cpp
+++ b/tests/serving/platform_test.cpp
@@ -184,7 +184,7 @@
     EXPECT_EQ(read(503, {notRun, {"Retry-After", "0.25"}}).pause, millis{250});
     EXPECT_EQ(read(503, {notRun, {"Retry-After", "1"}, {"Retry-After", "2"}}).pause, millis{2'000});
     EXPECT_EQ(read(503, {notRun, {"Retry-After", "1e3"}}).unreadable, "Retry-After");
-    EXPECT_EQ(read(503, {notRun, {"Retry-After", "999999999999"}}).pause, longestPause);
+    EXPECT_EQ(read(503, {notRun, {"Retry-After", "999999999999"}}).pause, maxServerPause);
     EXPECT_EQ(read(503, {notRun, {"Retry-After", "-3"}}).unreadable, "Retry-After");
     EXPECT_EQ(
         read(503, {notRun, {"Retry-After", "Wed, 21 Oct 2015 07:28:00 GMT"}}).unreadable, "Retry-After");
--- a/tests/serving/server_limit_test.cpp
+++ b/tests/serving/server_limit_test.cpp
@@ -150,7 +150,7 @@
     nameLimit(turns, 1, begin + millis{65}, begin + millis{70});
     EXPECT_TRUE(turns.perSecond);
 
-    named_limits known;
+    announced_limits known;
     EXPECT_EQ(hearLimit(known, "s", 1, begin, begin + millis{5}), limit_change::Named);
     EXPECT_EQ(hearLimit(known, "s", {}, begin + millis{4}, begin + millis{6}), limit_change::None);
     EXPECT_EQ(hearLimit(known, "s", 2, begin, begin + millis{7}), limit_change::Changed);
--- a/tests/soak/crashing_request_test.cpp
+++ b/tests/soak/crashing_request_test.cpp
@@ -140,7 +140,7 @@
     for (const auto &[id, server] : m_servers) {
         server->fatalBody.clear();
     }
-    const millis end = bootNow() + trialWaits[0] + http_testing::patience;
+    const millis end = bootNow() + probeDelays[0] + http_testing::patience;
     std::size_t served = 0;
     while (served < m_daemons.size() && bootNow() < end) {
         runRounds(100);
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -102,21 +102,21 @@
     caller_limit limit;
     const rule_config rule{.perSecond = 4};
     for (int i = 0; i < 4; ++i) {
-        EXPECT_FALSE(overLimit(limit, rule, {1'000}));
+        EXPECT_FALSE(acquireCallerLimit(limit, rule, {1'000}));
     }
-    EXPECT_EQ(overLimit(limit, rule, {1'000}), millis{250});
-    EXPECT_FALSE(overLimit(limit, rule, {1'250}));
+    EXPECT_EQ(acquireCallerLimit(limit, rule, {1'000}), millis{250});
+    EXPECT_FALSE(acquireCallerLimit(limit, rule, {1'250}));
 }
 
 TEST(CallerLimit, PlacesInFlightComeBackOnRelease)
 {
     caller_limit limit;
     const rule_config rule{.inFlight = 2};
-    EXPECT_FALSE(overLimit(limit, rule, {0}));
-    EXPECT_FALSE(overLimit(limit, rule, {0}));
-    releaseLimit(limit, {400});
-    EXPECT_FALSE(overLimit(limit, rule, {400}));
-    EXPECT_EQ(overLimit(limit, rule, {400}), millis{200}) << "two in flight, each for 400 ms";
+    EXPECT_FALSE(acquireCallerLimit(limit, rule, {0}));
+    EXPECT_FALSE(acquireCallerLimit(limit, rule, {0}));
+    releaseCallerLimit(limit, {400});
+    EXPECT_FALSE(acquireCallerLimit(limit, rule, {400}));
+    EXPECT_EQ(acquireCallerLimit(limit, rule, {400}), millis{200}) << "two in flight, each for 400 ms";
 }
 
 }
--- a/tests/unit/eviction_test.cpp
+++ b/tests/unit/eviction_test.cpp
@@ -20,7 +20,7 @@
 {
     slot_view any = slot(*rc::gen::inRange(0, 50) / 10.0, {*rc::gen::inRange(95'000, 100'000)}, {0});
     any.inFlight = *rc::gen::inRange(0U, 2U);
-    any.promised = *rc::gen::inRange(0U, 2U);
+    any.waiting = *rc::gen::inRange(0U, 2U);
     any.pinned = *rc::gen::arbitrary<bool>();
     any.loading = *rc::gen::arbitrary<bool>();
     return any;
@@ -35,7 +35,7 @@
     const auto chosen = chooseEviction(slots, *rc::gen::inRange(0, 100), waiting, now, leastRecentlyUsed);
     if (chosen) {
         const slot_view &slot = slots.at(*chosen);
-        RC_ASSERT((slot.inFlight == 0 && slot.promised == 0 && !slot.pinned && !slot.loading));
+        RC_ASSERT((slot.inFlight == 0 && slot.waiting == 0 && !slot.pinned && !slot.loading));
     }
 }
 
--- a/tests/unit/load_order_test.cpp
+++ b/tests/unit/load_order_test.cpp
@@ -11,12 +11,12 @@
 
 constexpr double loadMs = 400;
 
-load_need need(std::uint32_t waiting, priority best, std::int64_t deadlineMs)
+load_demand need(std::uint32_t waiting, priority best, std::int64_t deadlineMs)
 {
-    return {.adapter = {"a", 1}, .waiting = waiting, .best = best, .soonestDeadline = {deadlineMs}};
+    return {.adapter = {"a", 1}, .waiting = waiting, .bestPriority = best, .earliestDeadline = {deadlineMs}};
 }
 
-load_budget::asked ask(std::uint64_t ticket, double urgency, millis at)
+load_budget::request ask(std::uint64_t ticket, double urgency, millis at)
 {
     return {"owner", ticket, urgency, at};
 }
@@ -25,10 +25,10 @@
 
 TEST(LoadOrder, WaitingBeforePrefetchThenPriorityThenSlackPenaltyAndCount)
 {
-    const auto urgency = [](const load_need &of) {
+    const auto urgency = [](const load_demand &of) {
         return loadUrgency(of, {0}, loadMs);
     };
-    load_need prefetch;
+    load_demand prefetch;
     prefetch.rate = 1'000;
     const auto low = need(1, priority::Low, 60'000);
     EXPECT_GT(urgency(low), urgency(prefetch));
@@ -46,7 +46,7 @@
 
 TEST(LoadOrder, TheMostUrgentIsNextAndTheOldestOfEquals)
 {
-    std::vector<load_need> needs{
+    std::vector<load_demand> needs{
         {}, need(1, priority::Normal, 9'000), need(1, priority::High, 9'000), need(1, priority::High, 9'000)};
     needs[2].oldestArrival = {20};
     needs[3].oldestArrival = {10};
@@ -64,11 +64,11 @@
     std::uint64_t ticket = 0;
     for (const int step : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1'000))) {
         now = now + millis{step};
-        askBudget(budget, ask(++ticket, step % 7, now));
+        requestLoad(budget, ask(++ticket, step % 7, now));
         if (step % 3 == 0 && !budget.running.empty()) {
-            releaseBudget(budget, "owner", budget.running.front().ticket);
+            releaseLoad(budget, "owner", budget.running.front().ticket);
         }
-        const auto grants = grantBudget(budget, perSecond, concurrency, now);
+        const auto grants = grantLoads(budget, perSecond, concurrency, now);
         starts.insert(starts.end(), grants.size(), now);
         RC_ASSERT(budget.running.size() <= concurrency);
     }
@@ -85,25 +85,25 @@
     // An owner dies while it holds the only grant: without the timeout no adapter would be loaded anywhere
     // again. A base model loads for longer than the timeout, so an owner that asks on keeps its grant.
     load_budget budget;
-    askBudget(budget, ask(1, 1, {0}));
-    ASSERT_EQ(grantBudget(budget, 3, 1, {0}).size(), 1U);
-    askBudget(budget, ask(1, 1, {9'000}));
-    const auto repeated = grantBudget(budget, 3, 1, {9'000});
+    requestLoad(budget, ask(1, 1, {0}));
+    ASSERT_EQ(grantLoads(budget, 3, 1, {0}).size(), 1U);
+    requestLoad(budget, ask(1, 1, {9'000}));
+    const auto repeated = grantLoads(budget, 3, 1, {9'000});
     ASSERT_EQ(repeated.size(), 1U) << "its first grant may have been lost";
     EXPECT_EQ(repeated[0].ticket, 1U);
-    askBudget(budget, ask(2, 1, {18'000}));
-    EXPECT_TRUE(grantBudget(budget, 3, 1, {18'000}).empty());
-    askBudget(budget, ask(2, 1, {19'001}));
-    const auto next = grantBudget(budget, 3, 1, {19'001});
+    requestLoad(budget, ask(2, 1, {18'000}));
+    EXPECT_TRUE(grantLoads(budget, 3, 1, {18'000}).empty());
+    requestLoad(budget, ask(2, 1, {19'001}));
+    const auto next = grantLoads(budget, 3, 1, {19'001});
     ASSERT_EQ(next.size(), 1U);
     EXPECT_EQ(next[0].ticket, 2U);
 }
 
 TEST(LoadOrder, WithoutABrokerEachOwnerKeepsToItsShare)
 {
-    EXPECT_FALSE(mayLoadUnbrokered(3, 6, {1'999}));
-    EXPECT_TRUE(mayLoadUnbrokered(3, 6, {2'000}));
-    EXPECT_FALSE(mayLoadUnbrokered(0, 1, {1'000'000}));
+    EXPECT_FALSE(mayLoadWithoutBroker(3, 6, {1'999}));
+    EXPECT_TRUE(mayLoadWithoutBroker(3, 6, {2'000}));
+    EXPECT_FALSE(mayLoadWithoutBroker(0, 1, {1'000'000}));
 }
 
 RC_GTEST_PROP(LoadOrder, TheBackoffGrowsWithJitterUpToItsLimit, ())
--- a/tests/unit/quota_sim.cpp
+++ b/tests/unit/quota_sim.cpp
@@ -25,21 +25,21 @@
     , m_random(options.seed)
     , m_processes(static_cast<std::size_t>(options.daemons))
 {
-    if (options.way == quota_way::HomeOnly) {
-        m_options.plan.held = 0;
-        m_options.plan.heldByOne = 0;
+    if (options.strategy == quota_strategy::HomeOnly) {
+        m_options.plan.maxTotalShares = 0;
+        m_options.plan.maxDaemonShare = 0;
     }
     for (process &one : m_processes) {
         one.clockAhead = {static_cast<std::int64_t>(random() * 1e9)};
-        one.desk.plan = m_options.plan;
-        one.desk.rules = m_options.rules;
-        if (m_options.way == quota_way::Equal) {
-            desk_shard &shard = one.desk.shards[shardOf(account)];
-            shard.contact = clockOf(one) - m_options.plan.aloneAfter;
-            shard.alone = 1.0 / options.daemons;
+        one.client.plan = m_options.plan;
+        one.client.rules = m_options.rules;
+        if (m_options.strategy == quota_strategy::Equal) {
+            quota_client_shard &shard = one.client.shards[shardOf(account)];
+            shard.lastContact = clockOf(one) - m_options.plan.fallbackAfter;
+            shard.fallbackShare = 1.0 / options.daemons;
         }
     }
-    if (m_options.way != quota_way::Equal) {
+    if (m_options.strategy != quota_strategy::Equal) {
         moveHome(0, true);
     }
 }
@@ -83,7 +83,7 @@
 {
     m_limit = limit;
     for (process &one : m_processes) {
-        briarhead::setLimit(one.desk, account, limit, clockOf(one));
+        briarhead::setLimit(one.client, account, limit, clockOf(one));
     }
 }
 
@@ -107,9 +107,9 @@
     one.frozenUntil = {};
     ++one.incarnation;
     one.clockAhead = {static_cast<std::int64_t>(random() * 1e9)};
-    one.desk = {};
-    one.desk.plan = m_options.plan;
-    one.desk.rules = m_options.rules;
+    one.client = {};
+    one.client.plan = m_options.plan;
+    one.client.rules = m_options.rules;
     introduceHome(one);
 }
 
@@ -127,14 +127,14 @@
 {
     if (!m_holders.empty()) {
         const holder &last = m_holders.back();
-        briarhead::setHome(one.desk, shardOf(account), nodeName(last.daemon), last.term, clockOf(one));
+        briarhead::setHome(one.client, shardOf(account), nodeName(last.daemon), last.term, clockOf(one));
     }
 }
 
 void quota_sim::moveHome(int daemon, bool handedOver)
 {
     // A home that was still waiting for its own predecessor's end has nothing to hand over.
-    handedOver = handedOver && (m_holders.empty() || m_now >= m_holders.back().givesFrom);
+    handedOver = handedOver && (m_holders.empty() || m_now >= m_holders.back().grantsFrom);
     if (!m_holders.empty()) {
         holder &before = m_holders.back();
         before.until = std::min(before.until, handedOver ? m_now : m_now + m_options.plan.takeoverWait);
@@ -148,8 +148,8 @@
     next.daemon = daemon;
     next.incarnation = one.incarnation;
     next.term = static_cast<std::int64_t>(m_holders.size()) + 1;
-    next.givesFrom = handedOver ? m_now : m_now + m_options.plan.takeoverWait;
-    next.book = beginHome(clockOf(one), handedOver);
+    next.grantsFrom = handedOver ? m_now : m_now + m_options.plan.takeoverWait;
+    next.book = startHome(clockOf(one), handedOver);
     std::vector<std::string> fleet;
     fleet.reserve(m_processes.size());
     for (int i = 0; i < m_options.daemons; ++i) {
@@ -165,7 +165,7 @@
 void quota_sim::loseHome()
 {
     for (process &one : m_processes) {
-        briarhead::setHome(one.desk, shardOf(account), "", 0, clockOf(one));
+        briarhead::setHome(one.client, shardOf(account), "", 0, clockOf(one));
     }
 }
 
@@ -200,13 +200,13 @@
             continue;
         }
         if (!each.isAsk) {
-            settle(each.to, takeAnswer(to.desk, each.answer, clockOf(to)));
+            settle(each.to, applyResponse(to.client, each.answer, clockOf(to)));
             continue;
         }
         for (holder &home : m_holders) {
             const bool gives =
                 home.daemon == each.to && home.incarnation == to.incarnation && m_now < home.until;
-            const auto answer = gives ? answerAsk(home.book, m_options.plan, m_options.rules, limits(),
+            const auto answer = gives ? handleRequest(home.book, m_options.plan, m_options.rules, limits(),
                                     {nodeName(each.from), each.incarnation, false}, each.ask, clockOf(to))
                                       : std::nullopt;
             if (answer) {
@@ -225,10 +225,10 @@
     m_taken.push_back({index, one.incarnation, cost, clockOf(one), m_now + wait});
 }
 
-void quota_sim::settle(int index, const std::vector<quota_settled> &settled)
+void quota_sim::settle(int index, const std::vector<resolved_waiter> &settled)
 {
     process &one = m_processes[static_cast<std::size_t>(index)];
-    for (const quota_settled &each : settled) {
+    for (const resolved_waiter &each : settled) {
         const auto found = std::find_if(one.waiting.begin(), one.waiting.end(), [&](const auto &waiter) {
             return waiter.first == each.id;
         });
@@ -237,7 +237,7 @@
         }
         const double cost = found->second;
         one.waiting.erase(found);
-        if (each.decision.verdict == quota_verdict::Granted) {
+        if (each.decision.result == quota_result::Granted) {
             granted(index, cost);
         }
     }
@@ -253,10 +253,10 @@
         const double cost = std::round(m_options.meanCost * (0.3 + 1.4 * random()));
         m_asked.push_back({m_now, index, cost});
         const std::uint64_t id = ++one.lastRequest;
-        const quota_decision decision = takeUnits(one.desk, account, m_limit, id, cost, clockOf(one));
-        if (decision.verdict == quota_verdict::Granted) {
+        const quota_decision decision = acquireUnits(one.client, account, m_limit, id, cost, clockOf(one));
+        if (decision.result == quota_result::Granted) {
             granted(index, cost);
-        } else if (decision.verdict == quota_verdict::Waits) {
+        } else if (decision.result == quota_result::Pending) {
             one.waiting.emplace_back(id, cost);
         }
     }
@@ -265,7 +265,7 @@
 void quota_sim::sendAsks(int index)
 {
     process &one = m_processes[static_cast<std::size_t>(index)];
-    for (const addressed_ask &each : asksDue(one.desk, m_processes.size(), clockOf(one))) {
+    for (const addressed_request &each : dueRequests(one.client, m_processes.size(), clockOf(one))) {
         for (int i = 0; i < m_options.daemons; ++i) {
             if (nodeName(i) == each.home) {
                 message sent;
@@ -294,13 +294,13 @@
     for (const taken &each : due) {
         process &one = m_processes[static_cast<std::size_t>(each.daemon)];
         const millis clock = clockOf(one);
-        bool holds = clock - each.at <= unitsLife(m_options.rules);
+        bool holds = clock - each.at <= unitsLifetime(m_options.rules);
         if (!holds) {
-            returnUnits(one.desk, account, each.cost, clock);
+            returnUnits(one.client, account, each.cost, clock);
             const std::uint64_t id = ++one.lastRequest;
-            const auto decision = takeUnits(one.desk, account, m_limit, id, each.cost, clock);
-            holds = decision.verdict == quota_verdict::Granted;
-            if (decision.verdict == quota_verdict::Waits) {
+            const auto decision = acquireUnits(one.client, account, m_limit, id, each.cost, clock);
+            holds = decision.result == quota_result::Granted;
+            if (decision.result == quota_result::Pending) {
                 one.waiting.emplace_back(id, each.cost);
             }
         }
@@ -318,7 +318,7 @@
     for (int i = 0; i < m_options.daemons; ++i) {
         process &one = m_processes[static_cast<std::size_t>(i)];
         if (runs(one)) {
-            settle(i, overdue(one.desk, clockOf(one)));
+            settle(i, expireWaiters(one.client, clockOf(one)));
             arrivals(i);
             sendAsks(i);
         }
@@ -337,13 +337,13 @@
 {
     double sum = 0;
     for (const process &one : m_processes) {
-        sum += runs(one) ? shareHere(one.desk, account, clockOf(one)) : 0;
+        sum += runs(one) ? localShare(one.client, account, clockOf(one)) : 0;
     }
     for (const holder &each : m_holders) {
         const process &one = m_processes[static_cast<std::size_t>(each.daemon)];
         if (runs(one) && one.incarnation == each.incarnation && m_now < each.until) {
             quota_home copy = each.book; // looking must not change when the home itself looks
-            sum += shareOfHome(copy, m_options.plan, limits(), account, clockOf(one));
+            sum += homeFillShare(copy, m_options.plan, limits(), account, clockOf(one));
         }
     }
     return sum;
--- a/tests/unit/quota_sim.h
+++ b/tests/unit/quota_sim.h
@@ -13,11 +13,11 @@
 namespace briarhead {
 
 /// How a limit is shared, for comparison.
-enum class quota_way : std::uint8_t
+enum class quota_strategy : std::uint8_t
 {
     Equal, ///< each daemon has the same fixed part
     HomeOnly, ///< every request asks the home
-    PartsAndHome, ///< parts by demand, and the home for the rest
+    SharesAndHome, ///< parts by demand, and the home for the rest
 };
 
 struct quota_sim_options
@@ -25,8 +25,8 @@
     int daemons = 12;
     quota_limit limit{10'000, 10'000};
     quota_rules rules{millis{8'000}, 0.1, 17'000};
-    quota_way way = quota_way::PartsAndHome;
-    quota_plan plan = usualQuotaPlan;
+    quota_strategy strategy = quota_strategy::SharesAndHome;
+    quota_plan plan = defaultQuotaPlan;
     double meanCost = 2'400;
     double loss = 0; ///< of messages
     double doubled = 0;
@@ -77,7 +77,7 @@
         millis clockAhead;
         int group = 0;
         double demand = 0;
-        quota_desk desk;
+        quota_client client;
         std::uint64_t lastRequest = 0;
         std::vector<std::pair<std::uint64_t, double>>
             waiting; ///< callers whose home is asked, and their cost
@@ -99,7 +99,7 @@
         int daemon = -1;
         std::uint64_t incarnation = 0;
         std::int64_t term = 0;
-        millis givesFrom;
+        millis grantsFrom;
         millis until{1'000'000'000}; ///< it gives nothing later
         quota_home book;
     };
@@ -127,7 +127,7 @@
     void deliver();
     void arrivals(int index);
     void granted(int index, double cost);
-    void settle(int index, const std::vector<quota_settled> &settled);
+    void settle(int index, const std::vector<resolved_waiter> &settled);
     void sendAsks(int index);
     void sendDue();
     double sharesInUse();
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -32,7 +32,7 @@
 
 quota_home homeOf(std::vector<std::string> fleet)
 {
-    quota_home home = beginHome(millis{100'000}, true);
+    quota_home home = startHome(millis{100'000}, true);
     setFleet(home, std::move(fleet));
     return home;
 }
@@ -55,12 +55,12 @@
         return std::optional(quota_limit{rate, rate});
     };
     std::mt19937 random(1);
-    quota_desk desk;
+    quota_client client;
     std::map<std::uint32_t, quota_home> homes;
     millis now{100'000};
     for (std::uint32_t shard = 0; shard < quotaShards; ++shard) {
         homes[shard] = homeOf({"a"});
-        setHome(desk, shard, "home", 1, now);
+        setHome(client, shard, "home", 1, now);
     }
     std::size_t bytes = 0;
     std::uint64_t id = 0;
@@ -68,14 +68,14 @@
         now = now + millis{10};
         if (std::uniform_real_distribution<double>(0, 100)(random) < perSecond) {
             const int account = std::uniform_int_distribution<int>(0, accounts - 1)(random);
-            (void)takeUnits(desk, accountHash(std::to_string(account)), *limits(0), ++id, cost, now);
+            (void)acquireUnits(client, accountHash(std::to_string(account)), *limits(0), ++id, cost, now);
         }
-        for (const addressed_ask &each : asksDue(desk, daemons, now)) {
+        for (const addressed_request &each : dueRequests(client, daemons, now)) {
             bytes += encode(fleet_datagram{"edge-zg-1", 1, each.ask}).size();
-            const auto answer =
-                answerAsk(homes[each.ask.shard], usualQuotaPlan, {}, limits, {"a", 1, true}, each.ask, now);
+            const auto answer = handleRequest(
+                homes[each.ask.shard], defaultQuotaPlan, {}, limits, {"a", 1, true}, each.ask, now);
             bytes += answer ? encode(fleet_datagram{"edge-zg-2", 1, *answer}).size() : 0;
-            (void)takeAnswer(desk, *answer, now);
+            (void)applyResponse(client, *answer, now);
         }
     }
     return static_cast<double>(bytes) / seconds;
@@ -290,44 +290,44 @@
 
 TEST(Quota, ARequestLargerThanItsAccountMayEverUseIsRefusedForGood)
 {
-    quota_desk desk;
+    quota_client client;
     const quota_limit limit{100, 100};
-    EXPECT_EQ(takeUnits(desk, 1, limit, 1, 1'000'000'000, millis{1'000}).verdict, quota_verdict::TooLarge);
+    EXPECT_EQ(acquireUnits(client, 1, limit, 1, 1'000'000'000, millis{1'000}).result, quota_result::TooLarge);
 }
 
 // A request took its units and found no place. They are there for the next one, and once only.
 TEST(Quota, UnitsOfARequestThatDidNotRunAreUsableAgainOnce)
 {
-    quota_desk desk;
-    desk.plan = usualQuotaPlan;
+    quota_client client;
+    client.plan = defaultQuotaPlan;
     const std::uint64_t account = accountHash("ana");
     const quota_limit limit{1'000, 1'000};
-    desk_shard &shard = desk.shards[shardOf(account)];
-    shard.contact = millis{100'000} - desk.plan.aloneAfter;
-    shard.alone = 1;
+    quota_client_shard &shard = client.shards[shardOf(account)];
+    shard.lastContact = millis{100'000} - client.plan.fallbackAfter;
+    shard.fallbackShare = 1;
     millis now{100'500}; // half a second's units are here
-    ASSERT_NE(takeUnits(desk, account, limit, 1, 1'000, now).verdict, quota_verdict::Granted);
+    ASSERT_NE(acquireUnits(client, account, limit, 1, 1'000, now).result, quota_result::Granted);
     now = now + second;
-    dropWaiter(desk, account, 1);
-    ASSERT_EQ(takeUnits(desk, account, limit, 2, 1'000, now).verdict, quota_verdict::Granted);
-    returnUnits(desk, account, 1'000, now);
-    EXPECT_EQ(takeUnits(desk, account, limit, 3, 1'000, now).verdict, quota_verdict::Granted);
-    EXPECT_NE(takeUnits(desk, account, limit, 4, 1'000, now).verdict, quota_verdict::Granted);
+    cancelWaiter(client, account, 1);
+    ASSERT_EQ(acquireUnits(client, account, limit, 2, 1'000, now).result, quota_result::Granted);
+    returnUnits(client, account, 1'000, now);
+    EXPECT_EQ(acquireUnits(client, account, limit, 3, 1'000, now).result, quota_result::Granted);
+    EXPECT_NE(acquireUnits(client, account, limit, 4, 1'000, now).result, quota_result::Granted);
 }
 
 // A daemon held a part, lost its home, and hears nothing for longer than the part lasts. What the home has
 // given to others meanwhile isn't used a second time here.
 TEST(Quota, APartThatHasRunOutFillsNoBucket)
 {
-    quota_desk desk;
+    quota_client client;
     const quota_limit limit{1'000, 1'000};
-    desk_account &account = desk.accounts[ana];
+    quota_client_account &account = client.accounts[ana];
     account.limit = limit;
-    account.part = 0.5;
-    account.partUntil = millis{101'000};
-    account.bucket.filled = millis{100'000};
-    EXPECT_EQ(takeUnits(desk, ana, limit, 1, 400, millis{100'900}).verdict, quota_verdict::Granted);
-    EXPECT_NE(takeUnits(desk, ana, limit, 2, 400, millis{110'000}).verdict, quota_verdict::Granted);
+    account.share = 0.5;
+    account.shareUntil = millis{101'000};
+    account.bucket.filledAt = millis{100'000};
+    EXPECT_EQ(acquireUnits(client, ana, limit, 1, 400, millis{100'900}).result, quota_result::Granted);
+    EXPECT_NE(acquireUnits(client, ana, limit, 2, 400, millis{110'000}).result, quota_result::Granted);
 }
 
 // An answer comes so late that the home may already go by the daemon's being cut off. It gives nothing and
@@ -335,20 +335,21 @@
 TEST(Quota, ALateAnswerGivesNothing)
 {
     for (const bool late : {false, true}) {
-        quota_desk desk;
+        quota_client client;
         const quota_limit limit{1'000, 1'000};
         const millis asked{100'000};
-        setHome(desk, shardOf(ana), "home", 1, asked);
-        ASSERT_EQ(takeUnits(desk, ana, limit, 1, 400, asked).verdict, quota_verdict::Waits);
-        const auto asks = asksDue(desk, 2, asked);
-        const auto ask = std::find_if(asks.begin(), asks.end(), [](const addressed_ask &each) {
+        setHome(client, shardOf(ana), "home", 1, asked);
+        ASSERT_EQ(acquireUnits(client, ana, limit, 1, 400, asked).result, quota_result::Pending);
+        const auto asks = dueRequests(client, 2, asked);
+        const auto ask = std::find_if(asks.begin(), asks.end(), [](const addressed_request &each) {
             return each.ask.shard == shardOf(ana);
         });
         ASSERT_NE(ask, asks.end());
         const quota_answer answer{shardOf(ana), ask->ask.round, 500'000, {{ana, 100'000, toMilli(400), 0}}};
-        const auto settled = takeAnswer(desk, answer, asked + answerLife + millis{late ? 1 : 0});
+        const auto settled =
+            applyResponse(client, answer, asked + quotaResponseTimeout + millis{late ? 1 : 0});
         EXPECT_EQ(settled.size(), late ? 0U : 1U);
-        EXPECT_EQ(desk.shards[shardOf(ana)].contact.has_value(), !late);
+        EXPECT_EQ(client.shards[shardOf(ana)].lastContact.has_value(), !late);
     }
 }
 
@@ -359,13 +360,13 @@
     quota_home home = homeOf({"a", "b"});
     const auto askOf = [&home](std::uint64_t incarnation, std::uint64_t round, std::uint32_t heldPpm) {
         const quota_ask ask{shardOf(ana), round, 0, 0, {{ana, 0, 0, heldPpm, 0, 0, 0}}};
-        return answerAsk(
-            home, usualQuotaPlan, {}, limitOfAna, {"a", incarnation, false}, ask, millis{101'000});
+        return handleRequest(
+            home, defaultQuotaPlan, {}, limitOfAna, {"a", incarnation, false}, ask, millis{101'000});
     };
     ASSERT_TRUE(askOf(1, 1, 0));
     ASSERT_TRUE(askOf(2, 1, 100'000));
     EXPECT_FALSE(askOf(1, 2, 0));
-    EXPECT_GE(home.accounts[ana].holdings["a"].part, 0.1);
+    EXPECT_GE(home.accounts[ana].holdings["a"].share, 0.1);
 }
 
 // A home stands still for ten seconds. A daemon that it had not heard for long takes to its equal part
@@ -374,13 +375,13 @@
 {
     quota_home home = homeOf({"a", "b"});
     millis now{101'000};
-    std::map<std::string, std::uint64_t> rounds;
+    std::map<std::string, std::uint64_t> recentRounds;
     const auto hear = [&](const std::string &node, double need) {
-        std::uint64_t &round = rounds[node];
+        std::uint64_t &round = recentRounds[node];
         const quota_ask ask{
             shardOf(ana), round + 1, round, 500'000, {{ana, 0, 0, 0, toMilli(need), toMilli(need), 0}}};
         ++round;
-        return answerAsk(home, usualQuotaPlan, {}, limitOfAna, {node, 1, true}, ask, now).has_value();
+        return handleRequest(home, defaultQuotaPlan, {}, limitOfAna, {node, 1, true}, ask, now).has_value();
     };
     for (int i = 0; i < 3; ++i) {
         now = now + millis{100};
--- a/tests/unit/replicas_test.cpp
+++ b/tests/unit/replicas_test.cpp
@@ -84,7 +84,7 @@
 RC_GTEST_PROP(
     Replicas, SitesStartAtTheFirstServerAndUseEachDomainBeforeAnyTwice, (const std::string &adapter))
 {
-    std::vector<replica_site> sites;
+    std::vector<replica_candidate> sites;
     std::vector<std::string> staying;
     std::set<std::string> domains;
     for (int i = 0; i < 12; ++i) {
@@ -95,7 +95,7 @@
         }
     }
     const auto count = *rc::gen::inRange(1U, 5U);
-    const auto chosen = replicaSites(adapter, sites, count);
+    const auto chosen = chooseReplicaServers(adapter, sites, count);
     RC_ASSERT(chosen.size() == std::min<std::size_t>(count, staying.size()));
     RC_ASSERT(rendezvousFirst(adapter, staying) == (chosen.empty() ? "" : chosen.front()));
     std::set<std::string> used;
--- a/tests/unit/retry_test.cpp
+++ b/tests/unit/retry_test.cpp
@@ -5,24 +5,25 @@
 
 namespace briarhead {
 
-RC_GTEST_PROP(Retry, NothingIsSentAgainThatMayRunTwiceOrIsOver, (bool idempotent, bool bytesToCaller))
+RC_GTEST_PROP(Retry, NothingIsSentAgainThatMayRunTwiceOrIsOver, (bool idempotent, bool responseStarted))
 {
-    const attempt_end end{.result = *rc::gen::element(outcome::Done, outcome::NotRun, outcome::Unknown),
+    const attempt_result end{.result = *rc::gen::element(outcome::Done, outcome::NotRun, outcome::Unknown),
         .why = static_cast<error_kind>(*rc::gen::inRange(0, static_cast<int>(error_kind::Internal) + 1)),
         .idempotent = idempotent,
-        .bytesToCaller = bytesToCaller,
+        .responseStarted = responseStarted,
         .attempts = *rc::gen::inRange(1U, 6U),
         .deadlineLeft = {*rc::gen::inRange(-10, 10)}};
     retry_budget budget;
     const auto decision = decideRetry(end, budget);
     const bool mayRunTwice = end.result == outcome::Unknown && !idempotent;
-    if (mayRunTwice || bytesToCaller || end.result == outcome::Done || end.attempts >= maxAttempts
+    if (mayRunTwice || responseStarted || end.result == outcome::Done || end.attempts >= maxAttempts
         || end.deadlineLeft <= millis{0}) {
         RC_ASSERT(decision == retry_decision::Stop);
-        RC_ASSERT(budget.tokens == retryBurst);
+        RC_ASSERT(budget.tokens == maxSavedRetries);
     }
     const bool redirected = end.result == outcome::NotRun && end.why == error_kind::NotOwner;
-    RC_ASSERT((decision == retry_decision::Stop || (decision == retry_decision::SameOwner) == redirected));
+    RC_ASSERT(
+        (decision == retry_decision::Stop || (decision == retry_decision::RetryNamedOwner) == redirected));
 }
 
 TEST(Retry, ARetryStormDiesOut)
@@ -30,26 +31,26 @@
     // All servers fail at once: without a budget each request would be sent three times, and the load that
     // keeps them failing would triple.
     retry_budget budget;
-    const attempt_end refused{
+    const attempt_result refused{
         .result = outcome::NotRun, .why = error_kind::Overloaded, .deadlineLeft = {1'000}};
     int retries = 0;
     for (int i = 0; i < 1'000; ++i) {
-        retries += decideRetry(refused, budget) == retry_decision::Elsewhere ? 1 : 0;
+        retries += decideRetry(refused, budget) == retry_decision::RetryOtherServer ? 1 : 0;
     }
-    EXPECT_EQ(retries, static_cast<int>(retryBurst));
+    EXPECT_EQ(retries, static_cast<int>(maxSavedRetries));
     for (int i = 0; i < 11; ++i) {
         countSuccess(budget);
     }
-    EXPECT_EQ(decideRetry(refused, budget), retry_decision::Elsewhere);
+    EXPECT_EQ(decideRetry(refused, budget), retry_decision::RetryOtherServer);
     EXPECT_EQ(decideRetry(refused, budget), retry_decision::Stop);
 }
 
 TEST(Retry, ARedirectCostsNothingAndACallersOwnErrorIsFinal)
 {
     retry_budget empty{.tokens = 0};
-    attempt_end end{
+    attempt_result end{
         .result = outcome::NotRun, .why = error_kind::NotOwner, .idempotent = false, .deadlineLeft = {1'000}};
-    EXPECT_EQ(decideRetry(end, empty), retry_decision::SameOwner);
+    EXPECT_EQ(decideRetry(end, empty), retry_decision::RetryNamedOwner);
     retry_budget full;
     end.why = error_kind::Forbidden;
     EXPECT_EQ(decideRetry(end, full), retry_decision::Stop);
@@ -58,31 +59,32 @@
 TEST(Breaker, OpensAfterFailuresAndLetsOneProbeThrough)
 {
     breaker state;
-    for (std::uint32_t i = 0; i < breakerFailures; ++i) {
+    for (std::uint32_t i = 0; i < minBreakerFailures; ++i) {
         EXPECT_TRUE(breakerAllows(state, {0}));
         breakerFailure(state, {0});
     }
-    EXPECT_TRUE(breakerOpen(state, {breakerFirstMs - 1}));
+    EXPECT_TRUE(breakerOpen(state, {minBreakerPauseMs - 1}));
     breakerFailure(state, {100});
-    EXPECT_FALSE(breakerOpen(state, {breakerFirstMs})) << "a straggler's failure doesn't lengthen the pause";
-    EXPECT_TRUE(breakerAllows(state, {breakerFirstMs}));
-    EXPECT_FALSE(breakerAllows(state, {breakerFirstMs}));
-    breakerFailure(state, {breakerFirstMs});
-    EXPECT_TRUE(breakerOpen(state, {breakerFirstMs + 2 * breakerFirstMs - 1}));
-    EXPECT_TRUE(breakerAllows(state, {breakerFirstMs + 2 * breakerFirstMs}));
+    EXPECT_FALSE(breakerOpen(state, {minBreakerPauseMs}))
+        << "a straggler's failure doesn't lengthen the pause";
+    EXPECT_TRUE(breakerAllows(state, {minBreakerPauseMs}));
+    EXPECT_FALSE(breakerAllows(state, {minBreakerPauseMs}));
+    breakerFailure(state, {minBreakerPauseMs});
+    EXPECT_TRUE(breakerOpen(state, {minBreakerPauseMs + 2 * minBreakerPauseMs - 1}));
+    EXPECT_TRUE(breakerAllows(state, {minBreakerPauseMs + 2 * minBreakerPauseMs}));
     breakerSuccess(state);
-    EXPECT_TRUE(breakerAllows(state, {breakerFirstMs + 2 * breakerFirstMs}));
+    EXPECT_TRUE(breakerAllows(state, {minBreakerPauseMs + 2 * minBreakerPauseMs}));
 }
 
 TEST(Breaker, AProbeWhoseEndIsNeverToldDoesntCloseTheServerForGood)
 {
     // The caller of the probe goes away, and nobody reports its end: the server would get no request again.
     breaker state;
-    for (std::uint32_t i = 0; i < breakerFailures; ++i) {
+    for (std::uint32_t i = 0; i < minBreakerFailures; ++i) {
         breakerFailure(state, {0});
     }
-    ASSERT_TRUE(breakerAllows(state, {breakerFirstMs}));
-    EXPECT_TRUE(breakerAllows(state, {breakerFirstMs + breakerMaxMs}));
+    ASSERT_TRUE(breakerAllows(state, {minBreakerPauseMs}));
+    EXPECT_TRUE(breakerAllows(state, {minBreakerPauseMs + maxBreakerPauseMs}));
 }
 
 }
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -52,7 +52,7 @@
     server_view server{.name = name};
     server.baseModel = *rc::gen::element<std::string>("base", "other");
     server.leaving = *rc::gen::arbitrary<bool>();
-    server.open = *rc::gen::arbitrary<bool>();
+    server.unavailable = *rc::gen::arbitrary<bool>();
     server.sentHere = *rc::gen::inRange(0U, 80U);
     server.hintedInFlight = *rc::gen::inRange(0U, 80U);
     server.batchLimit = *rc::gen::inRange(0U, 64U);
@@ -74,16 +74,16 @@
     auto query = queryFor(*rc::gen::element(names{}, names{"s1", "gone"}, names{"s2", "s3", "s4"}));
     query.tried = *rc::gen::element(names{}, names{"s2"}, names{"s1", "s3", "gone"});
     query.prefix = *rc::gen::inRange(0U, 4U);
-    const auto fit = [&](const server_view &server) {
-        return !server.leaving && !server.open && server.baseModel == "base"
+    const auto isEligible = [&](const server_view &server) {
+        return !server.leaving && !server.unavailable && server.baseModel == "base"
             && std::find(query.tried.begin(), query.tried.end(), server.name) == query.tried.end();
     };
     std::mt19937_64 random(1);
     for (const auto kind : allKinds) {
         const auto chosen = chooseServer(query, servers, *rc::gen::inRange(0, 11) / 10.0, kind, random);
-        RC_ASSERT(chosen.has_value() == std::any_of(servers.begin(), servers.end(), fit));
+        RC_ASSERT(chosen.has_value() == std::any_of(servers.begin(), servers.end(), isEligible));
         RC_ASSERT((!chosen || std::any_of(servers.begin(), servers.end(), [&](const auto &s) {
-            return s.name == *chosen && fit(s);
+            return s.name == *chosen && isEligible(s);
         })));
     }
 }
--- a/tests/unit/server_notices_test.cpp
+++ b/tests/unit/server_notices_test.cpp
@@ -22,70 +22,70 @@
 
 TEST(ServerWords, APauseEndsByItselfAndIsOfOneStartAndOneDaemon)
 {
-    server_words words;
-    EXPECT_TRUE(hearPause(words, "s@1", "n1", {3'000}, now));
-    EXPECT_EQ(pauseLeft(words, "s@1", "n1", now + millis{1'000}), millis{2'000});
-    EXPECT_EQ(pauseLeft(words, "s@1", "n2", now), millis{}) << "other daemons were not asked";
-    EXPECT_EQ(pauseLeft(words, "s@2", "n1", now), millis{}) << "its next start has not asked";
-    EXPECT_EQ(pauseLeft(words, "s@1", "n1", now + millis{3'000}), millis{});
+    server_notices notices;
+    EXPECT_TRUE(recordPause(notices, "s@1", "n1", {3'000}, now));
+    EXPECT_EQ(pauseLeft(notices, "s@1", "n1", now + millis{1'000}), millis{2'000});
+    EXPECT_EQ(pauseLeft(notices, "s@1", "n2", now), millis{}) << "other daemons were not asked";
+    EXPECT_EQ(pauseLeft(notices, "s@2", "n1", now), millis{}) << "its next start has not asked";
+    EXPECT_EQ(pauseLeft(notices, "s@1", "n1", now + millis{3'000}), millis{});
 }
 
 // A shorter pause that a late or a second answer asks for ended the one that stood.
 TEST(ServerWords, AShorterPauseDoesNotEndALongerOne)
 {
-    server_words words;
-    hearPause(words, "s", "n1", {3'000}, now);
-    EXPECT_FALSE(hearPause(words, "s", "n1", {500}, now + millis{100}));
-    EXPECT_EQ(pauseLeft(words, "s", "n1", now + millis{100}), millis{2'900});
-    EXPECT_TRUE(hearPause(words, "s", "n1", {3'000}, now + millis{100}));
-    EXPECT_EQ(pauseLeft(words, "s", "n1", now + millis{100}), millis{3'000});
+    server_notices notices;
+    recordPause(notices, "s", "n1", {3'000}, now);
+    EXPECT_FALSE(recordPause(notices, "s", "n1", {500}, now + millis{100}));
+    EXPECT_EQ(pauseLeft(notices, "s", "n1", now + millis{100}), millis{2'900});
+    EXPECT_TRUE(recordPause(notices, "s", "n1", {3'000}, now + millis{100}));
+    EXPECT_EQ(pauseLeft(notices, "s", "n1", now + millis{100}), millis{3'000});
 }
 
-// A server asked for a pause without end, and was never used again.
+// A server requestedUntil for a pause without end, and was never used again.
 TEST(ServerWords, AnAbsurdPauseIsCut)
 {
-    server_words words;
-    hearPause(words, "s", "n1", {1'000'000'000'000}, now);
-    EXPECT_EQ(pauseLeft(words, "s", "n1", now), longestPause);
-    EXPECT_FALSE(hearPause(words, "t", "n1", {-5}, now));
-    EXPECT_FALSE(hearPause(words, "t", "n1", {0}, now));
-    EXPECT_EQ(pauseLeft(words, "t", "n1", now), millis{});
+    server_notices notices;
+    recordPause(notices, "s", "n1", {1'000'000'000'000}, now);
+    EXPECT_EQ(pauseLeft(notices, "s", "n1", now), maxServerPause);
+    EXPECT_FALSE(recordPause(notices, "t", "n1", {-5}, now));
+    EXPECT_FALSE(recordPause(notices, "t", "n1", {0}, now));
+    EXPECT_EQ(pauseLeft(notices, "t", "n1", now), millis{});
 }
 
 TEST(ServerWords, LeavingIsFinalForOneStart)
 {
-    server_words words;
-    EXPECT_TRUE(hearLeaving(words, "s@1", now));
-    EXPECT_FALSE(hearLeaving(words, "s@1", now + millis{500}));
-    EXPECT_TRUE(isLeaving(words, "s@1"));
-    EXPECT_FALSE(isLeaving(words, "s@2"));
+    server_notices notices;
+    EXPECT_TRUE(recordLeaving(notices, "s@1", now));
+    EXPECT_FALSE(recordLeaving(notices, "s@1", now + millis{500}));
+    EXPECT_TRUE(isLeaving(notices, "s@1"));
+    EXPECT_FALSE(isLeaving(notices, "s@2"));
 }
 
 // What is kept grew with every server that ever left or paused.
 TEST(ServerWords, WhatIsOverIsForgotten)
 {
-    server_words words;
+    server_notices notices;
     for (int i = 0; i < 100; ++i) {
-        hearLeaving(words, "old@" + std::to_string(i), now);
-        hearPause(words, "old@" + std::to_string(i), "n1", {1'000}, now);
+        recordLeaving(notices, "old@" + std::to_string(i), now);
+        recordPause(notices, "old@" + std::to_string(i), "n1", {1'000}, now);
     }
-    const millis later = now + leavingKept + millis{1};
-    hearLeaving(words, "s", later);
-    hearPause(words, "s", "n1", {1'000}, later);
-    EXPECT_EQ(words.leaving.size(), 1U);
-    EXPECT_EQ(words.pauses.size(), 1U);
+    const millis later = now + leavingRetention + millis{1};
+    recordLeaving(notices, "s", later);
+    recordPause(notices, "s", "n1", {1'000}, later);
+    EXPECT_EQ(notices.leaving.size(), 1U);
+    EXPECT_EQ(notices.pauses.size(), 1U);
 }
 
 RC_GTEST_PROP(ServerWords, OfSeveralPausesTheOneThatEndsLastStands, ())
 {
-    server_words words;
+    server_notices notices;
     millis last;
     millis at = now;
     for (const int pause : *rc::gen::container<std::vector<int>>(rc::gen::inRange(-100, 20'000))) {
         at = at + millis{*rc::gen::inRange(0, 3'000)};
-        hearPause(words, "s", "n1", {pause}, at);
+        recordPause(notices, "s", "n1", {pause}, at);
         last = std::max(last, pause > 0 ? at + millis{pause} : millis{});
-        RC_ASSERT(pauseLeft(words, "s", "n1", at) == std::max(last - at, millis{}));
+        RC_ASSERT(pauseLeft(notices, "s", "n1", at) == std::max(last - at, millis{}));
     }
 }
 
