--- a/packages/coordination/admission.cpp
+++ b/packages/coordination/admission.cpp
@@ -8,15 +8,17 @@
 
 namespace {
 
-/// Coming back sooner than this would cost more than it brings.
+/// A caller that returns sooner than this costs more than the earlier start is worth.
 constexpr double minRetryAfterMs = 50;
-/// The share of queue places from which a priority is shed, in the order of `priority`.
+/// The fraction of the queue's capacity from which requests are refused, by priority in the order of
+/// `priority`.
 constexpr std::array<double, 4> shedShare{1.0, 0.95, 0.8, 0.5};
 static_assert(shedShare.size() == static_cast<std::size_t>(priority::Low) + 1);
-/// From this share of queue places on, a caller is held to its fair share of them.
+/// A caller is held to its fair share of the queue once the queue is filled to this fraction.
 constexpr double fairnessFrom = 0.5;
 
-/// How far the queue has to drain before the request would be accepted, or nothing when it is now.
+/// How many requests have to leave the queue before the request would be accepted; nothing: it is accepted
+/// now.
 using excess = std::optional<double>;
 
 std::uint32_t freePlaces(const admission_view &queue)
@@ -29,7 +31,7 @@
     return std::max(queue.waiting, queue.waitingAhead);
 }
 
-/// Time in which one place of a full batch comes free.
+/// Mean time between two requests that leave a full batch.
 double msPerPlace(const admission_view &queue)
 {
     return queue.meanServiceMs / std::max(queue.batchLimit, 1U);
@@ -40,7 +42,7 @@
     return queue.resident ? 0 : queue.slotFreeInMs + (queue.loadsAhead + 1.0) * queue.loadMs;
 }
 
-/// Waiting for a place and waiting for the adapter overlap, so the longer one counts.
+/// Waiting for a place in the batch and waiting for the adapter overlap, so only the longer wait counts.
 double expectedWaitMs(const admission_view &queue)
 {
     const std::uint32_t free = freePlaces(queue);
@@ -53,8 +55,8 @@
     return queue.resident && queue.waitingAhead < freePlaces(queue);
 }
 
-/// Guards against an overload in which all priorities time out together: the last places of the queue are
-/// kept for the better ones, and lower ones learn at once that they were not run.
+/// Reserves the end of the queue for the higher priorities, so that under overload not all priorities time
+/// out together. Requests of lower priority are refused at once.
 excess overPriorityShare(const admission_view &queue, priority rank)
 {
     const double accepted = queue.waitingLimit * shedShare[static_cast<std::size_t>(rank)];
@@ -62,7 +64,7 @@
     return waiting + 1 <= accepted ? excess() : waiting + 1 - accepted;
 }
 
-/// Guards against one busy caller that fills the queue, so that the others' requests are refused.
+/// Prevents one busy caller from filling the queue, which would refuse the other callers' requests.
 excess overFairShare(const admission_view &queue)
 {
     const double from = queue.waitingLimit * fairnessFrom;
@@ -74,8 +76,9 @@
     if (queue.callerWaiting < share) {
         return std::nullopt;
     }
-    // Accepted again when the queue is half full or when the caller's own requests are within its share.
-    // Its own are spread through the queue, so each of them takes as long as a turn of all callers.
+    // The caller is accepted again when the queue is half full or when its own requests are within its share.
+    // Its requests are spread through the queue, so each of them takes as long as one request of every
+    // caller.
     const double ownTurns = (queue.callerWaiting + 1 - share) * std::max(queue.callersWaiting, 1U);
     return std::min(waiting - from, ownTurns);
 }
@@ -95,7 +98,8 @@
 admission_decision admit(const admission_view &queue, priority rank, millis deadlineLeft)
 {
     const double waitMs = expectedWaitMs(queue);
-    // A deadline shorter than the service alone is never met; then the drained queue is the best hint.
+    // A deadline shorter than the service time alone can never be met; the best hint then is when the queue
+    // is empty.
     const double lateMs = waitMs + queue.meanServiceMs - static_cast<double>(deadlineLeft.count);
     if (lateMs > 0 || deadlineLeft <= millis{0}) {
         return refuse(error_kind::DeadlineTooShort, waitMs, std::min(lateMs, waitMs));
@@ -105,7 +109,7 @@
         const excess unfair = overFairShare(queue);
         if (shed || unfair) {
             const double drainMs = std::max(shed.value_or(0), unfair.value_or(0)) * msPerPlace(queue);
-            // Requests that wait for loads leave the queue no sooner than the load under way ends.
+            // Requests that wait for loads don't leave the queue before the current load ends.
             return refuse(
                 error_kind::Overloaded, waitMs, queue.resident ? drainMs : std::max(drainMs, queue.loadMs));
         }
--- a/packages/coordination/admission.h
+++ b/packages/coordination/admission.h
@@ -11,51 +11,53 @@
 
 namespace briarhead {
 
-/// The state of a server's queue as its owner knows it when a request asks for admission.
+/// The queue of one server, as its owner knows it when a request asks for admission.
 struct admission_view
 {
-    std::uint32_t inFlight = 0;
+    std::uint32_t inFlight = 0; ///< requests running in the batch
     std::uint32_t batchLimit = 1;
-    std::uint32_t waitingAhead = 0; ///< of the same or better priority
-    std::uint32_t waiting = 0; ///< of all priorities; waitingAhead counts when it is more
-    std::uint32_t waitingLimit = 0; ///< queue places, 0: none
+    std::uint32_t waitingAhead = 0; ///< queued requests of the same or a higher priority
+    std::uint32_t waiting =
+        0; ///< queued requests of all priorities; waitingAhead counts instead if it is larger
+    std::uint32_t waitingLimit = 0; ///< capacity of the queue; 0: nothing may queue
     double meanServiceMs = 0; ///< of a request in the batch
-    bool resident = false;
-    std::uint32_t loadsAhead = 0; ///< loads that go before the one it needs, in the whole store as known
-    double loadMs = 0; ///< of one load
-    double slotFreeInMs = 0; ///< until a slot for it can come free at the earliest; 0: any time
-    std::uint32_t callerWaiting = 0; ///< this caller's requests in this queue
-    std::uint32_t callersWaiting = 1; ///< callers with requests in this queue, this one included
+    bool resident = false; ///< the request's adapter is loaded
+    std::uint32_t loadsAhead = 0; ///< loads known to start before the one that the request needs
+    double loadMs = 0; ///< mean time of one load
+    double slotFreeInMs = 0; ///< earliest time at which an adapter slot can be freed; 0: any time
+    std::uint32_t callerWaiting = 0; ///< this caller's requests in the queue
+    std::uint32_t callersWaiting = 1; ///< callers with requests in the queue, including this one
 };
 
-/// Admitted, or refused at once with the time after which coming back helps.
+/// Whether a request is admitted; if it isn't, when a retry can succeed.
 struct admission_decision
 {
     bool admitted = false;
     error_kind why = error_kind::None; ///< Overloaded or DeadlineTooShort
-    millis expectedWait;
-    millis retryAfter;
+    millis expectedWait; ///< until the request would start
+    millis retryAfter; ///< set if it is refused
 };
 
-/// Admits a request only if it can start in time; the expected wait comes from the queue's real state.
-/// A caller with more than its share of a nearly full queue is refused first, and low priorities are
-/// shed before high ones as the queue fills.
+/// Admits a request only if it can start and finish before its deadline, judged by the current queue.
+/// As the queue fills, low priorities are refused before high ones, and a caller that holds more than its
+/// fair share of a half full queue is refused before the others.
 admission_decision admit(const admission_view &queue, priority rank, millis deadlineLeft);
 
-/// A rule's per-second and in-flight limits for one caller on one entry.
+/// State of a rule's limits (requests per second and in flight) for one caller on one entry.
 struct caller_limit
 {
     std::uint32_t inFlight = 0;
     double tokens = 0;
-    millis filledAt;
-    bool isNew = true;
-    double meanHeldMs = 0; ///< time a request stays in flight
+    millis filledAt; ///< when the token bucket was last filled
+    bool isNew = true; ///< the bucket has not been filled yet
+    double meanHeldMs = 0; ///< mean time that a request stays in flight
 };
 
-/// Takes one request's worth (a token, and a place in flight until releaseCallerLimit) and returns nothing,
-/// or says how long until one is free.
+/// Takes a token and an in-flight place for one request and returns nothing. If the caller is over its limit,
+/// takes nothing and returns the time until there is room. The place is held until releaseCallerLimit().
 std::optional<millis> acquireCallerLimit(caller_limit &limit, const rule_config &rule, millis now);
-/// A request that acquireCallerLimit let through has ended after `held`.
+/// Releases the in-flight place of a request that acquireCallerLimit() let through, after it was held for
+/// `held`.
 void releaseCallerLimit(caller_limit &limit, millis held);
 
 }
--- a/packages/coordination/crash_history.cpp
+++ b/packages/coordination/crash_history.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Makes room for one more by what was seen longest ago among those that are not blocked, or among all.
+/// Makes room for one more request by removing the one seen least recently; blocked requests are removed
+/// last.
 void makeRoom(crash_history &history)
 {
     const auto goesFirst = [](const auto &a, const auto &b) {
--- a/packages/coordination/crash_history.h
+++ b/packages/coordination/crash_history.h
@@ -10,34 +10,37 @@
 #include <string>
 #include <vector>
 
-// Which requests have ended backend servers: a request can crash each server that begins to run it, and comes
-// again under new ids and at any daemon. It is known by its fingerprint (request_fingerprint.h). Pure state.
+// Which requests have crashed backend servers. A request may crash each server that runs it, and may come
+// back under new ids and through any daemon, so it is identified by its fingerprint (request_fingerprint.h).
+// This is pure state without I/O.
 namespace briarhead {
 
-/// After so many ends a request goes to no server any more. A server that fails for a reason of its own ends
-/// all that it runs, so one end says little and two happen to honest requests in an outage; three starts of
-/// servers that end under the same bytes, with no whole answer in between, are no chance.
+/// Number of server crashes after which a request is blocked. A server that fails for its own reasons fails
+/// all the requests that it runs, so one crash proves little, and two happen to harmless requests in an
+/// outage. Three incarnations that crash under the same request, with no complete response in between, are
+/// not a coincidence.
 constexpr std::size_t crashesToBlock = 3;
-/// After so many all daemons are to know: the third end may come anywhere, and any daemon's whole answer
-/// clears the request.
+/// Number of crashes after which all daemons are notified: the third crash may be seen by any daemon, and any
+/// daemon may see the complete response that clears the request.
 constexpr std::size_t crashesToShare = 2;
-/// A request that nobody has sent for so long is forgotten.
+/// A request that nobody has sent for this long is forgotten.
 constexpr millis crashRetention{3'600'000};
-/// Guards against: an outage ends three servers at once that all ran what many callers ask for, and these are
-/// refused though the servers are back. Holds because a blocked request is tried again after each of these
-/// waits, by one daemon of all, and a whole answer clears it. Two tries: a request that does end servers ends
-/// two more in ten minutes, and none after that.
+/// Delays after which a blocked request is sent once more as a probe, by a single daemon. A complete response
+/// clears it. Without probes, an outage of three servers at once would block the popular requests that they
+/// were running even after the servers are back. There are only two probes, so that a request which does
+/// crash servers crashes two more within ten minutes and none after that.
 using probe_delays = std::array<millis, 2>;
 constexpr probe_delays probeDelays{millis{10'000}, millis{600'000}};
-/// Requests remembered at most: some 200 bytes each, 2 MB of a daemon's 256.
+/// Limit on the tracked requests: some 200 bytes each, 2 MB of a daemon's 256 MB.
 constexpr std::size_t maxTrackedRequests = 10'000;
 
+/// What is known of one request that was running when a server crashed.
 struct tracked_request
 {
-    std::set<std::string> incarnations; ///< starts of servers that ended under it, up to crashesToBlock
-    millis lastSeen; ///< when it was last told of or asked for
-    std::uint32_t probes = 0; ///< tries since it is blocked
-    millis delayFrom; ///< when it was blocked, or tried last, as far as known here
+    std::set<std::string> incarnations; ///< server incarnations that crashed under it, at most crashesToBlock
+    millis lastSeen; ///< when it was last reported or requested
+    std::uint32_t probes = 0; ///< probes sent since it was blocked
+    millis delayFrom; ///< when it was blocked or last probed, as far as is known here
 };
 
 struct crash_history
@@ -46,21 +49,21 @@
     probe_delays delays = probeDelays;
 };
 
-/// Adds starts of servers that ended under a request; whether any is new.
+/// Records server incarnations that crashed under a request. Returns whether any of them is new.
 bool recordCrashes(crash_history &history, const std::string &fingerprint,
     const std::vector<std::string> &servers, millis now);
-/// The servers that are known to have ended under it.
+/// The server incarnations that are known to have crashed under the request.
 std::vector<std::string> crashesOf(const crash_history &history, const std::string &fingerprint);
 bool isBlocked(const crash_history &history, const std::string &fingerprint);
-/// A daemon has made its so manieth try.
+/// Records that a daemon has sent probe number `probes` of a blocked request. Lower numbers are ignored.
 void recordProbes(crash_history &history, const std::string &fingerprint, std::uint32_t probes, millis now);
 std::uint32_t probesOf(const crash_history &history, const std::string &fingerprint);
-/// How long a blocked request is refused for at least; not positive: it is to be tried.
+/// The time until a blocked request may be probed; zero or negative: a probe is due.
 millis timeUntilProbe(const crash_history &history, const std::string &fingerprint, millis now);
-/// Remembers it for as long again.
+/// Restarts the retention time of a request.
 void refreshLastSeen(crash_history &history, const std::string &fingerprint, millis now);
 void forget(crash_history &history, const std::string &fingerprint);
-/// Fingerprints whose time is over.
+/// Fingerprints of the requests whose retention time is over.
 std::vector<std::string> expiredRequests(const crash_history &history, millis now);
 
 }
--- a/packages/coordination/crash_task.cpp
+++ b/packages/coordination/crash_task.cpp
@@ -12,15 +12,16 @@
 namespace {
 
 constexpr millis tickInterval{1'000};
-/// A process that has ended refuses connections at once; a host that is gone never answers.
+/// A crashed process refuses connections at once, but a host that is down never responds.
 constexpr millis connectTimeout{700};
-/// A server is off the platform's list after some heartbeats of silence, 3.6 s and a little: who vanishes so
-/// soon after an answer that broke off has ended under it.
+/// A server is removed from the platform's list after several missed heartbeats, which takes 3.6 s and a
+/// little more. A server that is removed this soon after its response broke off counts as crashed under the
+/// request.
 constexpr millis suspicionTimeout{6'000};
 constexpr std::size_t maxSuspicions = 1'000;
-/// Records in the store at most, some 150 bytes each, which every daemon reads at its start.
+/// Limit on the records in the store; each is some 150 bytes, and every daemon reads them all when it starts.
 constexpr std::size_t maxStoredRecords = 1'000;
-/// A daemon that goes on refusing a request tells its homes so this often, well within crashRetention.
+/// How often a daemon that keeps refusing a request notifies its homes, well within crashRetention.
 constexpr millis keepAliveInterval{600'000};
 
 }
@@ -69,7 +70,7 @@
     return starts.size() >= crashesToBlock;
 }
 
-// ---- which servers have ended, and under which requests
+// ---- which servers have crashed, and under which requests
 
 void crash_task::onResponseBroken(const std::string &fingerprint, const crash_target &target)
 {
@@ -90,8 +91,8 @@
     m_suspected.push_back({fingerprint, target, bootNow(), checking});
 }
 
-/// An answer that broke off may have been lost on its way, by a server that lives. A closed port tells an end
-/// within a round trip, where the platform's list takes seconds.
+/// The connection may have failed although the server is up. A closed port shows a crash within one round
+/// trip, whereas the platform's list takes seconds.
 void crash_task::checkConnection(const crash_target &target)
 {
     if (m_connectionChecks.count(target.incarnation) != 0) {
@@ -106,14 +107,14 @@
 void crash_task::onConnectResult(const std::string &incarnation, reach result)
 {
     const auto handle =
-        m_connectionChecks.extract(incarnation); // dropped only after this call, which it made
+        m_connectionChecks.extract(incarnation); // kept alive until the end of this call, which it made
     if (result == reach::Refuses) {
         countCrashes(extractSuspicions([&incarnation](const suspected_crash &each) {
             return each.target.incarnation == incarnation;
         }));
         return;
     }
-    for (suspected_crash &each : m_suspected) { // whether the list drops it tells the rest
+    for (suspected_crash &each : m_suspected) { // the platform's list shows later whether they crashed
         each.checking = each.checking && each.target.incarnation != incarnation;
     }
 }
@@ -137,7 +138,7 @@
 void crash_task::countCrashes(const std::vector<suspected_crash> &ended)
 {
     for (const suspected_crash &each : ended) {
-        if (!applyCrashes(each.fingerprint, {each.target.incarnation}, "seen here")) {
+        if (!applyCrashes(each.fingerprint, {each.target.incarnation}, "observed here")) {
             continue;
         }
         ++m_counters.serverCrashes;
@@ -146,7 +147,7 @@
     }
 }
 
-/// Whether anything is new.
+/// Records crashes under a request and logs them. Returns whether any of them is new.
 bool crash_task::applyCrashes(
     const std::string &fingerprint, const std::vector<std::string> &servers, std::string_view source)
 {
@@ -178,8 +179,8 @@
         return;
     }
     ++m_counters.cleared;
-    m_callbacks.log(
-        {crash_event::Cleared, fingerprint, {}, crashedIncarnations(fingerprint).size(), "answered whole"});
+    m_callbacks.log({crash_event::Cleared, fingerprint, {}, crashedIncarnations(fingerprint).size(),
+        "complete response"});
     clear(fingerprint);
     if (const crash_record record = m_callbacks.storedRecord(fingerprint); !record.servers.empty()) {
         m_recordsToRemove[fingerprint] = record;
@@ -203,7 +204,7 @@
             if (stands) {
                 recordProbes(m_history, fingerprint, probes, bootNow());
                 m_callbacks.log({crash_event::Probed, fingerprint, {},
-                    crashedIncarnations(fingerprint).size(), "its wait is over"});
+                    crashedIncarnations(fingerprint).size(), "probe delay is over"});
                 broadcast(reportOf(fingerprint));
             }
             done(stands);
@@ -226,7 +227,7 @@
     }
 }
 
-// ---- what daemons tell each other, and keep in the store
+// ---- reports between daemons, and records in the store
 
 std::vector<std::string> crash_task::homesOf(const std::string &fingerprint) const
 {
@@ -253,7 +254,7 @@
     return {fingerprint, crashedIncarnations(fingerprint), probesOf(m_history, fingerprint)};
 }
 
-/// What this daemon saw goes to the homes.
+/// Sends what this daemon knows of the request to its homes.
 void crash_task::notifyHomes(const std::string &fingerprint)
 {
     const crash_news news = reportOf(fingerprint);
@@ -266,7 +267,7 @@
     }
 }
 
-/// A home's part: from two ends on all daemons are told, and the store keeps it.
+/// Done by a home: from crashesToShare crashes on, notifies all daemons and stores the record.
 void crash_task::notifyAll(const std::string &fingerprint)
 {
     const crash_news news = reportOf(fingerprint);
@@ -276,7 +277,7 @@
     }
 }
 
-/// Whether the store lacks ends that it is to keep.
+/// Whether the store lacks crashes that it should have.
 bool crash_task::lacksStoredRecord(const std::string &fingerprint) const
 {
     const std::size_t crashes = crashedIncarnations(fingerprint).size();
@@ -288,7 +289,7 @@
 void crash_task::storeRecord(const std::string &fingerprint)
 {
     if (lacksStoredRecord(fingerprint)) {
-        // Whether it stands shows at the next look.
+        // tick() checks whether the write succeeded.
         m_callbacks.storeRecord(
             fingerprint, {crashedIncarnations(fingerprint), probesOf(m_history, fingerprint)}, [](bool) {});
     }
@@ -297,13 +298,13 @@
 void crash_task::onReport(const crash_news &news)
 {
     if (news.fingerprint.size() != fingerprintDigits) {
-        return; // it would be no key of the store
+        return; // not a valid key of the store
     }
     if (news.servers.empty()) {
         clear(news.fingerprint);
         return;
     }
-    const bool isNew = applyCrashes(news.fingerprint, news.servers, "told by a daemon");
+    const bool isNew = applyCrashes(news.fingerprint, news.servers, "reported by a daemon");
     recordProbes(m_history, news.fingerprint, news.trials, bootNow());
     refreshLastSeen(m_history, news.fingerprint, bootNow());
     if (isNew && isHome(news.fingerprint)) {
@@ -318,14 +319,15 @@
     if (record.servers.empty()) {
         m_recordsToRemove.erase(fingerprint);
         clear(fingerprint);
-    } else if (!isOld) { // written since it was cleared: crashedIncarnations anew
+    } else if (!isOld) { // written after it was cleared, so it counts
         m_recordsToRemove.erase(fingerprint);
-        applyCrashes(fingerprint, record.servers, "read in the store");
+        applyCrashes(fingerprint, record.servers, "read from the store");
         recordProbes(m_history, fingerprint, record.trials, bootNow());
     }
 }
 
-/// An earlier try may have failed. What was written since then is another matter.
+/// Retries the removal of cleared requests' records, which may have failed. Records that were written since
+/// are kept.
 void crash_task::removeClearedRecords()
 {
     std::erase_if(m_recordsToRemove, [this](const auto &each) {
--- a/packages/coordination/crash_task.h
+++ b/packages/coordination/crash_task.h
@@ -18,11 +18,11 @@
 
 namespace briarhead {
 
-/// Daemons that count the ends under one request, first by rendezvous hash, so that the death of one loses
-/// no count.
+/// Number of daemons that count the crashes under one request: the first by rendezvous hash of its
+/// fingerprint. With more than one, no count is lost when a daemon dies.
 constexpr std::size_t crashHomeCount = 2;
 
-/// Posted when a request goes to no server from now on.
+/// Posted when a request becomes blocked: no server may receive it any more.
 struct request_blocked
 {
     std::string fingerprint;
@@ -32,109 +32,114 @@
 struct crash_target
 {
     std::string server; ///< its name in the platform's list
-    std::string incarnation; ///< which start of it: another one after each restart
+    std::string incarnation; ///< changes with each restart of the server
     peer_address address;
 };
 
 enum class crash_event : std::uint8_t
 {
-    Counted, ///< a server ended under it
-    Blocked, ///< it goes to no server from now on
-    Probed, ///< it goes to one server more
-    Cleared, ///< a server ran it to an end
+    Counted, ///< a server crashed under the request
+    Blocked, ///< the request is not sent to servers any more
+    Probed, ///< the blocked request is sent to one server as a probe
+    Cleared, ///< a server gave a complete response to the request
 };
 
-/// "counted", ...
+/// The name for logs: "counted", "blocked", "tried" or "cleared".
 std::string_view nameOf(crash_event value);
 
-/// What the task tells the log.
+/// An event that the task reports to the log.
 struct crash_log_entry
 {
     crash_event event = crash_event::Counted;
     std::string fingerprint;
-    std::string server; ///< the one that ended last
+    std::string server; ///< the incarnation that crashed last
     std::size_t crashes = 0;
-    std::string_view source; ///< how it became known here
+    std::string_view source; ///< how this daemon learned of it
 };
 
-/// The task's ways to the other daemons, to the store and to the log; each daemon program has its own.
+/// The task's access to the other daemons, the store and the log; each daemon program supplies its own.
 struct crash_callbacks
 {
     std::string self;
-    /// All that may count for a request, `self` among them.
+    /// All daemons that may be homes of a request, including `self`.
     std::function<std::vector<std::string>()> daemons;
     std::function<void(const std::string &daemon, const crash_news &news)> send;
-    /// The record of a request as last read; without servers: none.
+    /// The record of a request as last read; a record without servers: none is stored.
     std::function<crash_record(const std::string &fingerprint)> storedRecord;
     std::function<std::size_t()> recordCount;
-    /// Writes a record in place of the one last read; `done`, never from inside, says whether it stands. Of
-    /// several daemons that do so at once one succeeds.
+    /// Replaces the record that was last read. `done` is called later, never from within, with whether the
+    /// write succeeded. Of several daemons that write at once, one succeeds.
     std::function<void(
         const std::string &fingerprint, const crash_record &record, std::function<void(bool)> done)>
         storeRecord;
     std::function<void(const std::string &fingerprint)> removeRecord;
-    std::function<void(const crash_log_entry &note)> log;
+    std::function<void(const crash_log_entry &entry)> log;
 };
 
 struct crash_counters
 {
-    std::uint64_t serverCrashes = 0; ///< of servers, under requests that this daemon had sent there
+    std::uint64_t serverCrashes = 0; ///< under requests that this daemon had sent to the server
     std::uint64_t blocked = 0; ///< requests that became blocked
-    std::uint64_t cleared = 0; ///< requests of which a server gave a whole answer after all
+    std::uint64_t cleared = 0; ///< requests that got a complete response after a crash
 };
 
-/// Guards against: a request that crashes each server that runs it, sent again and again by its caller. It
-/// shows as servers that end one after the other, each with the answers of all its callers. Holds because the
-/// daemon that loses an answer finds out whether the server has ended, and tells the daemons that count for
-/// that request; from two ends on these tell all others, and keep it in the store for those that start later.
-/// Of all that a server ran when it ended, only what ends further servers is crashedIncarnations on.
+/// Blocks requests that crash every server that runs them. Without it, a request that its caller keeps
+/// repeating takes down one server after another, each with the responses of all its callers.
+///
+/// The daemon that loses a response finds out whether the server crashed, and notifies the homes of the
+/// request. From crashesToShare crashes on, the homes notify all daemons and store a record for daemons that
+/// start later. Of all the requests that a server ran when it crashed, only those under which further servers
+/// crash reach crashesToBlock.
 class crash_task
 {
 public:
     crash_task(
         loop &eventLoop, bus &messages, crash_callbacks callbacks, const probe_delays &delays = probeDelays);
 
-    /// Whether a request goes to no server any more.
+    /// Whether the request may no longer be sent to a server.
     bool isBlocked(const std::string &fingerprint) const;
-    /// The servers that are known here to have ended under it.
+    /// The server incarnations that are known here to have crashed under the request.
     std::vector<std::string> crashedIncarnations(const std::string &fingerprint) const;
-    /// Whether it would be blocked if the servers of which it isn't known yet have ended. It isn't sent a
-    /// further time then by this daemon itself.
+    /// Whether the request would be blocked if every server that is still being checked has crashed. Until
+    /// that is known, this daemon does not send it again.
     bool mayBecomeBlocked(const std::string &fingerprint) const;
 
-    /// The answer of a server that doesn't leave broke off.
+    /// The response of a server that is not leaving broke off.
     void onResponseBroken(const std::string &fingerprint, const crash_target &target);
-    /// A send was given up here while the server was at work on it.
+    /// This daemon gave up on a request that the server was processing.
     void onSendAbandoned(const std::string &fingerprint, const crash_target &target);
-    /// A server ran it to an end and is still there.
+    /// A server completed the request and is still up.
     void onResponseComplete(const std::string &fingerprint);
-    /// A blocked request is asked for, which keeps it remembered. `done`, never from inside, gets whether it
-    /// is tried: sent to a server, by the caller of this and no other daemon.
+    /// To be called when a blocked request arrives, which also keeps it remembered. `done` is called later,
+    /// never from within, with whether the caller is to send it to a server as a probe; only one daemon gets
+    /// true.
     void requestProbe(const std::string &fingerprint, std::function<void(bool)> done);
-    /// When to come back with a blocked request: when it is tried again, or forgotten.
+    /// The time until a blocked request may be probed, or until it is forgotten if no probes are left.
     millis blockedRetryAfter(const std::string &fingerprint) const;
-    /// A server has ended, or started again, without having said that it would leave.
+    /// A server has gone or restarted without having announced that it was leaving.
     void onServerCrashed(const std::string &server);
+    /// A report from another daemon.
     void onReport(const crash_news &news);
-    /// What was read in the store; without servers: its record has gone.
+    /// A record was read from the store; a record without servers: it has been removed.
     void onStoredRecord(const std::string &fingerprint, const crash_record &record);
     const crash_counters &counters() const;
 
 private:
-    /// A server that may have ended under a request.
+    /// A server that may have crashed under a request.
     struct suspected_crash
     {
         std::string fingerprint;
         crash_target target;
         millis suspectedAt;
-        bool checking = false;
+        bool checking = false; ///< a connection attempt to the server is in progress
     };
 
     void addSuspicion(const std::string &fingerprint, const crash_target &target, bool checking);
     void checkConnection(const crash_target &target);
     void onConnectResult(const std::string &incarnation, reach result);
-    std::vector<suspected_crash> extractSuspicions(const std::function<bool(const suspected_crash &)> &which);
-    void countCrashes(const std::vector<suspected_crash> &ended);
+    std::vector<suspected_crash> extractSuspicions(
+        const std::function<bool(const suspected_crash &)> &matches);
+    void countCrashes(const std::vector<suspected_crash> &crashed);
     bool applyCrashes(
         const std::string &fingerprint, const std::vector<std::string> &servers, std::string_view source);
     void keepAlive(const std::string &fingerprint);
@@ -156,10 +161,11 @@
     crash_history m_history;
     crash_counters m_counters;
     std::deque<suspected_crash> m_suspected; ///< oldest first
-    std::map<std::string, std::shared_ptr<void>> m_connectionChecks; ///< by start of a server
-    std::set<std::string> m_toResend; ///< fingerprints told once, by messages that may be lost
-    std::map<std::string, crash_record> m_recordsToRemove; ///< cleared, and still in the store as it was then
-    std::map<std::string, millis> m_keepAliveSentAt; ///< when the homes were last told that it is asked for
+    std::map<std::string, std::shared_ptr<void>> m_connectionChecks; ///< by incarnation of the server
+    std::set<std::string> m_toResend; ///< fingerprints reported once, by messages that may be lost
+    std::map<std::string, crash_record> m_recordsToRemove; ///< of cleared requests, as they were when cleared
+    std::map<std::string, millis>
+        m_keepAliveSentAt; ///< when the homes last learned that it is still requested
     std::shared_ptr<void> m_timer;
 };
 
--- a/packages/coordination/eviction.cpp
+++ b/packages/coordination/eviction.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// How hot the newcomer is. A queue counts besides the slow average, which a sudden shift of popularity
-/// moves too late; a single waiting request is no sign of hotness.
+/// How hot the newcomer is. The length of its queue counts as well as the slow average, which reacts too late
+/// to a sudden shift of popularity. A single waiting request says nothing.
 double hotnessOf(double newcomerRate, std::uint32_t newcomerWaiting)
 {
     if (newcomerWaiting <= 1) {
@@ -16,19 +16,19 @@
     return std::max(newcomerRate, (newcomerWaiting - 1) * 1000.0 / minResidenceMs);
 }
 
-/// Whether an arrival before the end of the least residence is likely enough for a slot to be kept that long.
-/// Adapters asked for once in a while have nothing to thrash with. Keeping them too would give the youngest
-/// slots of a server to its coldest adapters and unload hotter ones in their place.
+/// Whether another request within minResidenceMs is likely enough to keep a young adapter that long. Adapters
+/// that are rarely requested can't thrash. Protecting them too would give a server's youngest slots to its
+/// coldest adapters and evict hotter ones instead.
 bool isProtectedWhileYoung(const slot_view &slot)
 {
     constexpr double likelyArrivals = 0.1;
     return slot.rate * minResidenceMs / 1000.0 >= likelyArrivals;
 }
 
-/// Whether the newcomer is worth the slot. Guards against thrash: two adapters that share the last slot
-/// would unload each other on every request, seen as loads a minute near the store's limit while nearly
-/// all requests stall. A young slot yields only to something much hotter, and a prefetch (nobody waits)
-/// never displaces what is about as hot.
+/// Whether a slot should be given to the newcomer. Without this check, two adapters that share the last slot
+/// evict each other on every request: the load rate approaches the store's limit while nearly all requests
+/// stall. A young slot yields only to a much hotter adapter, and a prefetch (no request waits) never evicts
+/// an adapter that is about as hot.
 bool yieldsTo(const slot_view &slot, double hotness, bool hasWaiters, millis now)
 {
     const bool young = now - slot.loadedAt < millis{minResidenceMs} && isProtectedWhileYoung(slot);
@@ -47,8 +47,8 @@
 
 bool isEvictable(const slot_view &slot)
 {
-    // Guards against unloading an adapter under a request, which the caller would see as a broken or wrong
-    // answer. Counts are first-hand: one task admits to and evicts from a server, so none can be missed.
+    // Unloading an adapter while a request runs on it would give the caller a broken or wrong response. The
+    // counts are complete, because a single task admits requests to a server and evicts from it.
     return slot.inFlight == 0 && slot.waiting == 0 && !slot.pinned && !slot.loading;
 }
 
--- a/packages/coordination/load_order.cpp
+++ b/packages/coordination/load_order.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Urgency is a sum of terms of different size, so that it can be compared between owners as one number:
-/// waiting before prefetch, then priority; within a priority slack, penalty and count weigh in.
+/// The urgency is a sum of terms of different magnitude, so that owners can compare it as a single number:
+/// waiting requests come before prefetching, then the priority; within a priority, slack, penalty and count
+/// matter.
 constexpr double waitingUrgency = 10'000;
 constexpr double priorityUrgency = 1'500;
 constexpr double slackUrgency = 500;
@@ -16,13 +17,13 @@
 constexpr double countUrgency = 400;
 constexpr double prefetchUrgency = 1'000;
 
-/// Slack at which half of the slack's urgency is left.
+/// The slack at which half of the slack term is left.
 constexpr double halfSlackMs = 2'000;
-/// Summed penalty and count at which half of their urgency is reached.
+/// The penalty and count at which half of their terms is reached.
 constexpr double halfPenalty = 10;
 constexpr double halfCount = 4;
 
-/// Starts that may be saved up: one, so that an idle store doesn't begin with a burst of slow loads.
+/// Loads that may be saved up: one, so that an idle store doesn't start with a burst of slow loads.
 constexpr double maxSavedLoads = 1;
 
 constexpr std::int64_t minBackoffMs = 500;
@@ -33,11 +34,11 @@
     return value <= 0 ? 0 : value / (value + half);
 }
 
-/// Less slack is more urgent; none at all is not, since the soonest waiting request is lost either way and
-/// the load should not take the store from one that still helps.
-double slackTerm(const load_demand &need, millis now, double loadMs)
+/// Less slack is more urgent. Negative slack is not: that request is lost in any case, and its load should
+/// not take the store from one that still helps.
+double slackTerm(const load_demand &demand, millis now, double loadMs)
 {
-    const double slackMs = static_cast<double>((need.earliestDeadline - now).count) - loadMs;
+    const double slackMs = static_cast<double>((demand.earliestDeadline - now).count) - loadMs;
     return slackMs < 0 ? 0 : slackUrgency * (1 - saturating(slackMs, halfSlackMs));
 }
 
@@ -68,8 +69,8 @@
     }
 }
 
-/// Guards against a dead owner that holds the store's budget for good, seen as loads that stop everywhere:
-/// what its owner no longer confirms by asking repeated is taken back.
+/// Removes requests and grants that their owner has not repeated in time. Otherwise a dead owner would hold
+/// the store's budget forever, and loads would stop on all servers.
 void removeExpired(load_budget &budget, millis now)
 {
     std::erase_if(budget.waiting, [now](const load_budget::request &request) {
@@ -80,7 +81,8 @@
     });
 }
 
-/// Grants whose owner asks on, since the answer may have been lost. They cost nothing, being counted already.
+/// Grants whose owner requested them again, because the response may have been lost. They cost no further
+/// tokens.
 std::vector<load_budget::grant> extractResends(load_budget &budget)
 {
     std::vector<load_budget::grant> repeated;
@@ -95,26 +97,26 @@
 
 }
 
-double loadUrgency(const load_demand &need, millis now, double loadMs)
+double loadUrgency(const load_demand &demand, millis now, double loadMs)
 {
-    if (need.waiting == 0) {
-        return prefetchUrgency * saturating(need.rate, 1);
+    if (demand.waiting == 0) {
+        return prefetchUrgency * saturating(demand.rate, 1);
     }
-    const double ranksAbove = static_cast<double>(priority::Low) - static_cast<double>(need.bestPriority);
-    return waitingUrgency + ranksAbove * priorityUrgency + slackTerm(need, now, loadMs)
-        + penaltyUrgency * saturating(need.penalty, halfPenalty)
-        + countUrgency * saturating(need.waiting, halfCount);
+    const double ranksAbove = static_cast<double>(priority::Low) - static_cast<double>(demand.bestPriority);
+    return waitingUrgency + ranksAbove * priorityUrgency + slackTerm(demand, now, loadMs)
+        + penaltyUrgency * saturating(demand.penalty, halfPenalty)
+        + countUrgency * saturating(demand.waiting, halfCount);
 }
 
-std::optional<std::size_t> nextLoad(std::span<const load_demand> needs, millis now, double loadMs)
+std::optional<std::size_t> nextLoad(std::span<const load_demand> demands, millis now, double loadMs)
 {
     std::optional<std::size_t> next;
     double nextUrgency = 0;
-    for (std::size_t i = 0; i < needs.size(); ++i) {
-        const double urgency = loadUrgency(needs[i], now, loadMs);
-        const bool wanted = needs[i].waiting > 0 || needs[i].rate > 0;
+    for (std::size_t i = 0; i < demands.size(); ++i) {
+        const double urgency = loadUrgency(demands[i], now, loadMs);
+        const bool wanted = demands[i].waiting > 0 || demands[i].rate > 0;
         const bool older =
-            next && urgency == nextUrgency && needs[i].oldestArrival < needs[*next].oldestArrival;
+            next && urgency == nextUrgency && demands[i].oldestArrival < demands[*next].oldestArrival;
         if (wanted && (!next || urgency > nextUrgency || older)) {
             next = i;
             nextUrgency = urgency;
@@ -183,7 +185,7 @@
     }
     const double longest =
         std::min(minBackoffMs * std::exp2(failures - 1.0), static_cast<double>(maxBackoffMs));
-    // Half of it is random, so that the owners which failed together don't come back together.
+    // Half of it is random, so that owners whose loads failed together don't retry together.
     return static_cast<std::int64_t>(longest * (0.5 + 0.5 * std::clamp(random01, 0.0, 1.0)));
 }
 
--- a/packages/coordination/owner_engine.cpp
+++ b/packages/coordination/owner_engine.cpp
@@ -1,4 +1,4 @@
-// What the owner task learns from an engine itself: its state, its restarts, what it still runs.
+// What the owner task learns from an engine itself: its state, its restarts and the requests it still runs.
 #include "coordination/owner_task.h"
 
 #include <spdlog/spdlog.h>
@@ -13,8 +13,8 @@
 
 }
 
-/// What an answer of the engine's says of it, also in an answer that is about something else. What waits goes
-/// back to its entries at once.
+/// Handles what an engine announces about itself, which any of its responses may contain. Waiting requests
+/// are refused at once, so that their entries can try other servers.
 void owner_task::onServerNotice(const std::string &name, const answer_words &notice)
 {
     owned_server *server = find(name);
@@ -24,11 +24,12 @@
     const std::string incarnation = incarnationOf(*server);
     const millis now = bootNow();
     if (notice.leaving && recordLeaving(m_notices, incarnation, now)) {
-        spdlog::info("owner: {} says that it is leaving.", incarnation);
+        spdlog::info("owner: {} announced that it is leaving; refusing its waiting requests.", incarnation);
         refuseWaiting(*server, nullptr, error_kind::NoServer, "the server is leaving", {});
     }
     if (recordPause(m_notices, incarnation, m_options.self, notice.pause, now)) {
-        spdlog::info("owner: {} wants nothing for {} ms.", incarnation, notice.pause.count);
+        spdlog::info("owner: {} asked for a pause of {} ms; refusing its waiting requests.", incarnation,
+            notice.pause.count);
         refuseWaiting(*server, nullptr, error_kind::Overloaded, "the server wants a pause",
             spreadRetryAfter(remainingPause(*server)));
     }
@@ -59,15 +60,15 @@
 {
     const bool restarted = server.stateKnown && state.incarnation != server.incarnation;
     if (restarted) {
-        spdlog::warn("owner: {} restarted. Its adapters are gone.", server.instance.name);
-        // Guards against: the engine forgot its fencing number with everything else, so it would take an
-        // order of an older owner again. It shows as an adapter unloaded under a new stream. Nothing is run
-        // or loaded there until our number stands on it anew.
+        spdlog::warn("owner: {} restarted and lost its adapters.", server.instance.name);
+        // The engine has forgotten its fencing token with everything else, so it would accept an order of an
+        // earlier owner again, which could unload an adapter under a new stream. Nothing is run or loaded
+        // there until it knows our token again.
         server.claimLost = server.checksFencing;
         m_bus.post(engine_restarted{server.instance.name});
         m_crashes.onServerCrashed(server.instance.name);
         server.baseLoadOrdered = false;
-        // Nothing of before the restart runs there any more.
+        // Requests that started before the restart can't be running any more.
         std::vector<request_id> ended;
         for (const auto &[id, job] : m_awaitingEngineEnd) {
             if (job.request.server == server.instance.name) {
@@ -105,16 +106,17 @@
             slot.resident = false;
             slot.pinned = false;
         }
-        // Arrival rates of adapters that nobody asks for any more are dropped, so that memory follows use.
+        // Adapters that are no longer requested are removed, so that memory use follows demand.
         const bool idle = !slot.resident && !slot.loading && !slot.unloading && slot.inFlight == 0
             && slot.waiting.empty() && decayed(slot.arrivals, now).slow < 0.001 && slot.notBefore <= now;
         entry = idle ? server.adapters.erase(entry) : std::next(entry);
     }
-    // A cold engine has no base model: order the job that the live list names for it.
+    // An engine that has just started has no base model: order it to load the one that the live list names.
     if (state.baseModel.empty() && state.role != "loading" && !server.baseLoadOrdered && acceptsWork(server)
         && mayOrder(order_kind::Role, server.checksFencing, m_leaseUntil, now)) {
         server.baseLoadOrdered = true;
-        spdlog::info("owner: {} loads its base model {}.", server.instance.name, server.instance.service);
+        spdlog::info(
+            "owner: ordering {} to load its base model {}.", server.instance.name, server.instance.service);
         server.guardedClient->role("serving", server.instance.service, server.fencingToken, stateTimeout,
             [this, name = server.instance.name](const engine_order_end &response) {
                 if (owned_server *found = find(name); found != nullptr && !response.ok) {
@@ -133,8 +135,8 @@
             if (found == nullptr || !found->isOwned || !report) {
                 return;
             }
-            // Only a report made after our own claim tells what the old owner's tenure left running; job made
-            // before it may miss a request that the old owner handed over later.
+            // Only a report made after our own claim shows which requests of the previous owner are still
+            // running. An earlier one may miss a request that the previous owner sent later.
             if (!found->checksFencing || report->fencing < found->fencingToken) {
                 return;
             }
--- a/packages/coordination/owner_loads.cpp
+++ b/packages/coordination/owner_loads.cpp
@@ -1,4 +1,4 @@
-// The loads and evictions of the owner task: adapter adapter, with whose leave, into adapter slot.
+// Adapter loads and evictions of the owner task, and its requests to the load budget's broker.
 #include "coordination/owner_task.h"
 #include "coordination/rendezvous.h"
 
@@ -12,10 +12,10 @@
 
 constexpr millis loadTimeout{30'000};
 constexpr millis unloadTimeout{2'000};
-/// A load without a broker's leave starts after this long without an answer.
+/// A load may start without a grant after the broker has not responded for this long.
 constexpr std::int64_t brokerTimeoutMs = 1'500;
 constexpr std::int64_t ticketRefreshMs = 1'000;
-/// Assumed time of a load before the first job was seen.
+/// Assumed time of a load until the first one has completed.
 constexpr double assumedLoadMs = 500;
 constexpr double newestSampleWeight = 0.2;
 
@@ -36,20 +36,20 @@
         if (slot.resident || slot.loading || slot.unloading || slot.waiting.empty() || slot.notBefore > now) {
             continue;
         }
-        load_demand need;
-        need.adapter = ref;
-        need.waiting = static_cast<std::uint32_t>(slot.waiting.size());
-        need.rate = decayed(slot.arrivals, now).slow;
-        need.bestPriority = priority::Low;
-        need.earliestDeadline = now + millis{3'600'000};
-        need.oldestArrival = now;
+        load_demand demand;
+        demand.adapter = ref;
+        demand.waiting = static_cast<std::uint32_t>(slot.waiting.size());
+        demand.rate = decayed(slot.arrivals, now).slow;
+        demand.bestPriority = priority::Low;
+        demand.earliestDeadline = now + millis{3'600'000};
+        demand.oldestArrival = now;
         for (const request_id &id : slot.waiting) {
             const request_job &job = m_jobs.at(id);
-            need.bestPriority = std::min(need.bestPriority, job.request.rank);
-            need.earliestDeadline = std::min(need.earliestDeadline, job.deadline);
-            need.oldestArrival = std::min(need.oldestArrival, job.arrived);
+            demand.bestPriority = std::min(demand.bestPriority, job.request.rank);
+            demand.earliestDeadline = std::min(demand.earliestDeadline, job.deadline);
+            demand.oldestArrival = std::min(demand.oldestArrival, job.arrived);
         }
-        demands.push_back(std::move(need));
+        demands.push_back(std::move(demand));
     }
     return demands;
 }
@@ -71,7 +71,8 @@
         startGrantedLoad(server);
         return;
     }
-    // A leave that can't be used is a load of the store's rate lost to all: ask once there is room for it.
+    // An unused grant wastes some of the store's rate for everyone, so it is requested only once there is
+    // room.
     if (usedSlots(server) >= server.slots && !chooseVictim(server, demands[*next].adapter)) {
         releaseTicket(server);
         return;
@@ -79,22 +80,22 @@
     requestLoadGrant(server, demands[*next]);
 }
 
-void owner_task::requestLoadGrant(owned_server &server, const load_demand &need)
+void owner_task::requestLoadGrant(owned_server &server, const load_demand &demand)
 {
     const millis now = bootNow();
     const bool isNewTicket = !server.ticket;
     if (isNewTicket) {
         server.ticket = m_nextTicket++;
     } else if (now - server.ticketRequestedAt < millis{ticketRefreshMs}
-        && server.ticketAdapter == need.adapter) {
+        && server.ticketAdapter == demand.adapter) {
         return;
     }
-    // No broker answered: load by our own share of the rate. A broken broker costs rate and never stops
-    // loads.
-    const adapter_slot &wanted = server.adapters[need.adapter];
+    // No broker has responded: use this daemon's own share of the rate. A failed broker costs some rate but
+    // can't stop all loads.
+    const adapter_slot &wanted = server.adapters[demand.adapter];
     const double perSecond =
         m_config ? m_config->policy.storeLoadsPerSecond : policy_config{}.storeLoadsPerSecond;
-    const bool brokerMayRespond = now - need.oldestArrival < millis{brokerTimeoutMs};
+    const bool brokerMayRespond = now - demand.oldestArrival < millis{brokerTimeoutMs};
     if (!isNewTicket && !brokerMayRespond && !wanted.waiting.empty()
         && mayLoadWithoutBroker(perSecond, m_liveDaemons, now - m_lastLoadWithoutBroker)) {
         m_lastLoadWithoutBroker = now;
@@ -103,12 +104,12 @@
         return;
     }
     server.ticketRequestedAt = now;
-    server.ticketAdapter = need.adapter;
+    server.ticketAdapter = demand.adapter;
     load_ask ask;
     ask.ticket = *server.ticket;
     ask.server = server.instance.name;
-    ask.adapter = need.adapter;
-    ask.urgency = loadUrgency(need, now, server.meanLoadMs == 0 ? assumedLoadMs : server.meanLoadMs);
+    ask.adapter = demand.adapter;
+    ask.urgency = loadUrgency(demand, now, server.meanLoadMs == 0 ? assumedLoadMs : server.meanLoadMs);
     m_bus.post(send_to{rendezvousFirst("store-budget", m_brokers), ask});
 }
 
@@ -152,17 +153,19 @@
     } else if (const auto victim = chooseVictim(server, adapter)) {
         unload(server, *victim);
     } else {
-        // Every slot is in use or promised. The leave goes to another server; the requests wait for a slot.
+        // Every slot is in use or awaited by requests. Releases the grant to other servers; the requests wait
+        // for a slot.
         releaseTicket(server);
     }
 }
 
-/// When a slot for an adapter can come free at the earliest, in the past if job may be had now.
+/// The earliest time at which a slot for an adapter can become free; a time in the past: one can be freed
+/// now.
 ///
-/// Guards against: on an engine that ignores fencing nothing is evicted while an earlier owner may have
-/// streams there, for up to half an hour after a takeover. With every slot used, a request for another
-/// adapter was let wait for a load that could not come, until its caller's time was over; six callers in turn
-/// got three answers in 30 s. Told at once that it was not run, the entry asks another server.
+/// On an engine that checks no fencing tokens, nothing is evicted while a previous owner may still have
+/// streams there, for up to half an hour after a takeover. If all slots are used, a request for another
+/// adapter must not wait for a load that can't happen until its caller times out: six callers in turn got
+/// three responses in 30 s that way. It is refused at once as not run, and the entry tries another server.
 millis owner_task::slotAvailableAt(const owned_server &server, const adapter_slot *wanted, millis now) const
 {
     const bool there = wanted != nullptr && (wanted->resident || wanted->loading);
@@ -170,7 +173,7 @@
     return kept ? server.mayEvictAt : now;
 }
 
-/// The adapter to unload for `wanted`, or nothing when every slot is in use, promised or hotter.
+/// The adapter to evict for `wanted`, or nothing if every slot is in use, awaited by requests, or hotter.
 std::optional<adapter_ref> owner_task::chooseVictim(
     const owned_server &server, const adapter_ref &wanted) const
 {
@@ -205,8 +208,8 @@
 void owner_task::unload(owned_server &server, const adapter_ref &adapter)
 {
     adapter_slot &slot = server.adapters[adapter];
-    // Guards against: a request admitted to the slot while the unload order is on its way. From here until
-    // the order's answer the slot counts as neither resident nor free, so nothing is started on it.
+    // No request may be sent to the slot while the unload order is on its way. From here until the response,
+    // the slot counts as neither resident nor free.
     slot.unloading = true;
     server.orderPending = true;
     const std::string name = server.instance.name;
@@ -221,14 +224,13 @@
             unloaded.resident = unloaded.resident && !response.ok && response.certain;
             unloaded.unloading = !response.certain;
             if (!response.certain) {
-                // Guards against: an unload without an answer arrives late, after a run was sent over another
-                // connection, and hits it. Until no order can still be on its way, nothing runs on the
-                // adapter.
+                // The order may still arrive after a run that is sent over another connection, and hit that
+                // run. Nothing runs on the adapter until no order can be on its way any more.
                 releaseUnloadLater(name, adapter);
             }
             if (!response.ok) {
                 spdlog::warn(
-                    "owner: {} did not unload {}: {}", name, toString(adapter), message(response.why));
+                    "owner: {} failed to unload {}: {}", name, toString(adapter), message(response.why));
                 found->polledAt = {};
             }
             if (response.why.kind == error_kind::StaleFencing) {
@@ -257,7 +259,7 @@
     server.orderPending = true;
     const std::string name = server.instance.name;
     const millis startedAt = bootNow();
-    // A load goes into a free slot and takes nothing from anybody, so it does not go through the guarded
+    // A load goes into a free slot and takes nothing from any other owner, so it doesn't need the guarded
     // client.
     server.client->load(adapter, server.fencingToken, loadTimeout,
         [this, name, adapter, startedAt](const engine_order_end &response) {
@@ -296,9 +298,10 @@
     const double random01 = std::uniform_real_distribution<double>(0, 1)(m_random);
     const millis pause{loadBackoffMs(slot.failures, random01)};
     slot.notBefore = now + pause;
-    spdlog::warn("owner: {} did not load {}: {} Next try in {} ms.", server.instance.name, toString(adapter),
-        message(response.why), pause.count);
-    // Those who wait get their answer now: the entry tries another server while their deadline allows.
+    spdlog::warn("owner: {} failed to load {}: {} Next attempt in {} ms.", server.instance.name,
+        toString(adapter), message(response.why), pause.count);
+    // The waiting requests are refused now, so that their entries can try another server before their
+    // deadlines.
     refuseWaiting(server, &adapter, error_kind::LoadFailed, "loading failed", pause);
     dispatchWaiting(server);
 }
--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -1,5 +1,4 @@
-// The requests of the owner task: admission, the queue of a server, the hand-over to its engine, and their
-// end.
+// Requests in the owner task: admission, queueing, sending to the engine, and completion.
 #include "coordination/owner_task.h"
 #include "coordination/rendezvous.h"
 
@@ -11,12 +10,12 @@
 
 namespace {
 
-/// Queue places of a server, in batches: what can start within about this many service times.
+/// Capacity of a server's queue, in batches: what can start within about this many service times.
 constexpr std::uint32_t maxQueuedBatches = 4;
 /// Weight of a new sample in the running means.
 constexpr double newestSampleWeight = 0.1;
-/// A caller whose adapter finds no slot comes back this soon at the latest: an earlier owner's end shows in
-/// about a second, and other servers' slots change as often.
+/// Maximum retry time for a caller whose adapter finds no slot. The end of a previous owner is noticed within
+/// about a second, and the slots of other servers change as often.
 constexpr millis maxPinnedSlotRetryAfter{1'000};
 
 }
@@ -44,7 +43,7 @@
         + (ownWaiting == server.callersWaiting.end() ? 1U : 0U);
     admission_decision decision = admit(queue, request.rank, {request.deadlineMs});
     if (queue.slotFreeInMs > 0) {
-        // The earlier owner may be heard to have ended any time, and other servers may have room.
+        // The previous owner may turn out to have ended at any time, and other servers may have free slots.
         decision.retryAfter = std::min(decision.retryAfter, maxPinnedSlotRetryAfter);
     }
     return decision;
@@ -63,7 +62,7 @@
         m_bus.post(send_to{from, runEnd});
         return;
     }
-    // Guards against: the same frame delivered twice would run twice. A request id is used once.
+    // A request id is used once, so this frame is a duplicate and must not run again.
     if (m_jobs.count(request.id) != 0) {
         return;
     }
@@ -137,7 +136,8 @@
     }
 }
 
-/// The waiting request to start next: best priority, then the earliest deadline, of resident adapters.
+/// The waiting request to start next, among those whose adapter is loaded: the highest priority first, then
+/// the earliest deadline.
 owner_task::request_job *owner_task::nextJob(owned_server &server)
 {
     request_job *best = nullptr;
@@ -178,7 +178,8 @@
     m_jobs.erase(job.request.id);
 }
 
-/// Waiting for an engine that it won't be handed to would only cost its caller time.
+/// Refuses the waiting requests with this fingerprint, which has become blocked. They would not be sent to
+/// the engine anyway, and waiting would only cost their callers time.
 void owner_task::refuseWaitingWithFingerprint(const std::string &fingerprint)
 {
     std::vector<request_id> waiting;
@@ -200,7 +201,8 @@
     const millis now = bootNow();
     dequeue(server, job);
     if (!job.request.trial
-        && m_crashes.isBlocked(job.request.fingerprint)) { // since it was admitted, or its entry hadn't heard
+        && m_crashes.isBlocked(
+            job.request.fingerprint)) { // blocked after admission, or its entry did not know
         refuseBlocked(job);
         return;
     }
@@ -230,11 +232,11 @@
             }
             request_job &running = found->second;
             const millis queued = running.startedAt - running.arrived - running.stall;
-            // Guards against: an engine that answers from a neighbour's adapter or an older version. It shows
-            // as another name in the engine's own header; no byte of that answer has gone out yet.
+            // The engine may have used another adapter or an older version, which shows in its own header. No
+            // byte of the response has been sent to the caller yet.
             if (adapter != toString(running.request.adapter)) {
-                spdlog::error("owner: {} ran {} for {}. The answer is dropped.", running.request.server,
-                    adapter, toString(running.request.adapter));
+                spdlog::error("owner: {} ran adapter {} instead of {}; dropping its response.",
+                    running.request.server, adapter, toString(running.request.adapter));
                 finishRun(id,
                     {outcome::Unknown, {error_kind::Internal, running.request.server, "wrong adapter"}, {}});
                 return;
@@ -253,7 +255,8 @@
         });
 }
 
-/// Whether the engine may have ended under a run: its answer broke off, or the run was given up.
+/// Tells the crash task whether the engine completed the request or may have crashed under it: its response
+/// broke off, or this daemon gave up on the run.
 void owner_task::reportToCrashTask(
     const request_job &job, const owned_server &server, const engine_run_end &response)
 {
@@ -270,7 +273,7 @@
         m_crashes.onSendAbandoned(fingerprint, job.target);
     }
     const bool restarted = job.target.incarnation != incarnationOf(server);
-    if (restarted) { // seen by the poll before the connection broke
+    if (restarted) { // the poll noticed it before the connection broke
         m_crashes.onServerCrashed(server.instance.name);
     }
 }
@@ -305,7 +308,7 @@
         m_bus.post(fencing_refused{job.request.server, server->fencingToken + 1});
     }
     if (response.result != outcome::Done) {
-        // The engine may have restarted, be leaving, or no longer have the adapter. Look again.
+        // The engine may have restarted, be leaving, or have lost the adapter: poll it at the next tick.
         server->polledAt = {};
     }
     run_end runEnd{id, response.result, response.why.kind, response.why.detail, response.retryAfter.count};
@@ -350,10 +353,10 @@
         id, {outcome::Unknown, {error_kind::Timeout, job.request.server, "cancelled while running"}, {}});
 }
 
-/// Keeps the place of a run that ended here but perhaps not on the engine. Guards against: a stream breaks
-/// off or is cancelled, its slot looks free, and the adapter is unloaded under a request that the engine
-/// still runs. The place is given back when the engine confirms the cancel, at the latest at the request's
-/// deadline, adapter the engine was told.
+/// Keeps the place of a run that ended here but may still run on the engine. Otherwise, after a stream breaks
+/// off or is cancelled, its slot would look free, and the adapter could be unloaded under a request that the
+/// engine still runs. The place is released when the engine confirms the cancellation, at the latest at the
+/// request's deadline, which the engine knows.
 void owner_task::awaitEngineEnd(const request_job &job)
 {
     m_awaitingEngineEnd[job.request.id] = job;
@@ -406,9 +409,9 @@
     }
 }
 
-/// Requests whose adapter is loaded and that wait for a place in the batch. Those that wait for a load take
-/// no place yet: crashedIncarnations as fill they would send other adapters' requests to servers that have to
-/// load them too.
+/// The number of requests that wait for a place in the batch and whose adapter is loaded. Requests that wait
+/// for a load take no place yet: if they counted as fill, other adapters' requests would go to servers that
+/// have to load those adapters first.
 std::uint32_t owner_task::waitingForBatch(const owned_server &server) const
 {
     std::size_t count = 0;
@@ -446,9 +449,9 @@
     owned_server &server, const adapter_ref &adapter, adapter_slot &slot)
 {
     const std::vector<replica_candidate> &candidates = m_replicaCandidates[server.instance.service];
-    // Only the adapter's first server by rendezvous hash speaks for it, so entries hear job voice. Who that
-    // is changes with the list of servers alone; hashing thousands of them for each answer would cost too
-    // much.
+    // Only the adapter's first server by rendezvous hash announces its replicas, so that entries get
+    // consistent lists. That server changes only with the list of servers, and hashing thousands of them for
+    // each response would be too expensive, so the result is cached.
     if (slot.candidatesRevision != m_candidatesRevision) {
         const auto nameAt = [&candidates](std::size_t i) -> std::string_view {
             return candidates[i].server;
@@ -468,11 +471,11 @@
         policy.stallWeight = m_config->policy.stallWeight;
     }
     policy.batchLimit = server.batchLimit;
-    arrival_rate whole = decayed(slot.arrivals, bootNow());
-    whole.fast *= std::max<std::uint32_t>(1, slot.replicas);
-    whole.slow *= std::max<std::uint32_t>(1, slot.replicas);
+    arrival_rate total = decayed(slot.arrivals, bootNow());
+    total.fast *= std::max<std::uint32_t>(1, slot.replicas);
+    total.slow *= std::max<std::uint32_t>(1, slot.replicas);
     slot.replicas =
-        wantedReplicas(whole, server.meanServiceMs, std::max<std::uint32_t>(1, slot.replicas), policy);
+        wantedReplicas(total, server.meanServiceMs, std::max<std::uint32_t>(1, slot.replicas), policy);
     return chooseReplicaServers(adapter.adapter, candidates, slot.replicas);
 }
 
--- a/packages/coordination/owner_status.cpp
+++ b/packages/coordination/owner_status.cpp
@@ -1,4 +1,4 @@
-// What the owner task tells operators, as JSON.
+// The owner task's status for operators, as JSON.
 #include "coordination/owner_task.h"
 
 #include <nlohmann/json.hpp>
--- a/packages/coordination/owner_task.cpp
+++ b/packages/coordination/owner_task.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr std::int64_t tickIntervalMs = 50;
-/// The time to come back after, slot no load or request has been seen to its end yet to tell a better job.
+/// Retry time as long as no load or request has completed that could give a better estimate.
 constexpr std::int64_t minRetryAfterMs = 500;
-/// An engine's whole state is a kilobyte or more with full slots, so it is asked for seldom while all is
-/// well, and at once after a run or order that failed.
+/// Polling interval of an engine that works normally: its state is a kilobyte or more if all slots are used.
+/// After a failed run or order it is polled at the next tick.
 constexpr std::int64_t pollIntervalMs = 3'000;
 
 }
@@ -42,7 +42,7 @@
         onStatus(event.from, event.body);
     });
     m_bus.on<received<drain_order>>([this](const received<drain_order> &event) {
-        // Every daemon remembers it, so that the server stays drained when it changes hands.
+        // Every daemon records it, so that the server stays drained when its owner changes.
         if (event.body.drain) {
             m_drained.insert(event.body.server);
         } else {
@@ -51,7 +51,7 @@
         if (owned_server *server = find(event.body.server); server != nullptr) {
             server->draining = event.body.drain;
             spdlog::info("owner: {} {} by an operator.", event.body.server,
-                event.body.drain ? "is drained" : "takes work again");
+                event.body.drain ? "was drained" : "was returned to service");
         }
     });
     m_bus.on<server_gained>([this](const server_gained &event) {
@@ -90,12 +90,13 @@
         m_liveDaemons = static_cast<std::uint32_t>(std::max<std::size_t>(1, m_brokers.size()));
     });
     m_bus.on<link_broken>([this](const link_broken &event) {
-        // A broker that can't be reached is passed over at once, not when membership has seen its death.
+        // An unreachable broker is skipped at once, before membership notices its death.
         m_brokers.erase(std::remove(m_brokers.begin(), m_brokers.end(), event.peer), m_brokers.end());
         for (auto &entry : m_servers) {
             entry.second.ticketRequestedAt = {};
         }
-        // The entry is gone, and with it the callers of its requests: their places serve others.
+        // The entry is unreachable, and with it the callers of its requests: cancel them to free their
+        // places.
         std::vector<request_id> orphanedRequests;
         for (const auto &[id, job] : m_jobs) {
             if (job.entry == event.peer) {
@@ -128,13 +129,14 @@
     return server.isOwned && !server.releasing && !server.draining && !isServerLeaving(server);
 }
 
-/// Names the start of the engine that was seen last.
+/// Identifies the incarnation of the engine that was last seen.
 std::string owner_task::incarnationOf(const owned_server &server)
 {
     return server.instance.name + '@' + server.incarnation;
 }
 
-/// When callers that are refused together are to come back: apart from each other.
+/// Lengthens the retry time by a random amount, so that callers that are refused together don't return
+/// together.
 millis owner_task::spreadRetryAfter(millis wait)
 {
     const double factor = std::uniform_real_distribution<double>(1, 1 + retryAfterSpread)(m_random);
@@ -146,13 +148,13 @@
     return server.instance.leaving || isLeaving(m_notices, incarnationOf(server));
 }
 
-/// What is left of the time for adapter the engine wants nothing from this daemon; 0: it takes calls.
+/// The remaining time for which the engine accepts no requests from this daemon; 0: it accepts them.
 millis owner_task::remainingPause(const owned_server &server) const
 {
     return pauseLeft(m_notices, incarnationOf(server), m_options.self, bootNow());
 }
 
-// ---- servers gained and lost
+// ---- change of ownership
 
 void owner_task::onGained(const server_gained &event)
 {
@@ -166,7 +168,7 @@
     server.mayRunAt = event.mayRunAt;
     server.mayEvictAt = event.mayEvictAt;
     if (server.isOwned) {
-        return; // the same tenure under a higher number
+        return; // the same tenure under a higher fencing token
     }
     server.isOwned = true;
     server.stateKnown = false;
@@ -221,9 +223,9 @@
         std::any_of(server.adapters.begin(), server.adapters.end(), [](const auto &entry) {
             return entry.second.unloading;
         });
-    // Guards against: an unload of ours reaches the engine after the next owner, told that the release is in
-    // order, has begun to run requests. It shows as a stream that breaks off. Where the engine checks fencing
-    // numbers it refuses the order by then, and the release need not wait for its answer.
+    // An unload order of ours must not reach the engine after the next owner has begun to run requests, which
+    // would break off a stream. If the engine checks fencing tokens, it refuses the order by then, and the
+    // release need not wait for its response.
     if (!server.releaseRequested || (unloadPending && !server.checksFencing)) {
         return;
     }
@@ -238,7 +240,7 @@
             }
         }
     }
-    // An adapter that an older owner's streams may still run on stays pinned for the next owner too.
+    // An adapter on which an earlier owner's streams may still run stays pinned for the next owner.
     for (const auto &[ref, slot] : server.adapters) {
         if (slot.inFlight > 0 || slot.pinned || slot.loading) {
             released.running.push_back(ref);
@@ -266,13 +268,14 @@
         const bool leavingNow = instance.leaving && !server->instance.leaving;
         server->instance.leaving = instance.leaving;
         if (leavingNow) {
-            spdlog::info("owner: {} is leaving. No new work goes there.", name);
+            spdlog::info(
+                "owner: {} is leaving according to the live list; sending it no new requests.", name);
             refuseWaiting(*server, nullptr, error_kind::NoServer, "the server is leaving", {});
         }
     }
 }
 
-// ---- time
+// ---- timers
 
 void owner_task::tick()
 {
@@ -299,8 +302,8 @@
 {
     std::vector<request_id> expired;
     for (const auto &[id, job] : m_jobs) {
-        // A waiting request that can't be answered in time any more gets its final answer now and not at its
-        // deadline; a running job is broken off at the deadline.
+        // A waiting request that can no longer be completed in time is refused now rather than at its
+        // deadline; a running one is cancelled at its deadline.
         const auto server = m_servers.find(job.request.server);
         const double serviceMs = server == m_servers.end() ? 0 : server->second.meanServiceMs;
         const millis need =
--- a/packages/coordination/owner_task.h
+++ b/packages/coordination/owner_task.h
@@ -24,80 +24,83 @@
 
 namespace briarhead {
 
-/// An engine that starts is looked at this often, and callers are told to come back after as long.
+/// Polling interval of an engine that is starting, and the retry time that refused callers get meanwhile.
 constexpr std::int64_t startingPollMs = 500;
 
-/// The task that runs this daemon's own backend servers: it alone admits requests to them, loads and unloads
-/// their adapters, and so knows their slots, in-flight counts and batch fill first-hand.
+/// The task that operates the backend servers owned by this daemon. It alone admits requests to them and
+/// loads and unloads their adapters, so it knows their slots, in-flight counts and batch fill first-hand.
 class owner_task
 {
 public:
     struct options
     {
         std::string self;
-        std::string routing; ///< "rendezvous_lru" evicts by least recent use
+        std::string routing; ///< with "rendezvous_lru", the least recently used adapter is evicted
     };
 
-    /// `runs` carries requests and harmless orders, `guarded` the orders that must not leave after the
-    /// lease's end on engines that don't check fencing; its sockets are under the fence.
-    owner_task(bus &messages, loop &eventLoop, http_client &runs, http_client &guarded, crash_task &crashes,
-        options given);
+    /// `http` carries requests, and orders that can do no harm. `guardedHttp` carries the orders that must
+    /// not be sent after the lease has ended to engines that don't check fencing tokens; the fence
+    /// (transport/fence.h) cuts its connections off when the lease ends.
+    owner_task(bus &messages, loop &eventLoop, http_client &http, http_client &guardedHttp,
+        crash_task &crashes, options given);
 
-    /// The state of each owned server, for metrics.
+    /// The load of each owned server, for metrics.
     std::vector<server_hint> hints() const;
 
 private:
-    /// One request between its arrival here and its end.
+    /// A request, from its arrival here to its end.
     struct request_job
     {
         run_request request;
-        std::string entry;
+        std::string entry; ///< the daemon that sent it, which gets the response
         millis arrived;
-        millis deadline;
-        millis startedAt; ///< handed to the engine; 0 while it waits
-        millis stall; ///< waited for a load
+        millis deadline; ///< point in time
+        millis startedAt; ///< when it was sent to the engine; 0 while it waits
+        millis stall; ///< time that it waited for a load
         bool waitedForLoad = false;
         http_client::call_id call = 0;
         bool cancelled = false;
-        crash_target target; ///< the start of the engine that it was handed to
+        crash_target target; ///< the engine incarnation that it was sent to
     };
 
-    /// One adapter slot or an adapter wanted on a server.
+    /// An adapter that is loaded on a server or wanted there.
     struct adapter_slot
     {
         std::uint32_t inFlight = 0;
         bool resident = false;
-        bool loading = false; ///< a load order is out
-        bool unloading = false; ///< an unload order is out: not to be run on
-        bool pinned = false;
+        bool loading = false; ///< a load order has no response yet
+        bool unloading = false; ///< an unload order may still take effect, so nothing may run on the adapter
+        bool pinned = false; ///< streams of a previous owner may still run on it
         millis loadedAt;
         millis lastUsed;
-        std::uint32_t failures = 0;
-        millis notBefore; ///< back-off after a failed load
+        std::uint32_t failures = 0; ///< failed loads in a row
+        millis notBefore; ///< earliest next load, after a failed one
         arrival_rate arrivals;
-        std::uint32_t replicas = 1; ///< as last told to entries
-        std::uint64_t candidatesRevision = 0; ///< for adapter `primary` was found
+        std::uint32_t replicas = 1; ///< as last sent to entries
+        std::uint64_t candidatesRevision = 0; ///< the m_candidatesRevision that `primary` was computed for
         bool primary = false; ///< this server is the adapter's first by rendezvous hash
-        std::deque<request_id> waiting;
+        std::deque<request_id> waiting; ///< requests for this adapter, in order of arrival
     };
 
-    /// One owned server, or job lately owned whose streams still run.
+    /// A server that this daemon owns, or owned until recently and on which its streams still run.
     struct owned_server
     {
         live_instance instance;
         bool isOwned = false;
         bool releasing = false;
-        bool releaseRequested = false; ///< release_server has no answer yet
-        bool draining = false; ///< by the operators' order
+        bool releaseRequested = false; ///< release_server has not been answered yet
+        bool draining = false; ///< drained by an operator
         std::uint64_t fencingToken = 0;
         bool checksFencing = false;
-        millis mayRunAt;
-        millis mayEvictAt;
-        bool claimLost = false; ///< the engine restarted and our number is not there yet
-        bool pinsKnown = true; ///< a report with our own number has been seen
-        std::unique_ptr<engine_client> client;
-        std::unique_ptr<engine_client> guardedClient;
-        bool stateKnown = false; ///< the engine's state was read since we hold it
+        millis mayRunAt; ///< see server_gained
+        millis mayEvictAt; ///< see server_gained
+        bool claimLost = false; ///< the engine restarted and does not know our fencing token yet
+        bool pinsKnown =
+            true; ///< a report made under our own fencing token shows which pinned adapters are free
+        std::unique_ptr<engine_client> client; ///< uses m_http
+        std::unique_ptr<engine_client>
+            guardedClient; ///< uses m_guardedHttp if the engine checks no fencing tokens
+        bool stateKnown = false; ///< the engine's state has been read since this daemon became the owner
         std::string incarnation;
         std::string baseModel;
         std::string role;
@@ -106,18 +109,18 @@
         std::uint32_t inFlight = 0;
         std::uint32_t waiting = 0;
         std::map<adapter_ref, adapter_slot> adapters;
-        std::optional<std::uint64_t> ticket; ///< asked of the store's budget
-        adapter_ref ticketAdapter;
-        bool loadGranted = false;
+        std::optional<std::uint64_t> ticket; ///< of the current request to the load budget
+        adapter_ref ticketAdapter; ///< the adapter that the ticket was last requested for
+        bool loadGranted = false; ///< the ticket was granted
         millis ticketRequestedAt;
-        bool orderPending = false; ///< an unload or load order is out
+        bool orderPending = false; ///< a load or unload order has no response yet
         bool pollPending = false;
         millis polledAt;
         millis reportedAt;
-        double meanServiceMs = 0; ///< mean time of a request in the batch
-        double meanLoadMs = 0; ///< mean time of a load, grant included
-        bool baseLoadOrdered = false;
-        std::map<std::string, std::uint32_t> callersWaiting;
+        double meanServiceMs = 0; ///< of a request in the batch
+        double meanLoadMs = 0; ///< of a load, from its order to the response
+        bool baseLoadOrdered = false; ///< the engine was ordered to load its base model
+        std::map<std::string, std::uint32_t> callersWaiting; ///< waiting requests by caller
     };
 
     void onRun(const std::string &from, const run_request &request);
@@ -137,7 +140,7 @@
     void sendRunEnd(const request_job &job, const run_end &runEnd);
     void enqueue(owned_server &server, request_job &job);
     void dequeue(owned_server &server, const request_job &job);
-    void refuseWaiting(owned_server &server, const adapter_ref *only, error_kind why,
+    void refuseWaiting(owned_server &server, const adapter_ref *adapter, error_kind why,
         const std::string &detail, millis retryAfter);
     void dispatchWaiting(owned_server &server);
     request_job *nextJob(owned_server &server);
@@ -152,7 +155,7 @@
 
     std::vector<load_demand> loadDemands(const owned_server &server, millis now) const;
     void scheduleLoads(owned_server &server);
-    void requestLoadGrant(owned_server &server, const load_demand &need);
+    void requestLoadGrant(owned_server &server, const load_demand &demand);
     void releaseTicket(owned_server &server);
     void onGrant(std::uint64_t ticket);
     void startGrantedLoad(owned_server &server);
@@ -194,23 +197,23 @@
     std::map<std::string, owned_server> m_servers;
     std::map<request_id, request_job> m_jobs;
     std::map<request_id, request_job>
-        m_awaitingEngineEnd; ///< ended here without proof that the engine has ended them
-    server_notices m_notices; ///< of engines, by what they say
-    std::set<std::string> m_drained; ///< by operators
-    std::map<std::string, std::string> m_otherOwners; ///< of servers that are not ours
+        m_awaitingEngineEnd; ///< ended here, but the engine has not confirmed that it ended them
+    server_notices m_notices; ///< announced by engines
+    std::set<std::string> m_drained; ///< servers drained by operators
+    std::map<std::string, std::string> m_otherOwners; ///< owners of other servers, by server
     std::map<std::string, std::vector<replica_candidate>>
-        m_replicaCandidates; ///< by base model, without leaving ones
-    std::uint64_t m_candidatesRevision = 1;
-    std::vector<std::string> m_brokers;
+        m_replicaCandidates; ///< by base model, without leaving servers
+    std::uint64_t m_candidatesRevision = 1; ///< incremented when m_replicaCandidates changes
+    std::vector<std::string> m_brokers; ///< live daemons, any of which may be the load budget's broker
     std::uint32_t m_liveDaemons = 1;
     config_ptr m_config;
-    millis m_leaseUntil;
+    millis m_leaseUntil; ///< when this daemon's lease ends
     std::uint64_t m_nextTicket = 1;
     std::map<std::uint64_t, std::shared_ptr<void>>
-        m_uncertainUnloads; ///< timers of unloads without an answer
+        m_uncertainUnloads; ///< timers of unloads that got no response
     std::uint64_t m_lastUncertainUnload = 0;
     millis m_lastLoadWithoutBroker;
-    bool m_isDraining = false;
+    bool m_isDraining = false; ///< this daemon is shutting down gracefully
     bool m_drainedPosted = false;
     std::mt19937_64 m_random;
     std::shared_ptr<void> m_timer;
--- a/packages/coordination/quota_bucket.h
+++ b/packages/coordination/quota_bucket.h
@@ -6,15 +6,15 @@
 
 namespace briarhead {
 
-/// A token bucket. Below zero it owes what it gave ahead.
+/// A token bucket. A negative level is a debt for units that were granted in advance.
 struct quota_bucket
 {
     double level = 0;
     millis filledAt;
 };
 
-/// Lets the time up to `now` flow in, at `rate` units a second up to `depth`. What lies above a smaller depth
-/// is lost.
+/// Adds the units that accrued up to `now`, at `rate` units per second and up to `depth`. If the depth has
+/// become smaller than the level, the excess is lost.
 inline void fill(quota_bucket &bucket, double rate, double depth, millis now)
 {
     constexpr double msPerSecond = 1'000;
--- a/packages/coordination/quota_client.cpp
+++ b/packages/coordination/quota_client.cpp
@@ -8,44 +8,48 @@
 
 namespace {
 
-/// Demand is averaged over about so many requests, within bounds: where they are many, clients that move are
-/// felt within a second; where they are few, a chance gap is not taken for an end.
+/// Demand is averaged over about this many requests, within the bounds below. Many requests make it react
+/// within a second when clients move to another daemon; with few requests, a random gap is not mistaken for
+/// the end of demand.
 constexpr double demandWindowRequests = 8;
 constexpr double minDemandWindowMs = 500;
 constexpr double maxDemandWindowMs = 4'000;
-/// The home is told early of demand that has changed by so much, up or down.
+/// The home is notified early of demand that has grown or shrunk by this factor.
 constexpr double demandChangeFactor = 2.5;
 constexpr millis minEarlyRequestGap{200};
-/// Without a request for so many usual gaps between two, its callers have gone elsewhere. By chance state gap
-/// in 1,100 is as long.
+/// After this many mean intervals without a request, the callers are assumed to have left. At random, state
+/// interval in 1,100 is as long.
 constexpr double idleAfterGaps = 7;
-/// Fewer requests a second are no demand worth a part.
+/// Fewer requests per second are not enough demand for a share.
 constexpr double minRequestsPerSecond = 0.1;
-constexpr double newestCostWeight = 0.1; ///< of the latest request in the usual cost
-/// After so many asks without an answer callers wait no more.
+constexpr double newestCostWeight = 0.1; ///< weight of the latest request in the mean cost
+/// After this many requests without a response, callers no longer wait for the home.
 constexpr int maxMissedResponses = 2;
 constexpr millis retryRequestAfter{400};
-/// Asks for which nobody waits: a home that serves a thousand daemons hears some hundred asks a second.
+/// Interval of requests for which no caller waits: a home that serves a thousand daemons receives several
+/// hundred requests per second.
 constexpr millis requestInterval{1'000};
 constexpr double requestIntervalPerDaemonMs = 2;
-/// Where a daemon holds nothing, it only has to stay in contact; a part's life is five times as long. In a
-/// fleet of hundreds most daemons have no callers of most accounts.
+/// A daemon that holds nothing only has to stay in contact; a share lasts over four times as long. In a fleet
+/// of hundreds, most daemons have no callers of most accounts.
 constexpr millis idleRequestInterval{4'000};
-/// A part that became much smaller is free for others once the home knows that this daemon goes by it.
+/// If a share shrinks below this fraction of its former size, the difference is free for others only once the
+/// home knows that this daemon has applied it, so the next request follows soon.
 constexpr double confirmDropRatio = 0.7;
 constexpr millis confirmDelay{100};
 constexpr millis handshakeInterval{40};
 constexpr int handshakeCount = 3;
-/// How long a caller waits for a home to be known.
+/// How long a caller waits for the home to become known.
 constexpr millis homeDiscoveryTimeout{300};
 constexpr millis minRetryAfter{20};
 constexpr millis maxRetryAfter{1'000};
-/// An ask and its answer fit into a datagram.
+/// Keeps a request and its response within state datagram.
 constexpr std::size_t maxWantsPerRequest = 500;
-constexpr double roundingUnits = 1e-6; ///< rounding
+constexpr double roundingUnits = 1e-6;
 constexpr double msPerSecond = 1'000;
 
-/// When a daemon that hears nothing from its home begins to use its equal part: all that it held has run out.
+/// When a daemon without contact to its home begins to use its fallback share: all its shares have expired by
+/// then.
 std::optional<millis> fallbackFrom(const quota_client &client, const quota_client_shard &shard)
 {
     return shard.lastContact ? std::optional(*shard.lastContact + client.plan.fallbackAfter) : std::nullopt;
@@ -57,9 +61,10 @@
     return from && now >= *from;
 }
 
-/// Guards against: a daemon that stood still, or lost its home, goes on with a part that the home has given
-/// to others. It shows as an account over its limit after a freeze or a cut. Holds because each use of a
-/// bucket first lets the part run out by the clock that also runs while the machine is suspended.
+/// Fills the account's bucket up to `now`. If the share has expired meanwhile, it fills only up to that time,
+/// because the home may have granted the share to others since. Otherwise a daemon that was paused, or that
+/// lost its home, would exceed the account's limit. The clock that is used here also runs while the machine
+/// is suspended.
 void updateBucket(
     const quota_client &client, quota_client_account &account, const quota_client_shard &shard, millis now)
 {
@@ -104,7 +109,7 @@
     account.demandUpdatedAt = now;
 }
 
-/// Whether the home goes by a demand that is far from what it is now.
+/// Whether the demand differs much from what was last reported to the home.
 bool demandChanged(const quota_client_account &account, millis now)
 {
     const double demand = currentDemand(account, now);
@@ -112,14 +117,14 @@
         || demand > account.reportedDemand * demandChangeFactor;
 }
 
-/// Whether its demand here may deserve a part, state whose bucket can hold a request; the home knows whether.
+/// Whether the local demand may justify a share, with a bucket that can hold a request. The home decides.
 bool wantsShare(const quota_client &client, const quota_client_account &account, millis now)
 {
     const bool fits = client.plan.maxDaemonShare * account.limit.burst >= account.meanCost;
     return fits && currentDemand(account, now) >= minRequestsPerSecond * account.meanCost;
 }
 
-/// When a request of that cost would find room here, or at the home.
+/// The time until a request of that cost may succeed, here or at the home.
 millis retryDelay(const quota_client &client, const quota_client_account &account, std::uint64_t hash,
     double cost, millis now)
 {
@@ -135,7 +140,7 @@
     return std::max(minRetryAfter, std::min(localWait, homeWait));
 }
 
-/// The callers that what is here reaches for, in the order in which they came.
+/// Grants units to waiting callers in order of arrival, as far as the bucket and `extra` suffice.
 void serveWaiting(quota_client_account &account, double &extra, std::vector<resolved_waiter> &resolved)
 {
     while (!account.waiting.empty()) {
@@ -181,20 +186,21 @@
     return want;
 }
 
-/// Uses its part no more, before the home is told.
+/// Stops using the share before the home is notified.
 void dropShare(quota_client_account &account)
 {
     account.share = 0;
     account.bucket.level = std::min(account.bucket.level, 0.0);
 }
 
-/// Whether somebody waits for the home's word on an account.
+/// Whether a caller waits for the home's response.
 bool hasWaiters(const quota_client_account &account)
 {
     return !account.waiting.empty();
 }
 
-/// The wants of a shard: of those that somebody waits for, or of all there is to say.
+/// The wants of a shard to report to its home: with `all`, those of all relevant accounts, else only those of
+/// accounts with waiting callers.
 std::vector<quota_want> wantsOf(quota_client &client, std::uint32_t index, bool all, millis now)
 {
     std::vector<quota_want> wants;
@@ -203,9 +209,9 @@
             continue;
         }
         updateBucket(client, account, client.shards[index], now);
-        const bool answered = client.shards[index].missedResponses == 0; // else nobody could give it back
+        const bool answered = client.shards[index].missedResponses == 0; // else it can't be granted again
         if (answered && account.waiting.empty() && currentDemand(account, now) == 0) {
-            dropShare(account); // at once, not a round later
+            dropShare(account); // now rather than a round later
         }
         const bool shareDropped = account.reportedShare > 0 && account.share == 0;
         const bool reportable =
@@ -214,7 +220,7 @@
             continue;
         }
         if (wants.size() >= maxWantsPerRequest) {
-            dropShare(account); // the home must not be left to guess
+            dropShare(account); // the home would otherwise have to assume that it is still in use
             continue;
         }
         wants.push_back(makeWant(account, hash, now));
@@ -222,7 +228,7 @@
     return wants;
 }
 
-/// Accounts that nobody has asked for lately.
+/// Removes accounts that have had no requests for a share's lifetime.
 void removeIdleAccounts(quota_client &client, millis now)
 {
     std::erase_if(client.accounts, [&client, now](const auto &each) {
@@ -368,7 +374,7 @@
     }
     quota_client_shard &shard = client.shards[answer.shard];
     if (!shard.requestPending || answer.round != shard.round || now - shard.sentAt > quotaResponseTimeout) {
-        return resolved; // late or doubled: the home doesn't go by it
+        return resolved; // late or a duplicate: the home doesn't count on it
     }
     for (const quota_give &give : answer.gives) {
         if (const auto found = client.accounts.find(give.account); found != client.accounts.end()) {
--- a/packages/coordination/quota_client.h
+++ b/packages/coordination/quota_client.h
@@ -13,37 +13,39 @@
 #include <unordered_map>
 #include <vector>
 
-// A daemon's side of the accounts' limits: the parts it holds, the callers that wait for units, and the asks
-// to the homes.
+// A daemon's side of the accounts' limits: the shares it holds, the callers waiting for units, and its
+// requests to the quota homes. This is pure state without I/O.
 namespace briarhead {
 
 enum class quota_result : std::uint8_t
 {
     Granted,
-    Pending, ///< the home is asked; settled soon
+    Pending, ///< the home has been asked; resolved shortly
     LimitReached, ///< the account's limit is used up for now
     TooLarge, ///< more than the account may ever use at once
-    HomeUnavailable, ///< no home answers, and what is held here doesn't reach
+    HomeUnavailable, ///< no home responds, and the units available here are not enough
 };
 
-/// "granted", ...
+/// The name for logs: "granted", "waits", "over", "too_large" or "home_away".
 std::string_view nameOf(quota_result value);
 
 struct quota_decision
 {
     quota_result result = quota_result::Granted;
-    millis retryAfter; ///< when there may be room, of those that aren't granted
+    millis retryAfter; ///< when there may be units, if it was refused
 };
 
-/// What becomes of a caller that waited.
+/// The decision for a caller whose request was pending.
 struct resolved_waiter
 {
     std::uint64_t id = 0;
     quota_decision decision;
 };
 
+/// An account, as a daemon with callers of that account knows it.
 struct quota_client_account
 {
+    /// A caller that waits for the home's response.
     struct waiter
     {
         std::uint64_t id = 0;
@@ -52,35 +54,36 @@
     };
 
     quota_limit limit;
-    quota_bucket bucket; ///< of its part here
-    double share = 0; ///< fraction of the limit
-    millis shareUntil;
-    double demand = 0; ///< units a second, of late
+    quota_bucket bucket; ///< filled by this daemon's share
+    double share = 0; ///< fraction of the limit that this daemon holds
+    millis shareUntil; ///< when the share expires
+    double demand = 0; ///< units per second, recent average
     millis demandUpdatedAt;
-    double reportedDemand = 0; ///< to the home
-    double reportedShare = 0; ///< the part, likewise
-    double meanCost = 0; ///< units of a usual request
-    bool needRequested = false; ///< by the latest ask
-    double unusedUnits = 0; ///< units to return to the home
-    millis exhaustedUntil; ///< the home said so
+    double reportedDemand = 0; ///< as last sent to the home
+    double reportedShare = 0; ///< likewise
+    double meanCost = 0; ///< units per request
+    bool needRequested = false; ///< the latest request to the home asked for units
+    double unusedUnits = 0; ///< to be returned to the home
+    millis exhaustedUntil; ///< the home announced that there are no units until then
     std::deque<waiter> waiting;
 };
 
-/// What is known of a shard's home.
+/// What a daemon knows of a shard's home.
 struct quota_client_shard
 {
-    std::string home; ///< node; empty: none known
-    std::int64_t homeTerm = 0; ///< differs for each daemon that becomes home, each time
-    bool fullyReported = false; ///< this home has been told of all that is held here
-    std::uint64_t round = 0; ///< of the latest ask
-    std::uint64_t answeredRound = 0;
-    bool requestPending = false; ///< the latest ask has no answer yet
-    millis sentAt; ///< the latest ask
-    millis nextRequestAt; ///< the next one, if nobody waits
-    int missedResponses = 0; ///< asks without an answer, one after the other
-    int handshakesLeft = 0; ///< asks still to follow quickly, until the home knows that its answers arrive
-    std::optional<millis> lastContact; ///< sending of the latest ask that was answered
-    double fallbackShare = 0; ///< fraction of each limit to use once there has been no contact for long
+    std::string home; ///< node; empty: none is known
+    std::int64_t homeTerm = 0; ///< differs each time that a daemon becomes the home
+    bool fullyReported = false; ///< this home has been sent everything that is held here
+    std::uint64_t round = 0; ///< of the latest request
+    std::uint64_t answeredRound = 0; ///< the latest round that got a response
+    bool requestPending = false; ///< the latest request has no response yet
+    millis sentAt; ///< of the latest request
+    millis nextRequestAt; ///< when the next request is due, if no caller waits
+    int missedResponses = 0; ///< requests without a response in a row
+    int handshakesLeft =
+        0; ///< requests to send in quick succession, until the home knows its responses arrive
+    std::optional<millis> lastContact; ///< sending time of the latest request that got a response
+    double fallbackShare = 0; ///< fraction of each limit to use after a long time without contact
 };
 
 struct quota_client
@@ -88,33 +91,36 @@
     quota_plan plan;
     quota_rules rules;
     std::array<quota_client_shard, quotaShards> shards;
-    std::unordered_map<std::uint64_t, quota_client_account> accounts;
+    std::unordered_map<std::uint64_t, quota_client_account> accounts; ///< by accountHash()
 };
 
-/// An ask and whom it goes to.
+/// A request and the daemon to send it to.
 struct addressed_request
 {
     std::string home;
     quota_ask ask;
 };
 
-/// Takes units for a request, or queues its caller under `id` until the home has answered.
+/// Acquires units for a request. If the home has to be asked, the caller waits under `id` and the result is
+/// Pending.
 quota_decision acquireUnits(quota_client &client, std::uint64_t account, const quota_limit &limit,
     std::uint64_t id, double cost, millis now);
-/// A caller that waited has gone.
+/// Removes a waiting caller.
 void cancelWaiter(quota_client &client, std::uint64_t account, std::uint64_t id);
-/// Units that were taken for a request which did not run. To be called once for each.
+/// Returns units that were acquired for a request that did not run. To be called at most once per
+/// acquisition.
 void returnUnits(quota_client &client, std::uint64_t account, double cost, millis now);
 
-/// Who is a shard's home as the store has it; an empty node: nobody.
+/// Sets a shard's home according to the store; an empty node: there is none.
 void setHome(
     quota_client &client, std::uint32_t shard, const std::string &home, std::int64_t term, millis now);
-/// The asks that are due; how often those come for which nobody waits, depends on the fleet's size.
+/// The requests to send now. Requests for which no caller waits are sent less often in a larger fleet.
 std::vector<addressed_request> dueRequests(quota_client &client, std::size_t daemons, millis now);
+/// Applies a home's response and returns the callers that it decides about.
 std::vector<resolved_waiter> applyResponse(quota_client &client, const quota_answer &answer, millis now);
-/// Callers whose home has been silent for too long. To be called some times a second.
+/// Refuses the callers whose home has not responded for too long. To be called several times per second.
 std::vector<resolved_waiter> expireWaiters(quota_client &client, millis now);
-/// Sets an account's limit, from a new configuration; none: it has no limit any more.
+/// Sets an account's limit from a new configuration; nothing: it no longer has one.
 std::vector<resolved_waiter> setLimit(
     quota_client &client, std::uint64_t account, const std::optional<quota_limit> &limit, millis now);
 
--- a/packages/coordination/quota_home.cpp
+++ b/packages/coordination/quota_home.cpp
@@ -12,18 +12,20 @@
 
 namespace {
 
-/// Cut-off daemons are counted anew so often. A daemon that becomes one in between is counted ahead of time.
+/// How often the disconnected daemons are counted. The margin counts daemons ahead of time that may become
+/// disconnected before the next count.
 constexpr millis surveyInterval{100};
 constexpr millis surveyMargin{250};
-/// An answer may be acknowledged by any of the next asks.
+/// A response may be acknowledged by any of the next requests, so the latest rounds are kept.
 constexpr std::size_t maxRecentRounds = 4;
-/// The home keeps so much to give, however much is wanted as parts.
+/// The home keeps at least this fraction of a limit to grant units from, however large the demand for shares
+/// is.
 constexpr double minHomeShare = 0.1;
-/// By then each daemon that lives has been heard.
+/// By this time after the home may grant, it has heard from each live daemon.
 constexpr millis learningPeriod{1'500};
 constexpr double msPerSecond = 1'000;
 
-/// What a daemon that is cut off for long may use of each limit.
+/// The fallback share: the fraction of each limit that a daemon may use after a long time without contact.
 double equalShare(const quota_home &home)
 {
     return 1.0 / static_cast<double>(std::max<std::size_t>(home.fleet.size(), 1));
@@ -34,8 +36,8 @@
     return !member.lastContact || now + surveyMargin >= *member.lastContact + span;
 }
 
-/// Counts anew which daemons are cut off, and which weren't heard yet: those may still hold what a former
-/// home gave. Says whether either changed.
+/// Recomputes which daemons are disconnected and which have not been heard from yet; the latter may still
+/// hold shares that a former home granted. Returns whether either changed.
 bool survey(quota_home &home, const quota_plan &plan, millis now)
 {
     if (home.surveyedAt.count != 0 && now - home.surveyedAt < surveyInterval) {
@@ -65,8 +67,8 @@
     return home.fallbackInUse != fallbackBefore || home.unknownDaemons != unknownBefore;
 }
 
-/// Parts that daemons not heard yet may hold from a former home. They have run out a part's life after the
-/// last one that it can have given.
+/// The shares that daemons not heard from yet may hold from a former home. They expire one share lifetime
+/// after the last one that the former home can have granted.
 double unknownShares(
     const quota_home &home, const quota_plan &plan, const quota_home_account &account, millis now)
 {
@@ -99,7 +101,7 @@
     return now >= grantsFrom(home, plan);
 }
 
-/// What flows into an account's bucket from now on.
+/// Sets the fraction of the limit that flows into an account's bucket from now on.
 void setFillShare(const quota_home &home, const quota_plan &plan, quota_home_account &account,
     const quota_limit &limit, millis now)
 {
@@ -112,8 +114,8 @@
     fill(account.bucket, account.fillShare * limit.rate, account.fillShare * limit.burst, now);
 }
 
-/// Whether the ask is a new one of a process that lives. Notes from when on the daemon has been in contact:
-/// an ask was sent after the answer that it acknowledges, and that answer left here at a known time.
+/// Whether the request is a new one, from a live process. Also updates the time of the daemon's last contact:
+/// its request was sent after the response that it acknowledges, and that response was sent at a known time.
 bool acceptRound(
     quota_home &home, const quota_requester &requester, const quota_ask &ask, bool &first, millis now)
 {
@@ -121,13 +123,13 @@
     quota_member &member = entry->second;
     first = isNew;
     if (member.incarnation != requester.incarnation) {
-        // A late message of a process that has ended. The time of its start tells, but for a clock that was
-        // set back meanwhile; then its record does.
+        // A late message of a process that has ended. Incarnations are start times, so a lower one is older,
+        // unless the clock was set back meanwhile; then the daemon's record decides.
         if (!isNew && requester.incarnation < member.incarnation && !requester.recorded) {
             return false;
         }
         if (!isNew) {
-            // One daemon runs under a name at a time: what the one before held went with it.
+            // Only one daemon at a time runs under a name, so the shares of the previous process are free.
             for (auto &[hash, account] : home.accounts) {
                 account.holdings.erase(requester.node);
             }
@@ -153,14 +155,14 @@
     return true;
 }
 
-/// The part that a daemon gets, in place of what it holds: by its demand among all, and no more than is free.
-/// All that may be held is dealt out, so that daemons bear a home's end with room to spare.
+/// The share that a daemon gets in place of what it holds: proportional to its demand, but no more than is
+/// free. As much as possible is granted as shares, so that daemons have a reserve when the home fails.
 double shareFor(const quota_home &home, const quota_plan &plan, const quota_home_account &account,
     const quota_limit &limit, const std::string &node, const quota_want &want, millis now)
 {
     const double held = fromPpm(want.heldPpm);
     if (!mayGrant(home, plan, now)) {
-        return held; // what is given back now couldn't be dealt out again
+        return held; // a share given back now could not be granted again
     }
     const double available =
         std::max(0.0, std::min(plan.maxTotalShares, 1 - home.fallbackReserved - minHomeShare));
@@ -178,15 +180,15 @@
         std::min({proportionalShare, plan.headroom * ownDemand / limit.rate, plan.maxDaemonShare});
     const double free = available - unknownShares(home, plan, account, now) - otherShares - held;
     if (now < grantsFrom(home, plan) + learningPeriod) {
-        // Who else there is, is not known yet.
+        // The other daemons with demand are not all known yet.
         return std::max(held, std::min(target, held + std::max(0.0, free)));
     }
     const double share = std::max(0.0, std::min(target, held + free));
     const bool holdsRequest = share * limit.burst >= fromMilli(want.costMilli);
-    return holdsRequest ? share : 0; // a bucket that never holds one is of no use
+    return holdsRequest ? share : 0; // a bucket that can never hold a request is useless
 }
 
-/// Takes what callers wait for out of the home's bucket, or says when there may be some.
+/// Grants units from the home's bucket for waiting callers, or reports when there may be some.
 void grantUnits(const quota_plan &plan, const quota_rules &rules, const quota_limit &limit,
     quota_home_account &account, const quota_want &want, quota_give &give)
 {
@@ -205,7 +207,7 @@
         return;
     }
     if (account.fillShare <= 0) {
-        return; // nothing can be given yet, which says nothing of the limit
+        return; // nothing may be granted yet, which does not mean that the limit is used up
     }
     const double missing = std::max(-account.bucket.level, first - debt - account.bucket.level);
     const double waitMs = missing * msPerSecond / (account.fillShare * limit.rate);
@@ -213,8 +215,9 @@
         static_cast<std::int64_t>(std::clamp(waitMs, 1.0, static_cast<double>(plan.shareLifetime.count)));
 }
 
-/// An account that is asked for the first time had nothing given here since this is its home, so that its
-/// burst is there; but not for times at which daemons may have used more of it than now.
+/// Returns the account's state, adding it at the first request. A new account has had no grants from this
+/// home, so its bucket is filled for the time since then, except for times at which daemons may have used
+/// more of the limit than now.
 quota_home_account &findOrAddAccount(
     quota_home &home, const quota_plan &plan, const quota_limit &limit, std::uint64_t hash, millis now)
 {
@@ -230,8 +233,8 @@
     return account;
 }
 
-/// A part brings along what it takes off the bucket here, so that dealing a limit out loses nothing of a
-/// burst.
+/// When a share grows, moves the units that no longer fit into the smaller bucket here to the daemon, so that
+/// granting a share loses nothing of the burst.
 void moveUnits(quota_home_account &account, const quota_limit &limit, double growth, quota_give &give)
 {
     const double excess = account.bucket.level - account.fillShare * limit.burst;
@@ -265,7 +268,8 @@
     return give;
 }
 
-/// Lets what daemons that are cut off use flow into no bucket here, and what they don't use any more.
+/// Adapts the rate of all buckets after a survey, so that what disconnected daemons use does not also flow in
+/// here.
 void updateAllAccounts(quota_home &home, const quota_plan &plan, const limit_lookup &limitOf, millis now)
 {
     for (auto &[hash, account] : home.accounts) {
@@ -273,8 +277,9 @@
         if (!limit || !isLimited(*limit)) {
             continue;
         }
-        // Since the last survey, which is long ago if this process stood still, daemons can have become cut
-        // off at any time, but none can have come back unheard.
+        // Daemons may have become disconnected at any time since the last survey, which is long ago if this
+        // process was paused, but none can have reconnected unnoticed. So the smaller share applies to that
+        // time.
         const double before = account.fillShare;
         account.fillShare =
             std::min(before, mayGrant(home, plan, now) ? availableShare(home, plan, account, now) : 0);
@@ -313,7 +318,7 @@
         return std::nullopt;
     }
     if (first) {
-        home.surveyedAt = {}; // one daemon less that is unknown
+        home.surveyedAt = {}; // one unknown daemon less, so survey again
     }
     if (survey(home, plan, now)) {
         updateAllAccounts(home, plan, limitOf, now);
--- a/packages/coordination/quota_home.h
+++ b/packages/coordination/quota_home.h
@@ -12,11 +12,11 @@
 #include <unordered_map>
 #include <vector>
 
-// The home's side of a shard of accounts: its buckets, and what each daemon holds. Nothing of it is kept
-// anywhere else; a successor learns it from the daemons.
+// The quota home's side of a shard of accounts: the accounts' buckets and the shares that daemons hold. This
+// state exists only in the home's memory; a successor learns it from the daemons.
 namespace briarhead {
 
-/// A daemon as the home knows it.
+/// A daemon, as the home knows it.
 struct quota_member
 {
     struct received_round
@@ -26,65 +26,69 @@
     };
 
     std::uint64_t incarnation = 0;
-    std::deque<received_round> recentRounds; ///< the latest few, oldest first
-    /// It uses no equal part for a part's life from here: an ask sent no earlier was answered.
+    std::deque<received_round> recentRounds; ///< oldest first
+    /// The daemon was in contact at this time at the latest: a request sent no earlier got a response. It
+    /// doesn't use its fallback share until quota_plan::fallbackAfter later.
     std::optional<millis> lastContact;
-    double fallbackShare = 0; ///< fraction of each limit that it uses when it has been cut off for long
+    double fallbackShare = 0; ///< fraction of each limit that it uses after a long time without contact
 };
 
-/// What a daemon holds of one account, or may hold if an answer was lost.
+/// The share of one account that a daemon holds, or may hold if a response was lost.
 struct quota_holding
 {
     double share = 0;
-    double demand = 0;
-    millis until; ///< it has run out by then
+    double demand = 0; ///< units per second
+    millis until; ///< it has expired by then
 };
 
+/// An account, as its home knows it.
 struct quota_home_account
 {
     quota_bucket bucket;
-    double fillShare = 0; ///< of the limit, what flows into the bucket since it was last filled
+    double fillShare = 0; ///< fraction of the limit that has flowed into the bucket since it was last filled
     std::map<std::string, quota_holding> holdings; ///< by daemon
-    double learnedShares = 0; ///< parts that daemons said they held when they were first heard here
+    double learnedShares = 0; ///< sum of the shares that daemons reported in their first request to this home
 };
 
 struct quota_home
 {
-    millis startedAt; ///< when it became the home
-    bool handedOver = false; ///< its predecessor said that it gives nothing any more, or is known to be dead
+    millis startedAt; ///< when this daemon became the home
+    bool handedOver = false; ///< the predecessor grants nothing any more: it said so, or is known to be dead
     std::map<std::string, quota_member> members; ///< by daemon
-    std::unordered_map<std::uint64_t, quota_home_account> accounts;
-    std::vector<std::string> fleet; ///< all daemons that may hold something
-    double fallbackInUse = 0; ///< of each limit, what daemons use that are cut off
-    double fallbackReserved = 0; ///< and what those will use besides that may have been cut off
-    std::size_t unknownDaemons = 0; ///< daemons not heard since
-    millis surveyedAt; ///< when the last two were worked out
-    millis usageDecreasedAt; ///< when daemons last used less than before: since then a bucket not used has
-                             ///< filled
+    std::unordered_map<std::uint64_t, quota_home_account> accounts; ///< by accountHash()
+    std::vector<std::string> fleet; ///< all daemons that may hold shares
+    double fallbackInUse = 0; ///< fraction of each limit that disconnected daemons use
+    double fallbackReserved = 0; ///< the same, including daemons that may be disconnected by now
+    std::size_t unknownDaemons = 0; ///< daemons that this home has not heard from
+    millis surveyedAt; ///< when the three values above were last computed
+    millis usageDecreasedAt; ///< when daemons last began to use less; an unused bucket has been filling since
+                             ///< then
 };
 
-/// Who asks.
+/// The sender of a request.
 struct quota_requester
 {
     std::string node;
     std::uint64_t incarnation = 0;
-    bool recorded = false; ///< the daemon's record in the store names this incarnation
+    bool recorded = false; ///< the daemon's record in the store has this incarnation
 };
 
 using limit_lookup = std::function<std::optional<quota_limit>(std::uint64_t account)>;
 
 quota_home startHome(millis now, bool handedOver);
-/// A former home may give until its lease has ended, and two must not give at once.
+/// From when on the home may grant units. A former home may grant until its lease has ended, and two homes
+/// must not grant at once.
 millis grantsFrom(const quota_home &home, const quota_plan &plan);
-/// The daemons there are, as the store has them, with those whose record lapsed lately.
+/// Sets the daemons that may hold shares: those in the store and those whose records expired recently.
 void setFleet(quota_home &home, std::vector<std::string> fleet);
 
-/// Answers an ask; nothing for one that is late, doubled, or of a process that has ended.
+/// Handles a request and returns the response, or nothing if the request is late, a duplicate, or from a
+/// process that has ended.
 ///
-/// Guards against: more than the limit in use at once. It shows as an account that runs more than its limit
-/// allows while daemons are cut off, die, start again or lose messages. Holds because a part leaves the
-/// home's bucket before the daemon has it, and comes back only when a later ask of that daemon says that it
-/// holds less, when it has run out by the daemon's own clock, or when the daemon's process has ended.
+/// The total in use must not exceed the limit while daemons are disconnected, crash, restart or lose
+/// messages. Therefore a share leaves the home's bucket before the daemon gets it. It returns only when a
+/// later request of that daemon says that it holds less, when it has expired by the daemon's own clock, or
+/// when the daemon's process has ended.
 std::optional<quota_answer> handleRequest(quota_home &home, const quota_plan &plan, const quota_rules &rules,
     const limit_lookup &limitOf, const quota_requester &requester, const quota_ask &ask, millis now);
 
@@ -92,7 +96,7 @@
 double homeFillShare(
     quota_home &home, const quota_plan &plan, const limit_lookup &limitOf, std::uint64_t account, millis now);
 
-/// Drops accounts that no configuration limits any more.
+/// Removes the accounts that the configuration no longer limits.
 void removeUnlimitedAccounts(quota_home &home, const limit_lookup &limitOf);
 
 }
--- a/packages/coordination/quota_plan.cpp
+++ b/packages/coordination/quota_plan.cpp
@@ -11,13 +11,13 @@
 constexpr double overageShareForAge = 0.75;
 constexpr double overageShareForDebt = 0.25;
 constexpr double slackShareForDebt = 0.5;
-/// Less is no time to find a server in.
+/// A shorter time would not be enough to find a server.
 constexpr millis minUnitsLifetime{100};
 constexpr double msPerSecond = 1'000;
 constexpr double milliPerUnit = 1'000;
 constexpr double ppmOfAll = 1'000'000;
 constexpr double maxUnits = 1e12;
-/// So that a whole number that went through a fraction stays itself.
+/// Keeps whole numbers unchanged when they are converted to a fraction and back.
 constexpr double rounding = 1e-6;
 
 }
--- a/packages/coordination/quota_plan.h
+++ b/packages/coordination/quota_plan.h
@@ -6,45 +6,49 @@
 #include <cstdint>
 #include <string_view>
 
-// How a client account's limit is shared by all daemons. One daemon, the account's home, has a bucket of
-// tokens that fills at the account's rate. Each daemon with demand holds a part of the limit, which leaves
-// the home's bucket as much slower and shallower, and has a bucket of its own for it. What the part doesn't
-// cover is asked of the home, request by request. All that is held and all that the home gives never exceed
-// the limit, whatever messages are lost: a part counts at the home until the daemon is known to hold it no
-// more.
+// How all daemons share a client account's limit. One daemon, the account's quota home, has a token bucket
+// that fills at the account's rate. Each daemon with demand holds a share of the limit: it has its own bucket
+// for the share, and the home's bucket is slower and shallower by as much. Units that the share doesn't cover
+// are requested from the home, request by request. The shares held and the units granted by the home together
+// never exceed the limit, whichever messages are lost: the home counts a share as held until it is certain
+// that the daemon no longer uses it.
 namespace briarhead {
 
 struct quota_plan
 {
-    double maxTotalShares = 0.75; ///< of a limit, at most, as daemons' parts; the home gives the rest
-    /// Of a limit, by one daemon. A new home has to leave as much aside for each daemon that it hasn't heard
-    /// yet.
+    /// Fraction of a limit that all daemons' shares may take together; the home grants the rest on request.
+    double maxTotalShares = 0.75;
+    /// Fraction of a limit that one daemon's share may take. A new home has to reserve as much for each
+    /// daemon that it has not heard from yet.
     double maxDaemonShare = 0.12;
-    double headroom = 3; ///< of a part over the demand it is for, at most: the first who ask don't get all
-    /// A part holds for so long from the sending of the ask that renewed it: longer than a home's lease in
-    /// the store and a successor's start, so that a home's end is not felt.
+    /// Maximum ratio of a share to the demand that it is for, so that the first daemons to ask don't get
+    /// everything.
+    double headroom = 3;
+    /// Lifetime of a share from the sending of the request that renewed it. Longer than a home's lease in the
+    /// store plus its successor's start, so that callers don't notice when a home fails.
     millis shareLifetime{17'000};
-    /// A daemon without an answer for so long goes over to an equal part. Parts given later than
-    /// `fallbackReservedAfter` leave room for it, and those given earlier have run out by then.
+    /// A daemon without a response for this long uses its fallback share, which is the same for every daemon.
+    /// Shares granted after `fallbackReservedAfter` without contact leave room for it; those granted earlier
+    /// have expired by then.
     millis fallbackAfter{30'000};
     millis fallbackReservedAfter{13'000};
-    /// A home begins with nothing to give while its predecessor may still be giving: its lease's length.
+    /// A new home grants nothing for this long, the length of a lease, while its predecessor may still grant.
     millis takeoverWait{6'000};
 };
 
 constexpr quota_plan defaultQuotaPlan;
 
-/// An ask's answer counts if it comes within this time: the way there and back, across failure domains and
-/// with a busy home. So a home knows that an ask whose answer counted was sent no earlier than this before
-/// it.
+/// A response counts only if it arrives within this time of the request: a round trip between failure
+/// domains, with a busy home. From a response that counted, a home can conclude that the request was sent at
+/// most this long before the response.
 constexpr millis quotaResponseTimeout{150};
 
-/// Accounts are dealt to so many homes. More of them spread the work; each daemon speaks to each home about
-/// once a second.
+/// Number of shards that accounts are divided into, each with its own home. More shards distribute the work
+/// better, but each daemon contacts each home about once per second.
 constexpr std::uint32_t quotaShards = 8;
 
-/// Units and fractions as messages carry them, rounded down, and back; negative and absurd numbers of another
-/// process are cut to the bounds.
+/// Conversion of units and fractions to the integers used in messages (rounded down) and back. Negative and
+/// excessive values, which another process may send, are clamped.
 std::int64_t toMilli(double units);
 double fromMilli(std::int64_t milli);
 std::uint32_t toPpm(double fraction);
@@ -53,12 +57,13 @@
 std::uint64_t accountHash(std::string_view name);
 std::uint32_t shardOf(std::uint64_t account);
 
-/// How long units may lie between being taken and the send they are for. What is taken in a window may be
-/// used in the next; this keeps it under three quarters of the overage.
+/// The maximum time between acquiring units and sending the request that they are for. Units acquired in one
+/// window may be used in the next; this limit keeps their effect under three quarters of the permitted
+/// overage.
 millis unitsLifetime(const quota_rules &rules);
 
 /// How far a home's bucket may go below zero, so that a request larger than the burst can run at all: a
-/// quarter of the overage and half of the slack.
+/// quarter of the permitted overage and half of the slack.
 double maxDebt(const quota_limit &limit, const quota_rules &rules);
 
 }
--- a/packages/coordination/quota_task.cpp
+++ b/packages/coordination/quota_task.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// How late an ask or a refusal may come that no arrival triggers.
+/// Maximum delay of requests and refusals that no event triggers.
 constexpr millis tickInterval{50};
 constexpr millis claimInterval{500};
-/// Some of them may be cut off from the records too.
+/// More than one successor is notified, because some may be disconnected from the records too.
 constexpr std::size_t maxSuccessorsNotified = 5;
 constexpr std::size_t maxClaimants = 4;
 constexpr millis claimDelayStep{1'000};
@@ -51,10 +51,10 @@
     return m_waiting.count(id) != 0 ? id : 0;
 }
 
-void quota_task::cancelAcquire(std::uint64_t account, std::uint64_t waiting)
+void quota_task::cancelAcquire(std::uint64_t account, std::uint64_t waiter)
 {
-    if (m_waiting.erase(waiting) != 0) {
-        cancelWaiter(m_client, account, waiting);
+    if (m_waiting.erase(waiter) != 0) {
+        cancelWaiter(m_client, account, waiter);
     }
 }
 
@@ -99,9 +99,9 @@
     m_callbacks.claim(release.shard, true);
 }
 
-/// Guards against: a home that starts again while it waits for its predecessor's end, and takes its own
-/// record for a proof that nobody else gives. It would show as an account over its limit. Holds because only
-/// a record that says so is one.
+/// Records that predecessors' grants have expired, once this home may grant. If a home restarts while it
+/// waits for that, it must not take its own record as evidence that nobody else grants; that would exceed
+/// accounts' limits. So only a record that explicitly says so counts.
 void quota_task::recordPredecessorsExpired()
 {
     for (const auto &[shard, home] : m_homes) {
@@ -113,10 +113,10 @@
     }
 }
 
-/// Guards against: a home that is cut off from its records, and not from the other daemons. It shows as
-/// accounts that get nothing but their daemons' parts until its lease has ended and its successor's wait is
-/// over. Holds because it stops for good in this term before it says so, whoever hears it, and only one
-/// successor can take the record that it still has.
+/// If this daemon is disconnected from its records but not from the other daemons, accounts would get no
+/// units beyond their daemons' shares until its lease has ended and its successor has waited. So it releases
+/// its shards: it grants nothing more in that term before it notifies the successors, and only one of these
+/// can claim the existing record.
 void quota_task::releaseHomes()
 {
     if (!m_homes.empty() && m_callbacks.isDisconnectedFromRecords()) {
@@ -136,9 +136,9 @@
     }
 }
 
-void quota_task::notifyWaiters(const std::vector<resolved_waiter> &settled)
+void quota_task::notifyWaiters(const std::vector<resolved_waiter> &resolved)
 {
-    for (const resolved_waiter &each : settled) {
+    for (const resolved_waiter &each : resolved) {
         if (auto waiting = m_waiting.extract(each.id); !waiting.empty()) {
             waiting.mapped()(each.decision);
         }
@@ -193,7 +193,8 @@
         const auto held = m_homes.find(shard);
         if (held != m_homes.end() && isOwn && record->predecessorExpired) {
             held->second.term =
-                record->term; // this home's own note; nobody else can have been home meanwhile
+                record
+                    ->term; // changed by this home's own write; no other daemon can have been home meanwhile
         }
         if (held != m_homes.end() && (!isOwn || held->second.term != record->term)) {
             m_homes.erase(held);
@@ -215,8 +216,8 @@
     }
 }
 
-/// The first in rendezvous order takes a vacant shard at once; each one behind waits longer, for those before
-/// it may be unable to.
+/// Whether this daemon may claim a vacant shard. The first daemon in rendezvous order may claim it at once;
+/// each following one waits longer, in case the daemons before it can't.
 bool quota_task::mayClaim(std::uint32_t shard, millis vacantFor) const
 {
     const auto order = rendezvousOrder("quota/" + std::to_string(shard), m_callbacks.live(), maxClaimants);
@@ -224,8 +225,8 @@
     return own != order.end() && vacantFor.count >= claimDelayStep.count * (own - order.begin());
 }
 
-/// A shard without a home is claimed by the daemon that rendezvous hashing proposes; one that this daemon
-/// held before a restart, by this daemon.
+/// Claims shards without a home as rendezvous hashing proposes, and shards that this daemon held before a
+/// restart.
 void quota_task::claimVacant()
 {
     const millis now = bootNow();
--- a/packages/coordination/quota_task.h
+++ b/packages/coordination/quota_task.h
@@ -15,26 +15,26 @@
 
 namespace briarhead {
 
-/// Who is a shard's home, as recorded where only one daemon at a time can be.
+/// A shard's quota home, as recorded in a store where only one daemon at a time can hold the record.
 struct shard_home
 {
-    std::string node; ///< empty: the last one has given it up
-    std::int64_t term = 0; ///< differs for each daemon that takes it, each time
-    bool own = false; ///< this process took it, and its lease lives
-    bool predecessorExpired = false; ///< whoever was the home before gives nothing any more
+    std::string node; ///< empty: the last home has released it
+    std::int64_t term = 0; ///< differs each time that a daemon claims the shard
+    bool own = false; ///< claimed by this process, whose lease is valid
+    bool predecessorExpired = false; ///< no earlier home can grant units any more
 };
 
 enum class quota_event : std::uint8_t
 {
-    HomeAcquired, ///< this daemon is a shard's home now
-    HomeLost,
-    HomeFound, ///< another daemon is
-    HomeReleased, ///< this daemon has stopped being one, for a successor
+    HomeAcquired, ///< this daemon became a shard's home
+    HomeLost, ///< this daemon is no longer the home
+    HomeFound, ///< another daemon is the home
+    HomeReleased, ///< this daemon stopped being the home, so that a successor can take over
 };
 
 std::string_view nameOf(quota_event value);
 
-/// What the task tells the log.
+/// An event that the task reports to the log.
 struct quota_log_entry
 {
     quota_event event = quota_event::HomeAcquired;
@@ -44,44 +44,44 @@
     bool handedOver = false;
 };
 
-/// The task's ways to the other daemons, to the records and to the log; each daemon program has its own.
+/// The task's access to the other daemons, the records and the log; each daemon program supplies its own.
 struct quota_callbacks
 {
     std::string self;
     std::uint64_t incarnation = 0;
-    std::function<std::size_t()> daemons; ///< how many there are
-    std::function<std::vector<std::string>()> live; ///< those, which may become a home
-    std::function<std::vector<std::string>()> fleet; ///< those and others that may still hold a part
+    std::function<std::size_t()> daemons; ///< number of daemons
+    std::function<std::vector<std::string>()> live; ///< the daemons that may become a home
+    std::function<std::vector<std::string>()> fleet; ///< live daemons and others that may still hold shares
     std::function<void(const std::string &daemon, const quota_ask &ask)> sendRequest;
     std::function<void(const std::string &daemon, const quota_answer &answer)> sendResponse;
-    /// Nothing: there is no record.
+    /// The record of a shard's home; nothing: there is no record.
     std::function<std::optional<shard_home>(std::uint32_t shard)> homeOf;
     std::function<void(const std::string &daemon, const quota_release &release)> sendRelease;
-    /// Takes a shard that has no home, or also one whose home has released it.
+    /// Claims a shard that has no home; with `released`, also one that its home has released.
     std::function<void(std::uint32_t shard, bool released)> claim;
-    /// Records that whoever was the home before gives nothing any more; the term changes with it.
+    /// Records that no earlier home can grant units any more, which changes the term.
     std::function<void(std::uint32_t shard)> recordPredecessorExpired;
-    /// Whether this daemon can't renew its records while others could write them.
+    /// Whether this daemon can't renew its records while others may be able to write them.
     std::function<bool()> isDisconnectedFromRecords;
-    /// Until when this daemon can prove that its records stand.
+    /// Until when this daemon's records are certain to be valid.
     std::function<millis()> confirmedUntil;
     limit_lookup limitOf;
-    std::function<void(const quota_log_entry &note)> log;
+    std::function<void(const quota_log_entry &entry)> log;
 };
 
 struct quota_counters
 {
-    std::uint64_t requests = 0;
-    std::uint64_t responses = 0; ///< given as a home
+    std::uint64_t requests = 0; ///< sent to homes
+    std::uint64_t responses = 0; ///< sent as a home
 };
 
 /// What a daemon holds of an account's limit, for log lines.
 struct quota_status
 {
     double share = 0; ///< fraction of the limit
-    double level = 0; ///< units in the bucket here
+    double level = 0; ///< units in the local bucket
     std::string home;
-    millis contactAge{-1}; ///< since the latest ask that was answered; negative: none was
+    millis contactAge{-1}; ///< since the latest request that got a response was sent; negative: none was
 };
 
 /// Keeps client accounts within their limits, over all daemons together; see quota_plan.h.
@@ -92,29 +92,30 @@
 
     quota_task(loop &eventLoop, quota_callbacks callbacks, const quota_plan &plan, const quota_rules &rules);
 
-    /// Takes units for a request. `done` may be called from inside. Returns what cancelAcquire() wants while
-    /// it waits; 0: it doesn't.
+    /// Acquires units for a request. `done` may be called before this returns. Returns the id to pass to
+    /// cancelAcquire() while the request waits for the home, or 0 if it doesn't wait.
     std::uint64_t acquire(std::uint64_t account, const quota_limit &limit, double cost, on_decision done);
-    void cancelAcquire(std::uint64_t account, std::uint64_t waiting);
-    /// Units taken for a request which did not run; once for each.
+    void cancelAcquire(std::uint64_t account, std::uint64_t waiter);
+    /// Returns units that were acquired for a request that did not run. At most once per acquisition.
     void releaseUnits(std::uint64_t account, double cost);
-    /// From the taking of units until they have to be taken anew.
+    /// How long acquired units are valid; after that they have to be acquired again.
     millis unitsLifetime() const;
 
     void onRequest(const quota_requester &requester, const quota_ask &ask);
     void onMessage(const quota_answer &answer);
     void onMessage(const quota_release &release);
-    /// After a change of the configuration: whether any account has a limit, at all.
+    /// To be called after a change of the configuration; `any`: at least one account has a limit.
     void onLimitsChanged(bool any);
-    /// After a change of the records or of the fleet.
+    /// To be called after a change of the records or of the fleet.
     void onRecordsChanged();
-    /// Gives nothing as a home any more: the records are about to be given up.
+    /// Stops granting units as a home, before this daemon's records are released.
     void stop();
 
     quota_status status(std::uint64_t account) const;
     const quota_counters &counters() const;
 
 private:
+    /// A shard of which this daemon is the home.
     struct own_home
     {
         std::int64_t term = 0;
@@ -123,7 +124,7 @@
 
     void tick();
     void sendRequests();
-    void notifyWaiters(const std::vector<resolved_waiter> &settled);
+    void notifyWaiters(const std::vector<resolved_waiter> &resolved);
     bool mayClaim(std::uint32_t shard, millis vacantFor) const;
     void claimVacant();
     void releaseHomes();
@@ -134,14 +135,15 @@
     quota_client m_client;
     std::map<std::uint32_t, own_home> m_homes; ///< by shard
     std::map<std::uint32_t, millis> m_vacantSince; ///< by shard
-    std::map<std::uint32_t, bool> m_handedOver; ///< of claims under way
+    std::map<std::uint32_t, bool>
+        m_handedOver; ///< whether the predecessor handed over, for claims in progress
     std::map<std::uint32_t, std::int64_t>
-        m_releasedTerms; ///< shards, and the terms in which nothing is given any more
-    std::map<std::uint64_t, on_decision> m_waiting;
+        m_releasedTerms; ///< by shard, the term in which this daemon grants nothing any more
+    std::map<std::uint64_t, on_decision> m_waiting; ///< by waiter id
     std::uint64_t m_lastWaiterId = 0;
     quota_counters m_counters;
     millis m_lastClaimAt;
-    bool m_active = false;
+    bool m_active = false; ///< at least one account has a limit
     bool m_stopped = false;
     std::shared_ptr<void> m_timer;
 };
--- a/packages/coordination/replicas.cpp
+++ b/packages/coordination/replicas.cpp
@@ -11,23 +11,23 @@
 
 namespace {
 
-/// The fast rate is above the slow one by this factor when an adapter's popularity rises.
+/// An adapter's popularity is rising when its fast rate exceeds the slow one by this factor.
 constexpr double riseFactor = 1.5;
-/// The part of a batch that one adapter plans to fill per replica, at a stall weight of 0 and of 1.
-constexpr double packedFill = 0.8;
-constexpr double spreadFill = 0.3;
-/// A replica is given up only when the others would stay below this part of the planned fill; without
-/// the gap a load at the border would add and drop a replica, and load it again, every few seconds.
-constexpr double fallMargin = 0.75;
+/// The fraction of a batch that an adapter is planned to fill per replica, at a stall weight of 0 and of 1.
+constexpr double maxPlannedFill = 0.8;
+constexpr double minPlannedFill = 0.3;
+/// A replica is removed only if the others would stay below this fraction of the planned fill. Without the
+/// gap, a load near the threshold would add and remove a replica, and load it again, every few seconds.
+constexpr double removalMargin = 0.75;
 
 double plannedFill(double stallWeight)
 {
-    return packedFill + (spreadFill - packedFill) * std::clamp(stallWeight, 0.0, 1.0);
+    return maxPlannedFill + (minPlannedFill - maxPlannedFill) * std::clamp(stallWeight, 0.0, 1.0);
 }
 
-std::uint32_t replicasFor(double busyPlaces, double placesEach, std::uint32_t limit)
+std::uint32_t replicasFor(double busyPlaces, double placesPerReplica, std::uint32_t limit)
 {
-    const double wanted = std::ceil(busyPlaces / placesEach);
+    const double wanted = std::ceil(busyPlaces / placesPerReplica);
     return static_cast<std::uint32_t>(std::clamp(wanted, 1.0, static_cast<double>(limit)));
 }
 
@@ -55,55 +55,57 @@
 }
 
 std::uint32_t wantedReplicas(
-    const arrival_rate &rate, double meanServiceMs, std::uint32_t now, const replica_policy &policy)
+    const arrival_rate &rate, double meanServiceMs, std::uint32_t current, const replica_policy &policy)
 {
     const std::uint32_t limit = std::max(policy.maxReplicas, 1U);
-    const double placesEach = plannedFill(policy.stallWeight) * std::max(policy.batchLimit, 1U);
+    const double placesPerReplica = plannedFill(policy.stallWeight) * std::max(policy.batchLimit, 1U);
     const double serviceSeconds = std::max(meanServiceMs, 0.0) / 1000.0;
 
-    // Little's law: requests in progress = arrivals per second times the seconds each one stays. On a rise
-    // the fast rate counts at once; otherwise the slow one, which a short burst doesn't move.
+    // Little's law: requests in progress = arrivals per second times the seconds each one stays. A rise
+    // counts at once through the fast rate; otherwise the slow rate is used, which a short burst hardly
+    // changes.
     const bool rising = rate.fast > rate.slow * riseFactor;
     const double arrivals = rising ? rate.fast : rate.slow;
-    const std::uint32_t wanted = replicasFor(arrivals * serviceSeconds, placesEach, limit);
-    if (wanted >= now || now <= 1) {
+    const std::uint32_t wanted = replicasFor(arrivals * serviceSeconds, placesPerReplica, limit);
+    if (wanted >= current || current <= 1) {
         return wanted;
     }
-    if (now > limit) {
+    if (current > limit) {
         return limit;
     }
-    const double busiest = std::max(rate.fast, rate.slow) * serviceSeconds;
-    const std::uint32_t safe = replicasFor(busiest, placesEach * fallMargin, limit);
-    return safe < now ? now - 1 : now;
+    const double busyPlaces = std::max(rate.fast, rate.slow) * serviceSeconds;
+    const std::uint32_t enough = replicasFor(busyPlaces, placesPerReplica * removalMargin, limit);
+    return enough < current ? current - 1 : current;
 }
 
 std::vector<std::string> chooseReplicaServers(
-    std::string_view adapter, std::span<const replica_candidate> sites, std::uint32_t count)
+    std::string_view adapter, std::span<const replica_candidate> candidates, std::uint32_t count)
 {
     const auto order = rendezvousTop(
-        adapter, sites.size(), sites.size(),
-        [sites](std::size_t i) -> std::string_view {
-            return sites[i].server;
+        adapter, candidates.size(), candidates.size(),
+        [candidates](std::size_t i) -> std::string_view {
+            return candidates[i].server;
         },
-        [sites](std::size_t i) {
-            return !sites[i].leaving;
+        [candidates](std::size_t i) {
+            return !candidates[i].leaving;
         });
 
     std::map<std::string_view, std::uint32_t> usedDomains;
-    std::vector<bool> taken(sites.size(), false);
+    std::vector<bool> used(candidates.size(), false);
     std::vector<std::string> chosen;
     while (chosen.size() < std::min<std::size_t>(count, order.size())) {
-        std::size_t best = sites.size();
+        std::size_t best = candidates.size();
         for (const std::size_t i : order) {
-            if (!taken[i]
-                && (best == sites.size()
-                    || usedDomains[sites[i].failureDomain] < usedDomains[sites[best].failureDomain])) {
+            if (!used[i]
+                && (best == candidates.size()
+                    || usedDomains[candidates[i].failureDomain]
+                        < usedDomains[candidates[best].failureDomain])) {
                 best = i;
             }
         }
-        taken[best] = true;
-        ++usedDomains[sites[best].failureDomain];
-        chosen.push_back(sites[best].server);
+        used[best] = true;
+        ++usedDomains[candidates[best].failureDomain];
+        chosen.push_back(candidates[best].server);
     }
     return chosen;
 }
--- a/packages/coordination/request_fingerprint.cpp
+++ b/packages/coordination/request_fingerprint.cpp
@@ -18,7 +18,7 @@
     }
 };
 
-/// Its length goes first, so that bytes that move from one field to the next change the hash.
+/// Hashes the length first, so that bytes that move from one field to the next change the hash.
 void addField(XXH3_state_t *state, std::string_view field)
 {
     const std::uint64_t length = field.size();
--- a/packages/coordination/request_fingerprint.h
+++ b/packages/coordination/request_fingerprint.h
@@ -6,8 +6,8 @@
 
 namespace briarhead {
 
-/// What a caller sends again, byte for byte, when it repeats a request: ids, deadlines and attempt numbers
-/// are new each time and are left out.
+/// The parts of a request that stay the same, byte for byte, when a caller repeats it. Ids, deadlines and
+/// attempt numbers are left out because they differ for each attempt.
 struct request_content
 {
     std::string_view caller; ///< its account; empty where callers have none
@@ -19,8 +19,8 @@
 
 constexpr std::size_t fingerprintDigits = 32;
 
-/// Hexadecimal digits of a 128-bit hash: the same for each attempt at a request, on every daemon. At
-/// 41,000 requests a second two different ones share it once in far more than the age of any fleet.
+/// A 128-bit hash in hexadecimal digits, the same for each attempt at a request and on every daemon. At
+/// 41,000 requests per second, a collision is expected only after far longer than the lifetime of any fleet.
 std::string fingerprintOf(const request_content &content);
 
 }
--- a/packages/coordination/retry.cpp
+++ b/packages/coordination/retry.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Whether another server may do better at a request that certainly did not run.
+/// Whether another server may succeed with a request that did not run.
 bool mayHelpElsewhere(error_kind why)
 {
     switch (why) {
@@ -62,8 +62,8 @@
         || end.deadlineLeft <= millis{0}) {
         return retry_decision::Stop;
     }
-    // Guards against running a non-idempotent request twice, which a user sees as the same order placed
-    // twice: once any byte may have reached an engine, only idempotent work may be sent again.
+    // Once any byte may have reached an engine, only idempotent requests may be retried. Otherwise a user
+    // might, for example, place the same order twice.
     if (end.result == outcome::Unknown && !end.idempotent) {
         return retry_decision::Stop;
     }
@@ -91,8 +91,8 @@
     if (breakerOpen(state, now)) {
         return false;
     }
-    // Guards against a breaker that stays open for good because its probe's end is never reported (the
-    // caller went away): the pause starts again here, so another probe follows whatever becomes of this one.
+    // The pause restarts here, so that another probe follows even if the end of this one is never reported
+    // (because its caller disconnected). Otherwise the breaker would stay open forever.
     state.probing = true;
     state.openUntil = now + breakerPause(state.consecutiveOpens);
     return true;
@@ -106,7 +106,7 @@
 void breakerFailure(breaker &state, millis now)
 {
     if (state.consecutiveOpens > 0) {
-        // Requests sent before it opened may still fail; only a probe's failure lengthens the pause.
+        // Requests sent before it opened may still fail; only the failure of a probe lengthens the pause.
         if (state.probing) {
             openBreaker(state, now);
         }
--- a/packages/coordination/routing.cpp
+++ b/packages/coordination/routing.cpp
@@ -14,22 +14,23 @@
     "briarhead", "random", "least_loaded", "rendezvous_lru"};
 static_assert(routingNames.size() == static_cast<std::size_t>(routing_kind::RendezvousLru) + 1);
 
-/// A hint's weight falls to 1/e within this time; after a few of them only first-hand counts are left.
+/// The time in which a hint's weight falls to 1/e. After several times as long, only this entry's own counts
+/// matter.
 constexpr double hintDecayMs = 2'000;
-/// The prefix's server is taken unless it is fuller than the other one by more than this part of a batch:
-/// a cached prompt head saves less than a full batch costs.
+/// The prefix's server is chosen unless it is fuller than the other candidate by more than this fraction of a
+/// batch: a cached prompt prefix saves less than a full batch costs.
 constexpr double prefixMargin = 0.15;
-/// Fills closer than this count as equal, and the failure domain decides.
+/// Fills that differ by less than this count as equal, and the failure domain decides.
 constexpr double maxTieDifference = 0.05;
-/// Up to which fill a server is preferred for being fuller, at a stall weight of 0. Below 1, so that the
-/// requests which other entries send in the same moment still find room.
+/// With a stall weight of 0, servers are filled up to this level one after the other. Below 1, to leave room
+/// for the requests that other entries send at the same moment.
 constexpr double maxTargetFill = 0.85;
-/// How much worse a part of a batch above the target is than one below it.
+/// The cost of a difference above the target fill, relative to the same difference below it.
 constexpr double overTargetWeight = 4;
-/// At this fill a batch has no place left.
+/// At this fill a batch has no free place.
 constexpr double fullFill = 1;
-/// From this fill on, a request may go to a server that has yet to load the adapter. Above fullFill, since a
-/// short queue passes sooner than a load does.
+/// From this fill on, a request may go to a server that does not hold the adapter yet. Above fullFill,
+/// because a short queue is faster than a load.
 constexpr double overflowFill = 1.25;
 
 struct routing_context
@@ -95,7 +96,7 @@
     return replicas;
 }
 
-/// The replicas, or the adapter's first server; with one more that has room when all of them overflow.
+/// The replicas, or the adapter's first server; if all of them overflow, also a further server that has room.
 indices candidates(const routing_context &context)
 {
     indices chosen = eligibleReplicas(context);
@@ -110,7 +111,7 @@
     if (std::all_of(chosen.begin(), chosen.end(), [&](std::size_t i) {
             return fill(i) >= overflowFill;
         })) {
-        // None of the chosen ones has room, so a server that has can't be one of them.
+        // None of the chosen servers has room, so the next one that has room is not among them.
         const auto next = firstByAdapter(context, 1, [&](std::size_t i) {
             return isEligible(context, i) && fill(i) < fullFill;
         });
@@ -119,8 +120,8 @@
     return chosen;
 }
 
-/// The distance from the fill the weight aims for: batches are filled up to it one server after the other,
-/// and spread evenly above it. A stall weight of 1 aims for empty servers, 0 for nearly full ones.
+/// The distance of a fill from the target fill. Servers are filled up to the target one after the other, and
+/// evenly above it. A stall weight of 1 targets empty servers, 0 nearly full ones.
 double distanceFromTarget(double fill, double stallWeight)
 {
     const double target = maxTargetFill * (1 - std::clamp(stallWeight, 0.0, 1.0));
@@ -157,8 +158,8 @@
     return best.front();
 }
 
-/// Power of two choices: random pairs don't run after one least-filled server as all entries would do on
-/// the same late hints.
+/// The power of two choices: with random pairs, entries that share the same outdated hints don't all choose
+/// the same least loaded server.
 std::size_t chooseOfTwo(const routing_context &context, const indices &candidateIndices)
 {
     if (candidateIndices.size() == 1) {
@@ -183,7 +184,7 @@
 std::optional<std::size_t> leastLoaded(const routing_context &context)
 {
     indices all = eligibleServers(context);
-    // Shuffled first, so that entries with the same view don't all take the first of equals.
+    // Shuffled first, so that entries with the same view don't all choose the first of several equal servers.
     std::shuffle(all.begin(), all.end(), context.random);
     const auto best = std::min_element(all.begin(), all.end(), [&context](std::size_t a, std::size_t b) {
         return expectedFill(context.servers[a]) < expectedFill(context.servers[b]);
@@ -244,8 +245,9 @@
     const double hinted = static_cast<double>(server.hintedInFlight) + server.hintedWaiting;
     const double weight =
         std::exp(-static_cast<double>(std::max(server.hintAge.count, std::int64_t{0})) / hintDecayMs);
-    // What the hint counted fades, with this entry's own share in it; what is first-hand stays. Requests sent
-    // after the hint are in no hint yet: without them a burst would all run to the server that was empty.
+    // The hinted load, which includes this entry's own requests, fades; the first-hand count stays. Requests
+    // sent after the hint are not part of it, so they are added: otherwise a whole burst would go to the
+    // server that was empty.
     const double expected = weight * (hinted + server.sentSinceHint) + (1 - weight) * firstHand;
     return std::max(expected, firstHand) / std::max(server.batchLimit, 1U);
 }
--- a/packages/coordination/routing.h
+++ b/packages/coordination/routing.h
@@ -13,36 +13,37 @@
 
 namespace briarhead {
 
-/// What an entry knows of one backend server when it routes. Load is known from hints that ride on
-/// answers; an old hint is discounted by its age.
+/// What an entry knows of one backend server when it routes a request. Load is known from hints in the
+/// owner's responses; the weight of a hint decreases with its age.
 struct server_view
 {
     std::string name;
     std::string failureDomain;
     std::string baseModel;
-    bool leaving = false; ///< from any source: takes no new work
-    bool unavailable = false; ///< circuit breaker open or owner unreachable
-    std::uint32_t sentHere = 0; ///< requests this entry has in flight there, first-hand
-    std::uint32_t sentSinceHint = 0; ///< of sentHere, those sent after the last hint came
-    std::uint32_t hintedInFlight = 0; ///< running at the last hint
-    std::uint32_t hintedWaiting = 0;
+    bool leaving = false; ///< from any source: accepts no new requests
+    bool unavailable = false; ///< its circuit breaker is open or its owner is unreachable
+    std::uint32_t sentHere = 0; ///< requests from this entry in flight there
+    std::uint32_t sentSinceHint = 0; ///< those of sentHere that were sent after the last hint arrived
+    std::uint32_t hintedInFlight = 0; ///< requests running there at the last hint
+    std::uint32_t hintedWaiting = 0; ///< requests queued there at the last hint
     std::uint32_t batchLimit = 1;
     std::uint32_t freeSlots = 0;
-    millis hintAge; ///< since the hint
+    millis hintAge;
 };
 
-/// One request to route.
+/// A request to route.
 struct route_query
 {
     adapter_ref adapter;
     std::string baseModel;
     std::string failureDomain; ///< of this entry
-    std::uint64_t prefix = 0; ///< hash of the prompt's head, 0: none
-    std::vector<std::string> replicas; ///< the owner's last word on where the adapter is spread, may be empty
+    std::uint64_t prefix = 0; ///< hash of the prompt's beginning; 0: none
+    std::vector<std::string>
+        replicas; ///< servers that the owner last named as the adapter's replicas; may be empty
     std::vector<std::string> tried; ///< servers that already refused this request
 };
 
-/// How an entry chooses; the baselines are for measurement.
+/// How an entry chooses a server. All but Briarhead are baselines for comparison.
 enum class routing_kind : std::uint8_t
 {
     Briarhead,
@@ -54,13 +55,14 @@
 std::string_view nameOf(routing_kind value);
 std::optional<routing_kind> routingKindOf(std::string_view name);
 
-/// Expected load of a server from first-hand counts and the aged hint, in parts of its batch limit.
+/// The expected load of a server as a fraction of its batch limit, from this entry's own requests and the
+/// aged hint.
 double expectedFill(const server_view &server);
 
-/// The server to send to, or nothing when none is isEligible. Candidates are the adapter's replicas as hinted
-/// by its owner, else the first by rendezvous hash on the adapter; candidateIndices replicas the least filled
-/// of two chosen by prefix and by load. `stallWeight` of 1 prefers residency, 0 prefers full batches.
-/// `random` makes the choice between equals.
+/// The server to send a request to, or nothing if none is eligible. The candidates are the adapter's
+/// replicas, as hinted by its owner, or else its first server by rendezvous hash. Of two candidates, one of
+/// them chosen by the prefix if there is one, the better filled one is taken. A `stallWeight` of 1 favours
+/// servers that hold the adapter and are empty, 0 favours full batches. `random` breaks ties.
 std::optional<std::string> chooseServer(const route_query &query, std::span<const server_view> servers,
     double stallWeight, routing_kind kind, std::mt19937_64 &random);
 
--- a/packages/coordination/server_notices.h
+++ b/packages/coordination/server_notices.h
@@ -6,46 +6,47 @@
 #include <string>
 #include <utility>
 
-// What backend servers say of themselves in their answers: the one place where a daemon keeps it.
+// What backend servers announce about themselves in their responses. A daemon keeps all of it here.
 namespace briarhead {
 
-/// Requests a second that a server takes from all daemons together, as a daemon has heard of it.
+/// The rate limit that a server announced: requests per second that it accepts from all daemons together.
 struct announced_limit
 {
     double perSecond = 0;
-    millis receivedAt; ///< last, in an answer; or first, from another daemon
-    millis nextPermitAt; ///< a further request has its turn then, as far as this daemon knows
+    millis receivedAt; ///< last received in a response, or first received from another daemon
+    millis nextPermitAt; ///< when the next request may be sent, as far as this daemon knows
 };
 
 using announced_limits = std::map<std::string, announced_limit>; ///< by server
 
-/// A incarnation of a server is named by the server and, where it is told, the time of the incarnation.
+/// An incarnation of a server is identified by the server's name and, where known, its start time.
 struct server_notices
 {
     announced_limits limits;
-    std::map<std::string, millis> leaving; ///< when a incarnation first said so; by incarnation
-    /// Until when a incarnation wants nothing from a daemon; by incarnation and daemon.
+    std::map<std::string, millis> leaving; ///< when it was first announced; by incarnation
+    /// Until when an incarnation accepts no requests from a daemon; by incarnation and daemon.
     std::map<std::pair<std::string, std::string>, millis> pauses;
 };
 
-/// No pause is taken for longer than this, whatever an answer says.
+/// A longer pause that a response asks for is cut to this.
 constexpr millis maxServerPause{3'600'000};
-/// A server that leaves is gone long before; one that isn't says so again.
+/// How long a leaving notice is kept. A leaving server has ended long before, and one that has not repeats
+/// it.
 constexpr millis leavingRetention{3'600'000};
 
-/// Callers that are refused together are told times that lie apart by up to this fraction, so that they don't
-/// return together.
+/// The retry times given to callers that are refused together are lengthened by a random fraction of up to
+/// this much, so that the callers don't all return at once.
 constexpr double retryAfterSpread = 0.5;
 
-/// Takes in that a incarnation of a server leaves; whether that is new. It is final for that incarnation.
+/// Records that an incarnation of a server is leaving, which is final. Returns whether this is new.
 bool recordLeaving(server_notices &notices, const std::string &incarnation, millis now);
-/// Takes in that it wants nothing from a daemon for so long; whether that is longer than was known. A pause
-/// that was requestedUntil for stands, whatever shorter one is requestedUntil for later.
+/// Records that a server incarnation accepts no requests from a daemon for `pause`. Returns whether this
+/// extends the known pause; a shorter one never ends it earlier.
 bool recordPause(server_notices &notices, const std::string &incarnation, const std::string &daemon,
     millis pause, millis now);
 
 bool isLeaving(const server_notices &notices, const std::string &incarnation);
-/// What is left of a daemon's pause; 0: it has none.
+/// What remains of a server's pause for a daemon; 0: there is none.
 millis pauseLeft(
     const server_notices &notices, const std::string &incarnation, const std::string &daemon, millis now);
 
