--- a/packages/coordination/crash_task.cpp
+++ b/packages/coordination/crash_task.cpp
@@ -19,7 +19,8 @@
 /// request.
 constexpr millis suspicionTimeout{6'000};
 constexpr std::size_t maxSuspicions = 1'000;
-/// Limit on the records in the store; each is some 150 bytes, and every daemon reads them all when it starts.
+/// Limit on the records in the store; each is some 150 bytes, and every daemon reads them all when it
+/// starts.
 constexpr std::size_t maxStoredRecords = 1'000;
 /// How often a daemon that keeps refusing a request notifies its homes, well within crashRetention.
 constexpr millis keepAliveInterval{600'000};
@@ -61,13 +62,13 @@
 bool crash_task::mayBecomeBlocked(const std::string &fingerprint) const
 {
     const std::vector<std::string> known = crashedIncarnations(fingerprint);
-    std::set<std::string> starts(known.begin(), known.end());
+    std::set<std::string> incarnations(known.begin(), known.end());
     for (const suspected_crash &each : m_suspected) {
         if (each.checking && each.fingerprint == fingerprint) {
-            starts.insert(each.target.incarnation);
+            incarnations.insert(each.target.incarnation);
         }
     }
-    return starts.size() >= crashesToBlock;
+    return incarnations.size() >= crashesToBlock;
 }
 
 // ---- which servers have crashed, and under which requests
@@ -127,17 +128,17 @@
 }
 
 std::vector<crash_task::suspected_crash> crash_task::extractSuspicions(
-    const std::function<bool(const suspected_crash &)> &which)
+    const std::function<bool(const suspected_crash &)> &matches)
 {
-    std::vector<suspected_crash> taken;
-    std::copy_if(m_suspected.begin(), m_suspected.end(), std::back_inserter(taken), which);
-    std::erase_if(m_suspected, which);
-    return taken;
+    std::vector<suspected_crash> extracted;
+    std::copy_if(m_suspected.begin(), m_suspected.end(), std::back_inserter(extracted), matches);
+    std::erase_if(m_suspected, matches);
+    return extracted;
 }
 
-void crash_task::countCrashes(const std::vector<suspected_crash> &ended)
+void crash_task::countCrashes(const std::vector<suspected_crash> &crashed)
 {
-    for (const suspected_crash &each : ended) {
+    for (const suspected_crash &each : crashed) {
         if (!applyCrashes(each.fingerprint, {each.target.incarnation}, "observed here")) {
             continue;
         }
@@ -200,14 +201,14 @@
     }
     const std::uint32_t probes = probesOf(m_history, fingerprint) + 1;
     m_callbacks.storeRecord(fingerprint, {crashedIncarnations(fingerprint), probes},
-        [this, fingerprint, probes, done = std::move(done)](bool stands) {
-            if (stands) {
+        [this, fingerprint, probes, done = std::move(done)](bool isStored) {
+            if (isStored) {
                 recordProbes(m_history, fingerprint, probes, bootNow());
                 m_callbacks.log({crash_event::Probed, fingerprint, {},
                     crashedIncarnations(fingerprint).size(), "probe delay is over"});
                 broadcast(reportOf(fingerprint));
             }
-            done(stands);
+            done(isStored);
         });
 }
 
@@ -220,9 +221,9 @@
 {
     const millis now = bootNow();
     refreshLastSeen(m_history, fingerprint, now);
-    const auto told = m_keepAliveSentAt.emplace(fingerprint, now);
-    if (!told.second && now - told.first->second >= keepAliveInterval) {
-        told.first->second = now;
+    const auto lastSent = m_keepAliveSentAt.emplace(fingerprint, now);
+    if (!lastSent.second && now - lastSent.first->second >= keepAliveInterval) {
+        lastSent.first->second = now;
         notifyHomes(fingerprint);
     }
 }
@@ -240,11 +241,11 @@
     return std::find(homes.begin(), homes.end(), m_callbacks.self) != homes.end();
 }
 
-void crash_task::broadcast(const crash_news &news)
+void crash_task::broadcast(const crash_news &report)
 {
     for (const std::string &daemon : m_callbacks.daemons()) {
         if (daemon != m_callbacks.self) {
-            m_callbacks.send(daemon, news);
+            m_callbacks.send(daemon, report);
         }
     }
 }
@@ -257,12 +258,12 @@
 /// Sends what this daemon knows of the request to its homes.
 void crash_task::notifyHomes(const std::string &fingerprint)
 {
-    const crash_news news = reportOf(fingerprint);
+    const crash_news report = reportOf(fingerprint);
     for (const std::string &home : homesOf(fingerprint)) {
         if (home == m_callbacks.self) {
             notifyAll(fingerprint);
         } else {
-            m_callbacks.send(home, news);
+            m_callbacks.send(home, report);
         }
     }
 }
@@ -270,9 +271,9 @@
 /// Done by a home: from crashesToShare crashes on, notifies all daemons and stores the record.
 void crash_task::notifyAll(const std::string &fingerprint)
 {
-    const crash_news news = reportOf(fingerprint);
-    if (news.servers.size() >= crashesToShare) {
-        broadcast(news);
+    const crash_news report = reportOf(fingerprint);
+    if (report.servers.size() >= crashesToShare) {
+        broadcast(report);
         storeRecord(fingerprint);
     }
 }
@@ -295,20 +296,20 @@
     }
 }
 
-void crash_task::onReport(const crash_news &news)
+void crash_task::onReport(const crash_news &report)
 {
-    if (news.fingerprint.size() != fingerprintDigits) {
+    if (report.fingerprint.size() != fingerprintDigits) {
         return; // not a valid key of the store
     }
-    if (news.servers.empty()) {
-        clear(news.fingerprint);
+    if (report.servers.empty()) {
+        clear(report.fingerprint);
         return;
     }
-    const bool isNew = applyCrashes(news.fingerprint, news.servers, "reported by a daemon");
-    recordProbes(m_history, news.fingerprint, news.trials, bootNow());
-    refreshLastSeen(m_history, news.fingerprint, bootNow());
-    if (isNew && isHome(news.fingerprint)) {
-        notifyAll(news.fingerprint);
+    const bool isNew = applyCrashes(report.fingerprint, report.servers, "reported by a daemon");
+    recordProbes(m_history, report.fingerprint, report.trials, bootNow());
+    refreshLastSeen(m_history, report.fingerprint, bootNow());
+    if (isNew && isHome(report.fingerprint)) {
+        notifyAll(report.fingerprint);
     }
 }
 
--- a/packages/coordination/crash_task.h
+++ b/packages/coordination/crash_task.h
@@ -63,7 +63,7 @@
     std::string self;
     /// All daemons that may be homes of a request, including `self`.
     std::function<std::vector<std::string>()> daemons;
-    std::function<void(const std::string &daemon, const crash_news &news)> send;
+    std::function<void(const std::string &daemon, const crash_news &report)> send;
     /// The record of a request as last read; a record without servers: none is stored.
     std::function<crash_record(const std::string &fingerprint)> storedRecord;
     std::function<std::size_t()> recordCount;
@@ -88,8 +88,8 @@
 ///
 /// The daemon that loses a response finds out whether the server crashed, and notifies the homes of the
 /// request. From crashesToShare crashes on, the homes notify all daemons and store a record for daemons that
-/// start later. Of all the requests that a server ran when it crashed, only those under which further servers
-/// crash reach crashesToBlock.
+/// start later. Of all the requests that a server ran when it crashed, only those under which further
+/// servers crash reach crashesToBlock.
 class crash_task
 {
 public:
@@ -119,7 +119,7 @@
     /// A server has gone or restarted without having announced that it was leaving.
     void onServerCrashed(const std::string &server);
     /// A report from another daemon.
-    void onReport(const crash_news &news);
+    void onReport(const crash_news &report);
     /// A record was read from the store; a record without servers: it has been removed.
     void onStoredRecord(const std::string &fingerprint, const crash_record &record);
     const crash_counters &counters() const;
@@ -151,7 +151,7 @@
     void notifyHomes(const std::string &fingerprint);
     void notifyAll(const std::string &fingerprint);
     void storeRecord(const std::string &fingerprint);
-    void broadcast(const crash_news &news);
+    void broadcast(const crash_news &report);
     std::vector<std::string> homesOf(const std::string &fingerprint) const;
     bool isHome(const std::string &fingerprint) const;
 
--- a/packages/coordination/owner_loads.cpp
+++ b/packages/coordination/owner_loads.cpp
@@ -105,12 +105,12 @@
     }
     server.ticketRequestedAt = now;
     server.ticketAdapter = demand.adapter;
-    load_ask ask;
-    ask.ticket = *server.ticket;
-    ask.server = server.instance.name;
-    ask.adapter = demand.adapter;
-    ask.urgency = loadUrgency(demand, now, server.meanLoadMs == 0 ? assumedLoadMs : server.meanLoadMs);
-    m_bus.post(send_to{rendezvousFirst("store-budget", m_brokers), ask});
+    load_ask request;
+    request.ticket = *server.ticket;
+    request.server = server.instance.name;
+    request.adapter = demand.adapter;
+    request.urgency = loadUrgency(demand, now, server.meanLoadMs == 0 ? assumedLoadMs : server.meanLoadMs);
+    m_bus.post(send_to{rendezvousFirst("store-budget", m_brokers), request});
 }
 
 void owner_task::releaseTicket(owned_server &server)
@@ -168,9 +168,9 @@
 /// three responses in 30 s that way. It is refused at once as not run, and the entry tries another server.
 millis owner_task::slotAvailableAt(const owned_server &server, const adapter_slot *wanted, millis now) const
 {
-    const bool there = wanted != nullptr && (wanted->resident || wanted->loading);
-    const bool kept = !there && !server.checksFencing && usedSlots(server) >= server.slots;
-    return kept ? server.mayEvictAt : now;
+    const bool isPresent = wanted != nullptr && (wanted->resident || wanted->loading);
+    const bool mustWait = !isPresent && !server.checksFencing && usedSlots(server) >= server.slots;
+    return mustWait ? server.mayEvictAt : now;
 }
 
 /// The adapter to evict for `wanted`, or nothing if every slot is in use, awaited by requests, or hotter.
--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -200,9 +200,8 @@
 {
     const millis now = bootNow();
     dequeue(server, job);
-    if (!job.request.trial
-        && m_crashes.isBlocked(
-            job.request.fingerprint)) { // blocked after admission, or its entry did not know
+    if (!job.request.trial && m_crashes.isBlocked(job.request.fingerprint)) {
+        // It was blocked after its admission, or its entry did not know that it is blocked.
         refuseBlocked(job);
         return;
     }
--- a/packages/coordination/owner_status.cpp
+++ b/packages/coordination/owner_status.cpp
@@ -5,12 +5,12 @@
 
 namespace briarhead {
 
-void owner_task::onStatus(const std::string &from, const status_ask &ask)
+void owner_task::onStatus(const std::string &from, const status_ask &request)
 {
-    if (ask.part == "servers") {
-        m_bus.post(send_to{from, status_answer{ask.id, statusServers()}});
-    } else if (ask.part == "adapters") {
-        m_bus.post(send_to{from, status_answer{ask.id, statusAdapters()}});
+    if (request.part == "servers") {
+        m_bus.post(send_to{from, status_answer{request.id, statusServers()}});
+    } else if (request.part == "adapters") {
+        m_bus.post(send_to{from, status_answer{request.id, statusAdapters()}});
     }
 }
 
--- a/packages/coordination/owner_task.h
+++ b/packages/coordination/owner_task.h
@@ -130,7 +130,7 @@
     void onRelease(const std::string &server);
     void completeRelease(owned_server &server);
     void onLiveList(const live_view &view);
-    void onStatus(const std::string &from, const status_ask &ask);
+    void onStatus(const std::string &from, const status_ask &request);
 
     admission_decision checkAdmission(
         const owned_server &server, const adapter_slot *wanted, const run_request &request) const;
--- a/packages/coordination/quota_client.cpp
+++ b/packages/coordination/quota_client.cpp
@@ -17,7 +17,7 @@
 /// The home is notified early of demand that has grown or shrunk by this factor.
 constexpr double demandChangeFactor = 2.5;
 constexpr millis minEarlyRequestGap{200};
-/// After this many mean intervals without a request, the callers are assumed to have left. At random, state
+/// After this many mean intervals without a request, the callers are assumed to have left. At random, one
 /// interval in 1,100 is as long.
 constexpr double idleAfterGaps = 7;
 /// Fewer requests per second are not enough demand for a share.
@@ -43,7 +43,7 @@
 constexpr millis homeDiscoveryTimeout{300};
 constexpr millis minRetryAfter{20};
 constexpr millis maxRetryAfter{1'000};
-/// Keeps a request and its response within state datagram.
+/// Keeps a request and its response within one datagram.
 constexpr std::size_t maxWantsPerRequest = 500;
 constexpr double roundingUnits = 1e-6;
 constexpr double msPerSecond = 1'000;
@@ -326,17 +326,17 @@
 {
     removeIdleAccounts(client, now);
     std::vector<addressed_request> requests;
-    const millis every = std::max(requestInterval,
+    const millis interval = std::max(requestInterval,
         millis{static_cast<std::int64_t>(requestIntervalPerDaemonMs * static_cast<double>(daemons))});
     std::array<bool, quotaShards> hasWaitersIn{};
-    std::array<bool, quotaShards> changed{};
-    std::array<bool, quotaShards> holds{};
+    std::array<bool, quotaShards> demandChangedIn{};
+    std::array<bool, quotaShards> hasShares{};
     for (const auto &[hash, account] : client.accounts) {
         const std::uint32_t shard = shardOf(hash);
         hasWaitersIn[shard] = hasWaitersIn[shard] || hasWaiters(account);
         const bool relevant = account.share > 0 || wantsShare(client, account, now);
-        holds[shard] = holds[shard] || relevant;
-        changed[shard] = changed[shard] || (relevant && demandChanged(account, now));
+        hasShares[shard] = hasShares[shard] || relevant;
+        demandChangedIn[shard] = demandChangedIn[shard] || (relevant && demandChanged(account, now));
     }
     for (std::uint32_t i = 0; i < quotaShards; ++i) {
         quota_client_shard &shard = client.shards[i];
@@ -346,71 +346,71 @@
             shard.nextRequestAt =
                 now + (shard.missedResponses < maxMissedResponses ? millis{} : retryRequestAfter);
         }
-        const bool early = changed[i] && now - shard.sentAt >= minEarlyRequestGap;
+        const bool early = demandChangedIn[i] && now - shard.sentAt >= minEarlyRequestGap;
         const bool due = now >= shard.nextRequestAt || early;
         const bool urgent = hasWaitersIn[i] && shard.missedResponses < maxMissedResponses;
         if (shard.home.empty() || shard.requestPending || !(due || urgent)) {
             continue;
         }
-        quota_ask ask{i, ++shard.round, shard.answeredRound, toPpm(shard.fallbackShare), {}};
-        ask.wants = wantsOf(client, i, due || !shard.fullyReported, now);
+        quota_ask request{i, ++shard.round, shard.answeredRound, toPpm(shard.fallbackShare), {}};
+        request.wants = wantsOf(client, i, due || !shard.fullyReported, now);
         shard.requestPending = true;
         shard.sentAt = now;
         if (due) {
             shard.handshakesLeft = std::max(shard.handshakesLeft - 1, 0);
-            const millis usual = holds[i] ? every : std::max(every, idleRequestInterval);
+            const millis usual = hasShares[i] ? interval : std::max(interval, idleRequestInterval);
             shard.nextRequestAt = now + (shard.handshakesLeft > 0 ? handshakeInterval : usual);
         }
-        requests.push_back({shard.home, std::move(ask)});
+        requests.push_back({shard.home, std::move(request)});
     }
     return requests;
 }
 
-std::vector<resolved_waiter> applyResponse(quota_client &client, const quota_answer &answer, millis now)
+std::vector<resolved_waiter> applyResponse(quota_client &client, const quota_answer &response, millis now)
 {
     std::vector<resolved_waiter> resolved;
-    if (answer.shard >= quotaShards) {
+    if (response.shard >= quotaShards) {
         return resolved;
     }
-    quota_client_shard &shard = client.shards[answer.shard];
-    if (!shard.requestPending || answer.round != shard.round || now - shard.sentAt > quotaResponseTimeout) {
+    quota_client_shard &shard = client.shards[response.shard];
+    if (!shard.requestPending || response.round != shard.round || now - shard.sentAt > quotaResponseTimeout) {
         return resolved; // late or a duplicate: the home doesn't count on it
     }
-    for (const quota_give &give : answer.gives) {
-        if (const auto found = client.accounts.find(give.account); found != client.accounts.end()) {
+    for (const quota_give &grant : response.gives) {
+        if (const auto found = client.accounts.find(grant.account); found != client.accounts.end()) {
             updateBucket(client, found->second, shard, now);
         }
     }
     shard.requestPending = false;
     shard.missedResponses = 0;
     shard.fullyReported = true;
-    shard.answeredRound = answer.round;
+    shard.answeredRound = response.round;
     shard.lastContact = shard.sentAt;
-    shard.fallbackShare = fromPpm(answer.alonePpm);
-    for (const quota_give &give : answer.gives) {
-        const auto found = client.accounts.find(give.account);
+    shard.fallbackShare = fromPpm(response.alonePpm);
+    for (const quota_give &grant : response.gives) {
+        const auto found = client.accounts.find(grant.account);
         if (found == client.accounts.end()) {
             continue;
         }
         quota_client_account &account = found->second;
-        const double share = fromPpm(give.partPpm);
+        const double share = fromPpm(grant.partPpm);
         if (share < account.share * confirmDropRatio) {
             shard.nextRequestAt = std::min(shard.nextRequestAt, now + confirmDelay);
         }
         account.share = share;
         account.shareUntil = shard.sentAt + client.plan.shareLifetime;
         updateBucket(client, account, shard, now);
-        double extra = fromMilli(give.unitsMilli);
+        double extra = fromMilli(grant.unitsMilli);
         serveWaiting(account, extra, resolved);
         const double depth = account.share * account.limit.burst;
         const double fits = std::clamp(depth - account.bucket.level, 0.0, extra);
         account.bucket.level += fits;
         account.unusedUnits += extra - fits;
-        if (give.roomMs > 0) {
-            account.exhaustedUntil = now + std::clamp(millis{give.roomMs}, minRetryAfter, maxRetryAfter);
-            refuseWaiting(client, account, give.account, quota_result::LimitReached, now, resolved);
-        } else if (give.unitsMilli <= 0 && account.needRequested) {
-            refuseWaiting(client, account, give.account, quota_result::HomeUnavailable, now, resolved);
+        if (grant.roomMs > 0) {
+            account.exhaustedUntil = now + std::clamp(millis{grant.roomMs}, minRetryAfter, maxRetryAfter);
+            refuseWaiting(client, account, grant.account, quota_result::LimitReached, now, resolved);
+        } else if (grant.unitsMilli <= 0 && account.needRequested) {
+            refuseWaiting(client, account, grant.account, quota_result::HomeUnavailable, now, resolved);
         }
     }
     return resolved;
@@ -421,10 +421,10 @@
     std::vector<resolved_waiter> resolved;
     for (auto &[hash, account] : client.accounts) {
         const quota_client_shard &shard = client.shards[shardOf(hash)];
-        const bool away = shard.missedResponses >= maxMissedResponses
+        const bool homeUnavailable = shard.missedResponses >= maxMissedResponses
             || (shard.home.empty() && !account.waiting.empty()
                 && now - account.waiting.front().arrivedAt >= homeDiscoveryTimeout);
-        if (away) {
+        if (homeUnavailable) {
             refuseWaiting(client, account, hash, quota_result::HomeUnavailable, now, resolved);
         }
     }
--- a/packages/coordination/quota_client.h
+++ b/packages/coordination/quota_client.h
@@ -98,7 +98,7 @@
 struct addressed_request
 {
     std::string home;
-    quota_ask ask;
+    quota_ask request;
 };
 
 /// Acquires units for a request. If the home has to be asked, the caller waits under `id` and the result is
@@ -117,7 +117,7 @@
 /// The requests to send now. Requests for which no caller waits are sent less often in a larger fleet.
 std::vector<addressed_request> dueRequests(quota_client &client, std::size_t daemons, millis now);
 /// Applies a home's response and returns the callers that it decides about.
-std::vector<resolved_waiter> applyResponse(quota_client &client, const quota_answer &answer, millis now);
+std::vector<resolved_waiter> applyResponse(quota_client &client, const quota_answer &response, millis now);
 /// Refuses the callers whose home has not responded for too long. To be called several times per second.
 std::vector<resolved_waiter> expireWaiters(quota_client &client, millis now);
 /// Sets an account's limit from a new configuration; nothing: it no longer has one.
--- a/packages/coordination/quota_home.cpp
+++ b/packages/coordination/quota_home.cpp
@@ -117,7 +117,7 @@
 /// Whether the request is a new one, from a live process. Also updates the time of the daemon's last contact:
 /// its request was sent after the response that it acknowledges, and that response was sent at a known time.
 bool acceptRound(
-    quota_home &home, const quota_requester &requester, const quota_ask &ask, bool &first, millis now)
+    quota_home &home, const quota_requester &requester, const quota_ask &request, bool &first, millis now)
 {
     const auto [entry, isNew] = home.members.try_emplace(requester.node);
     quota_member &member = entry->second;
@@ -138,20 +138,20 @@
         member.recentRounds.clear();
         member.lastContact.reset();
     }
-    if (!member.recentRounds.empty() && ask.round <= member.recentRounds.back().round) {
+    if (!member.recentRounds.empty() && request.round <= member.recentRounds.back().round) {
         return false;
     }
     for (const auto &before : member.recentRounds) {
-        if (before.round == ask.answered) {
+        if (before.round == request.answered) {
             member.lastContact =
                 std::max(member.lastContact, std::optional(before.receivedAt - quotaResponseTimeout));
         }
     }
-    member.recentRounds.push_back({ask.round, now});
+    member.recentRounds.push_back({request.round, now});
     while (member.recentRounds.size() > maxRecentRounds) {
         member.recentRounds.pop_front();
     }
-    member.fallbackShare = std::max(fromPpm(ask.alonePpm), equalShare(home));
+    member.fallbackShare = std::max(fromPpm(request.alonePpm), equalShare(home));
     return true;
 }
 
@@ -190,9 +190,9 @@
 
 /// Grants units from the home's bucket for waiting callers, or reports when there may be some.
 void grantUnits(const quota_plan &plan, const quota_rules &rules, const quota_limit &limit,
-    quota_home_account &account, const quota_want &want, quota_give &give)
+    quota_home_account &account, const quota_want &want, quota_give &grant)
 {
-    const double moved = fromMilli(give.unitsMilli);
+    const double moved = fromMilli(grant.unitsMilli);
     const double need = std::max(0.0, fromMilli(want.needMilli) - moved);
     if (need <= 0) {
         return;
@@ -201,9 +201,9 @@
     const double debt = maxDebt(limit, rules);
     const double room = account.bucket.level >= 0 ? account.bucket.level + debt : 0;
     if (account.fillShare > 0 && room >= first) {
-        const std::int64_t given = toMilli(std::min(need, room));
-        give.unitsMilli += given;
-        account.bucket.level -= fromMilli(given);
+        const std::int64_t granted = toMilli(std::min(need, room));
+        grant.unitsMilli += granted;
+        account.bucket.level -= fromMilli(granted);
         return;
     }
     if (account.fillShare <= 0) {
@@ -211,7 +211,7 @@
     }
     const double missing = std::max(-account.bucket.level, first - debt - account.bucket.level);
     const double waitMs = missing * msPerSecond / (account.fillShare * limit.rate);
-    give.roomMs =
+    grant.roomMs =
         static_cast<std::int64_t>(std::clamp(waitMs, 1.0, static_cast<double>(plan.shareLifetime.count)));
 }
 
@@ -235,12 +235,12 @@
 
 /// When a share grows, moves the units that no longer fit into the smaller bucket here to the daemon, so that
 /// granting a share loses nothing of the burst.
-void moveUnits(quota_home_account &account, const quota_limit &limit, double growth, quota_give &give)
+void moveUnits(quota_home_account &account, const quota_limit &limit, double growth, quota_give &grant)
 {
     const double excess = account.bucket.level - account.fillShare * limit.burst;
     const double moved = std::min(excess, growth * limit.burst);
     if (moved > 0) {
-        give.unitsMilli += toMilli(moved);
+        grant.unitsMilli += toMilli(moved);
         account.bucket.level -= moved;
     }
 }
@@ -256,16 +256,16 @@
     holding.demand = fromMilli(want.demandMilli);
     holding.share = held;
     holding.until = now + plan.shareLifetime;
-    quota_give give{want.account, 0, 0, 0};
-    give.partPpm = toPpm(shareFor(home, plan, account, limit, node, want, now));
-    holding.share = std::max(held, fromPpm(give.partPpm));
+    quota_give grant{want.account, 0, 0, 0};
+    grant.partPpm = toPpm(shareFor(home, plan, account, limit, node, want, now));
+    holding.share = std::max(held, fromPpm(grant.partPpm));
     account.bucket.level += fromMilli(want.unusedMilli);
     const double growth = holding.share - held;
     account.fillShare = mayGrant(home, plan, now) ? availableShare(home, plan, account, now) : 0;
-    moveUnits(account, limit, growth, give);
+    moveUnits(account, limit, growth, grant);
     fill(account.bucket, 0, account.fillShare * limit.burst, now);
-    grantUnits(plan, rules, limit, account, want, give);
-    return give;
+    grantUnits(plan, rules, limit, account, want, grant);
+    return grant;
 }
 
 /// Adapts the rate of all buckets after a survey, so that what disconnected daemons use does not also flow in
@@ -311,10 +311,10 @@
 }
 
 std::optional<quota_answer> handleRequest(quota_home &home, const quota_plan &plan, const quota_rules &rules,
-    const limit_lookup &limitOf, const quota_requester &requester, const quota_ask &ask, millis now)
+    const limit_lookup &limitOf, const quota_requester &requester, const quota_ask &request, millis now)
 {
     bool first = false;
-    if (!acceptRound(home, requester, ask, first, now)) {
+    if (!acceptRound(home, requester, request, first, now)) {
         return std::nullopt;
     }
     if (first) {
@@ -323,17 +323,17 @@
     if (survey(home, plan, now)) {
         updateAllAccounts(home, plan, limitOf, now);
     }
-    quota_answer answer{ask.shard, ask.round, toPpm(equalShare(home)), {}};
-    for (const quota_want &want : ask.wants) {
+    quota_answer response{request.shard, request.round, toPpm(equalShare(home)), {}};
+    for (const quota_want &want : request.wants) {
         const auto limit = limitOf(want.account);
         if (!limit || !isLimited(*limit)) {
-            answer.gives.push_back({want.account, 0, 0, 0});
+            response.gives.push_back({want.account, 0, 0, 0});
             continue;
         }
-        answer.gives.push_back(handleWant(home, plan, rules, *limit, requester.node, want, first, now));
+        response.gives.push_back(handleWant(home, plan, rules, *limit, requester.node, want, first, now));
         removeExpiredHoldings(home.accounts[want.account], now);
     }
-    return answer;
+    return response;
 }
 
 double homeFillShare(
--- a/packages/coordination/quota_home.h
+++ b/packages/coordination/quota_home.h
@@ -90,7 +90,7 @@
 /// later request of that daemon says that it holds less, when it has expired by the daemon's own clock, or
 /// when the daemon's process has ended.
 std::optional<quota_answer> handleRequest(quota_home &home, const quota_plan &plan, const quota_rules &rules,
-    const limit_lookup &limitOf, const quota_requester &requester, const quota_ask &ask, millis now);
+    const limit_lookup &limitOf, const quota_requester &requester, const quota_ask &request, millis now);
 
 /// The fraction of an account's limit that flows into the home's own bucket.
 double homeFillShare(
--- a/packages/coordination/quota_task.cpp
+++ b/packages/coordination/quota_task.cpp
@@ -68,23 +68,23 @@
     return briarhead::unitsLifetime(m_client.rules);
 }
 
-void quota_task::onRequest(const quota_requester &requester, const quota_ask &ask)
+void quota_task::onRequest(const quota_requester &requester, const quota_ask &request)
 {
-    const auto home = m_homes.find(ask.shard);
+    const auto home = m_homes.find(request.shard);
     if (m_stopped || home == m_homes.end() || bootNow() >= m_callbacks.confirmedUntil()) {
         return;
     }
-    const auto answer = handleRequest(
-        home->second.state, m_client.plan, m_client.rules, m_callbacks.limitOf, requester, ask, bootNow());
-    if (answer) {
+    const auto response = handleRequest(home->second.state, m_client.plan, m_client.rules,
+        m_callbacks.limitOf, requester, request, bootNow());
+    if (response) {
         ++m_counters.responses;
-        m_callbacks.sendResponse(requester.node, *answer);
+        m_callbacks.sendResponse(requester.node, *response);
     }
 }
 
-void quota_task::onMessage(const quota_answer &answer)
+void quota_task::onMessage(const quota_answer &response)
 {
-    notifyWaiters(applyResponse(m_client, answer, bootNow()));
+    notifyWaiters(applyResponse(m_client, response, bootNow()));
     sendRequests();
 }
 
@@ -106,8 +106,8 @@
 {
     for (const auto &[shard, home] : m_homes) {
         const auto record = m_callbacks.homeOf(shard);
-        const bool gives = bootNow() >= grantsFrom(home.state, m_client.plan);
-        if (gives && record && record->own && !record->predecessorExpired) {
+        const bool grants = bootNow() >= grantsFrom(home.state, m_client.plan);
+        if (grants && record && record->own && !record->predecessorExpired) {
             m_callbacks.recordPredecessorExpired(shard);
         }
     }
@@ -149,7 +149,7 @@
 {
     for (const addressed_request &each : dueRequests(m_client, m_callbacks.daemons(), bootNow())) {
         ++m_counters.requests;
-        m_callbacks.sendRequest(each.home, each.ask);
+        m_callbacks.sendRequest(each.home, each.request);
     }
 }
 
--- a/packages/coordination/quota_task.h
+++ b/packages/coordination/quota_task.h
@@ -52,8 +52,8 @@
     std::function<std::size_t()> daemons; ///< number of daemons
     std::function<std::vector<std::string>()> live; ///< the daemons that may become a home
     std::function<std::vector<std::string>()> fleet; ///< live daemons and others that may still hold shares
-    std::function<void(const std::string &daemon, const quota_ask &ask)> sendRequest;
-    std::function<void(const std::string &daemon, const quota_answer &answer)> sendResponse;
+    std::function<void(const std::string &daemon, const quota_ask &request)> sendRequest;
+    std::function<void(const std::string &daemon, const quota_answer &response)> sendResponse;
     /// The record of a shard's home; nothing: there is no record.
     std::function<std::optional<shard_home>(std::uint32_t shard)> homeOf;
     std::function<void(const std::string &daemon, const quota_release &release)> sendRelease;
@@ -101,8 +101,8 @@
     /// How long acquired units are valid; after that they have to be acquired again.
     millis unitsLifetime() const;
 
-    void onRequest(const quota_requester &requester, const quota_ask &ask);
-    void onMessage(const quota_answer &answer);
+    void onRequest(const quota_requester &requester, const quota_ask &request);
+    void onMessage(const quota_answer &response);
     void onMessage(const quota_release &release);
     /// To be called after a change of the configuration; `any`: at least one account has a limit.
     void onLimitsChanged(bool any);
--- a/tests/serving/crash_task_test.cpp
+++ b/tests/serving/crash_task_test.cpp
@@ -16,10 +16,10 @@
 using http_testing::raw_socket;
 
 const std::string fingerprint(fingerprintDigits, 'a');
-constexpr probe_delays shortWaits{millis{400}, millis{800}};
+constexpr probe_delays shortProbeDelays{millis{400}, millis{800}};
 
-/// What counts ends in one daemon, with its ways to the store and to the others.
-struct counting_daemon
+/// The crash counting of one daemon, connected to a shared store and to the other daemons.
+struct test_daemon
 {
     node_settings settings;
     bus messages;
@@ -28,28 +28,28 @@
     store_task store;
     std::unique_ptr<fleet_port> port;
     crash_task crashes;
-    int blockedTold = 0;
+    int blockedNotifications = 0;
 
-    counting_daemon(fake_store &shared, const std::string &node)
+    test_daemon(fake_store &shared, const std::string &node)
         : settings(settingsOf(node))
         , messages(shared.events)
         , client(shared)
         , log(-1, node)
         , store(shared.events, messages, client, platform::recordCodec(), settings, 1, log)
-        , crashes(shared.events, messages, crashLinks(store, port, settings, log), shortWaits)
+        , crashes(shared.events, messages, crashLinks(store, port, settings, log), shortProbeDelays)
     {
         error why;
         port = fleet_port::open(
             shared.events, settings.peers,
             [this](const fleet_datagram &datagram, const peer_address &) {
-                if (const auto *news = std::get_if<crash_news>(&datagram.body)) {
-                    crashes.onReport(*news);
+                if (const auto *report = std::get_if<crash_news>(&datagram.body)) {
+                    crashes.onReport(*report);
                 }
             },
             why);
         followStore(messages, store, crashes);
         messages.on<request_blocked>([this](const request_blocked &) {
-            ++blockedTold;
+            ++blockedNotifications;
         });
     }
     static node_settings settingsOf(const std::string &node)
@@ -66,63 +66,63 @@
 {
 protected:
     fake_store m_store{m_loop};
-    std::vector<std::unique_ptr<counting_daemon>> m_daemons;
-    std::map<std::string, std::unique_ptr<raw_socket>> m_ports; ///< of servers that live
-    std::map<std::string, std::uint16_t> m_numbers;
+    std::vector<std::unique_ptr<test_daemon>> m_daemons;
+    std::map<std::string, std::unique_ptr<raw_socket>> m_listeners; ///< of servers that are up
+    std::map<std::string, std::uint16_t> m_portNumbers;
 
     void SetUp() override
     {
         for (const char *server : {"s1", "s2", "s3", "s4"}) {
-            m_ports[server] = raw_socket::listening(m_numbers[server]);
-            list(server, "ready");
+            m_listeners[server] = raw_socket::listening(m_portNumbers[server]);
+            listServer(server, "ready");
         }
         for (const char *node : {"n1", "n2", "n3", "n4"}) {
-            m_daemons.push_back(std::make_unique<counting_daemon>(m_store, node));
+            m_daemons.push_back(std::make_unique<test_daemon>(m_store, node));
         }
-        ASSERT_TRUE(allDaemons([](const counting_daemon &one) {
-            return one.store.view().daemons.size() == 4 && one.store.view().servers.size() == 4;
+        ASSERT_TRUE(allDaemons([](const test_daemon &daemon) {
+            return daemon.store.view().daemons.size() == 4 && daemon.store.view().servers.size() == 4;
         }));
     }
-    void list(const std::string &server, const std::string &state)
+    void listServer(const std::string &server, const std::string &state)
     {
         m_store.put("servers/" + server,
-            R"({"service":"s","address":"127.0.0.1:)" + std::to_string(m_numbers[server])
+            R"({"service":"s","address":"127.0.0.1:)" + std::to_string(m_portNumbers[server])
                 + R"(","zone":"z","slots":4,"state":")" + state + "\"}");
     }
-    bool allDaemons(const std::function<bool(const counting_daemon &)> &holds)
+    bool allDaemons(const std::function<bool(const test_daemon &)> &isTrue)
     {
         return runUntil([&] {
-            return std::all_of(m_daemons.begin(), m_daemons.end(), [&](const auto &one) {
-                return holds(*one);
+            return std::all_of(m_daemons.begin(), m_daemons.end(), [&](const auto &daemon) {
+                return isTrue(*daemon);
             });
         });
     }
-    static bool knowsTwo(const counting_daemon &one)
+    static bool hasTwoStoredCrashes(const test_daemon &daemon)
     {
-        const auto stored = one.store.view().crashes.find(fingerprint);
-        return stored != one.store.view().crashes.end() && stored->second.record.servers.size() == 2;
+        const auto stored = daemon.store.view().crashes.find(fingerprint);
+        return stored != daemon.store.view().crashes.end() && stored->second.record.servers.size() == 2;
     }
-    static bool blocks(const counting_daemon &one)
+    static bool blocks(const test_daemon &daemon)
     {
-        return one.crashes.isBlocked(fingerprint);
+        return daemon.crashes.isBlocked(fingerprint);
     }
-    /// A daemon loses an answer of the server; `ends`: since the server has ended.
-    void loseAnswer(std::size_t daemon, const std::string &server, bool ends)
+    /// A daemon loses a response of the server; with `serverCrashes`, because the server has crashed.
+    void loseResponse(std::size_t index, const std::string &server, bool serverCrashes)
     {
-        counting_daemon &one = *m_daemons[daemon];
-        if (ends) {
-            m_ports.erase(server);
+        test_daemon &daemon = *m_daemons[index];
+        if (serverCrashes) {
+            m_listeners.erase(server);
         }
-        const auto listed = one.store.view().servers.find(server);
-        if (listed != one.store.view().servers.end() && !listed->second.draining) {
-            one.crashes.onResponseBroken(fingerprint, targetOf(listed->second));
+        const auto listed = daemon.store.view().servers.find(server);
+        if (listed != daemon.store.view().servers.end() && !listed->second.draining) {
+            daemon.crashes.onResponseBroken(fingerprint, targetOf(listed->second));
         }
     }
     void blockEverywhere()
     {
-        loseAnswer(0, "s1", true);
-        loseAnswer(1, "s2", true);
-        loseAnswer(2, "s3", true);
+        loseResponse(0, "s1", true);
+        loseResponse(1, "s2", true);
+        loseResponse(2, "s3", true);
         ASSERT_TRUE(allDaemons(blocks));
     }
     crash_record stored() const
@@ -136,47 +136,48 @@
 
 }
 
-// Three daemons see one end each of one request. Alone none of them knows enough; together they stop it
-// everywhere, and whoever waits for a server with it is told.
-TEST_F(crash_task_test, EndsThatSeveralDaemonsSawAddUp)
+// Three daemons see one crash each under the same request, which is not enough for any of them alone.
+// Together they must block it everywhere and notify the tasks that are waiting to send it.
+TEST_F(crash_task_test, CrashesSeenByDifferentDaemonsAddUp)
 {
     blockEverywhere();
-    EXPECT_TRUE(allDaemons([](const counting_daemon &one) {
-        return one.blockedTold == 1;
+    EXPECT_TRUE(allDaemons([](const test_daemon &daemon) {
+        return daemon.blockedNotifications == 1;
     }));
     EXPECT_TRUE(runUntil([this] {
         return stored().servers.size() == 3;
     }));
 }
 
-// Answers are lost on their way, or a server resets connections, and lives on. Users' requests must not be
-// blocked for it, however often.
-TEST_F(crash_task_test, AnAnswerLostByAServerThatLivesCountsForNothing)
+// Responses are lost on the way, or a server resets connections, but the servers stay up. However often this
+// happens, requests must not be blocked for it.
+TEST_F(crash_task_test, AResponseLostByAServerThatIsUpIsNotCounted)
 {
     for (const char *server : {"s1", "s2", "s3", "s4"}) {
-        loseAnswer(0, server, false);
+        loseResponse(0, server, false);
     }
     runRounds(300);
     EXPECT_FALSE(m_daemons[0]->crashes.isBlocked(fingerprint));
     EXPECT_EQ(m_daemons[0]->crashes.counters().serverCrashes, 0U);
 }
 
-// A server that had said that it leaves ends, as planned, with a long answer. That is not the request's
-// doing.
-TEST_F(crash_task_test, ALeavingServersEndCountsForNothing)
+// A server that announced that it was leaving ends as planned, and a long response breaks off. The request
+// did not cause that.
+TEST_F(crash_task_test, TheEndOfALeavingServerIsNotCounted)
 {
-    list("s1", "draining");
-    ASSERT_TRUE(allDaemons([](const counting_daemon &one) {
-        return one.store.view().servers.at("s1").draining;
+    listServer("s1", "draining");
+    ASSERT_TRUE(allDaemons([](const test_daemon &daemon) {
+        return daemon.store.view().servers.at("s1").draining;
     }));
-    loseAnswer(0, "s1", true);
+    loseResponse(0, "s1", true);
     runRounds(300);
     EXPECT_EQ(m_daemons[0]->crashes.counters().serverCrashes, 0U);
 }
 
-// A host is gone with its server and answers nothing, or the caller leaves before its request ends the
-// server: no closed port tells. The server's entry in the store goes, and that tells.
-TEST_F(crash_task_test, AServerThatVanishesFromTheStoreAfterASendWasGivenUpCounts)
+// A host fails together with its server and no longer responds, or the caller disconnects before its request
+// crashes the server. No closed port shows the crash, but the removal of the server's record from the store
+// does.
+TEST_F(crash_task_test, AServerRemovedFromTheStoreAfterAnAbandonedSendIsCounted)
 {
     for (const char *server : {"s1", "s2", "s3"}) {
         m_daemons[0]->crashes.onSendAbandoned(
@@ -186,43 +187,43 @@
     EXPECT_TRUE(allDaemons(blocks));
 }
 
-// The third send breaks off, and whether its server has ended isn't known for a moment. The daemon must not
-// send it to a fourth one meanwhile.
-TEST_F(crash_task_test, WhileAnEndIsUncertainTheRequestIsNotRepeated)
+// The third response breaks off, and for a moment it is unknown whether its server has crashed. Meanwhile the
+// daemon must not send the request to a fourth server.
+TEST_F(crash_task_test, ARequestIsNotRepeatedWhileACrashIsUncertain)
 {
-    loseAnswer(0, "s1", true);
-    loseAnswer(1, "s2", true);
-    ASSERT_TRUE(allDaemons(knowsTwo));
+    loseResponse(0, "s1", true);
+    loseResponse(1, "s2", true);
+    ASSERT_TRUE(allDaemons(hasTwoStoredCrashes));
     EXPECT_FALSE(m_daemons[2]->crashes.mayBecomeBlocked(fingerprint));
-    loseAnswer(2, "s3", false);
+    loseResponse(2, "s3", false);
     EXPECT_TRUE(m_daemons[2]->crashes.mayBecomeBlocked(fingerprint));
     EXPECT_TRUE(runUntil([this] {
         return !m_daemons[2]->crashes.mayBecomeBlocked(fingerprint);
-    })) << "the server lives";
+    })) << "the server is up";
 }
 
-// Two servers have ended under a request by chance, then one answers it. It is an honest one, and all daemons
-// count from none again.
-TEST_F(crash_task_test, AWholeAnswerAnywhereClearsTheRequest)
+// Two servers crash under a harmless request by chance, then another one completes it. All daemons must start
+// counting from zero again.
+TEST_F(crash_task_test, ACompleteResponseAnywhereClearsTheRequest)
 {
-    loseAnswer(0, "s1", true);
-    loseAnswer(1, "s2", true);
-    ASSERT_TRUE(allDaemons(knowsTwo));
+    loseResponse(0, "s1", true);
+    loseResponse(1, "s2", true);
+    ASSERT_TRUE(allDaemons(hasTwoStoredCrashes));
     m_daemons[3]->crashes.onResponseComplete(fingerprint);
-    EXPECT_TRUE(allDaemons([](const counting_daemon &one) {
-        return one.store.view().crashes.empty();
+    EXPECT_TRUE(allDaemons([](const test_daemon &daemon) {
+        return daemon.store.view().crashes.empty();
     }));
-    loseAnswer(2, "s3", true);
+    loseResponse(2, "s3", true);
     runRounds(300);
     EXPECT_FALSE(blocks(*m_daemons[2]));
 }
 
-// A request that ended one server was answered later, and after a change of the servers it ends two. Word of
-// that is lost on its way to the daemon that had cleared it, which must then believe the store and leave the
-// record.
-TEST_F(crash_task_test, ARequestThatWasClearedIsCountedAnew)
+// A request that crashed one server is completed by another, and later crashes two more. The report of that
+// is lost on its way to the daemon that had cleared the request. This daemon must follow the store and must
+// not remove the record.
+TEST_F(crash_task_test, CrashesAfterARequestWasClearedAreCounted)
 {
-    loseAnswer(0, "s1", true);
+    loseResponse(0, "s1", true);
     ASSERT_TRUE(runUntil([this] {
         return m_daemons[0]->crashes.crashedIncarnations(fingerprint).size() == 1;
     }));
@@ -235,106 +236,108 @@
     EXPECT_EQ(stored().servers.size(), 2U);
 }
 
-// The store is away when the third server ends. The daemons hear it from each other, and the store has it
-// once it is back.
-TEST_F(crash_task_test, WithoutTheStoreTheDaemonsTellEachOther)
+// The store is unavailable when the third server crashes. The daemons must notify each other, and store the
+// record when the store is back.
+TEST_F(crash_task_test, DaemonsNotifyEachOtherWhileTheStoreIsUnavailable)
 {
-    loseAnswer(0, "s1", true);
-    loseAnswer(1, "s2", true);
-    ASSERT_TRUE(allDaemons(knowsTwo));
-    for (const auto &one : m_daemons) {
-        one->client.trouble = store_trouble::Refuses;
+    loseResponse(0, "s1", true);
+    loseResponse(1, "s2", true);
+    ASSERT_TRUE(allDaemons(hasTwoStoredCrashes));
+    for (const auto &daemon : m_daemons) {
+        daemon->client.trouble = store_trouble::Refuses;
     }
-    loseAnswer(2, "s3", true);
+    loseResponse(2, "s3", true);
     EXPECT_TRUE(allDaemons(blocks));
     EXPECT_EQ(stored().servers.size(), 2U);
-    for (const auto &one : m_daemons) {
-        one->client.trouble = store_trouble::None;
+    for (const auto &daemon : m_daemons) {
+        daemon->client.trouble = store_trouble::None;
     }
     EXPECT_TRUE(runUntil([this] {
         return stored().servers.size() == 3;
     }));
 }
 
-// One end is known to two daemons alone. One of them dies before the next, and nothing is lost.
-TEST_F(crash_task_test, TheDeathOfADaemonThatCountsLosesNothing)
+// Only two daemons know of a crash, and one of them dies before the next crash. The count must not be lost.
+TEST_F(crash_task_test, TheDeathOfAHomeLosesNoCount)
 {
-    loseAnswer(0, "s1", true);
-    const auto knows = [](const counting_daemon &one) {
-        return !one.crashes.crashedIncarnations(fingerprint).empty();
+    loseResponse(0, "s1", true);
+    const auto knows = [](const test_daemon &daemon) {
+        return !daemon.crashes.crashedIncarnations(fingerprint).empty();
     };
     ASSERT_TRUE(runUntil([&] {
-        return std::count_if(m_daemons.begin(), m_daemons.end(), [&](const auto &one) {
-            return knows(*one);
+        return std::count_if(m_daemons.begin(), m_daemons.end(), [&](const auto &daemon) {
+            return knows(*daemon);
         }) >= 2;
     }));
     std::vector<std::string> nodes{"n1", "n2", "n3", "n4"};
     const std::string home = rendezvousFirst(fingerprint, nodes);
-    std::erase_if(m_daemons, [&home](const auto &one) {
-        return one->settings.node == home;
+    std::erase_if(m_daemons, [&home](const auto &daemon) {
+        return daemon->settings.node == home;
     });
     for (std::size_t i = 0; i < 2; ++i) {
-        loseAnswer(i, i == 0 ? "s2" : "s3", true);
+        loseResponse(i, i == 0 ? "s2" : "s3", true);
     }
     EXPECT_TRUE(allDaemons(blocks));
 }
 
-// After its wait a blocked request is sent to one server by one daemon, however many are asked for it at that
-// moment. It ends that server too, and after the second time it is left alone.
-TEST_F(crash_task_test, ABlockedRequestIsTriedByOneDaemonAtATimeAndTwiceAtMost)
+// When its delay is over, a blocked request may be sent to one server by one daemon, however many daemons
+// receive it at that moment. It crashes that server too, and after the second probe no more are sent.
+TEST_F(crash_task_test, ABlockedRequestIsProbedByOneDaemonAtATimeAndAtMostTwice)
 {
     blockEverywhere();
     int granted = 0;
-    int answered = 0;
-    const auto asks = m_loop.timer({20}, {20}, [&] {
-        for (const auto &one : m_daemons) {
-            one->crashes.requestProbe(fingerprint, [&](bool isGranted) {
+    int decided = 0;
+    const auto requests = m_loop.timer({20}, {20}, [&] {
+        for (const auto &daemon : m_daemons) {
+            daemon->crashes.requestProbe(fingerprint, [&](bool isGranted) {
                 granted += isGranted ? 1 : 0;
-                ++answered;
+                ++decided;
             });
         }
     });
     runRounds(200);
-    EXPECT_EQ(granted, 0) << "its wait isn't over";
+    EXPECT_EQ(granted, 0) << "the probe delay isn't over";
     EXPECT_TRUE(runUntil([&] {
         return granted == 2;
     }));
     runRounds(1'500);
     EXPECT_EQ(granted, 2);
-    EXPECT_GT(answered, 100);
+    EXPECT_GT(decided, 100);
     EXPECT_EQ(stored().trials, 2U);
     EXPECT_EQ(m_daemons[0]->crashes.blockedRetryAfter(fingerprint), crashRetention);
 }
 
-// An operator knows better and removes the record: the request is taken again.
-TEST_F(crash_task_test, ARemovedRecordClearsTheRequest)
+// An operator removes the record, so the request must be accepted again.
+TEST_F(crash_task_test, RemovingTheRecordClearsTheRequest)
 {
     blockEverywhere();
     ASSERT_TRUE(runUntil([this] {
         return stored().servers.size() == 3;
     }));
-    ASSERT_TRUE(allDaemons([](const counting_daemon &one) {
-        return one.store.view().crashes.count(fingerprint) == 1;
+    ASSERT_TRUE(allDaemons([](const test_daemon &daemon) {
+        return daemon.store.view().crashes.count(fingerprint) == 1;
     }));
     m_store.remove("briarhead/crash/" + fingerprint);
-    EXPECT_TRUE(allDaemons([](const counting_daemon &one) {
-        return !blocks(one);
+    EXPECT_TRUE(allDaemons([](const test_daemon &daemon) {
+        return !blocks(daemon);
     }));
 }
 
-// A daemon that starts afterwards knows it with its first reading, before it takes callers.
-TEST_F(crash_task_test, ADaemonThatStartsLaterReadsItInTheStore)
+// A daemon that starts later must know the blocked request from its first read of the store, before it
+// accepts callers.
+TEST_F(crash_task_test, ADaemonThatStartsLaterReadsTheRecordFromTheStore)
 {
     blockEverywhere();
     ASSERT_TRUE(runUntil([this] {
         return stored().servers.size() == 3;
     }));
-    m_daemons.push_back(std::make_unique<counting_daemon>(m_store, "n5"));
+    m_daemons.push_back(std::make_unique<test_daemon>(m_store, "n5"));
     EXPECT_TRUE(allDaemons(blocks));
 }
 
-// Some other writer's bytes under one of these keys, and a datagram with a fingerprint that is none.
-TEST_F(crash_task_test, WhatIsNoRecordHarmsNothing)
+// Another program writes invalid bytes under one of these keys, and a datagram arrives with an invalid
+// fingerprint.
+TEST_F(crash_task_test, InvalidRecordsAndReportsAreIgnored)
 {
     m_store.put("briarhead/crash/" + fingerprint, "no record");
     m_daemons[0]->crashes.onReport({"short", {"s1", "s2", "s3"}});
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::array ranks{priority::Urgent, priority::High, priority::Normal, priority::Low};
 
-/// A full batch of 10 with 1 s per request, so one place comes free every 100 ms; 100 queue places.
+/// A server with a full batch of 10 and 1 s per request, so one place becomes free every 100 ms. Its queue
+/// holds 100.
 admission_view fullServer(std::uint32_t waiting)
 {
     admission_view queue{.inFlight = 10, .batchLimit = 10, .waitingAhead = waiting, .waitingLimit = 100};
@@ -20,7 +21,7 @@
     return queue;
 }
 
-admission_view anyQueue()
+admission_view randomQueue()
 {
     const auto upTo = [](std::uint32_t limit) {
         return *rc::gen::inRange(0U, limit);
@@ -39,37 +40,38 @@
 
 }
 
-RC_GTEST_PROP(Admission, TheAdmittedMeetTheirDeadlineAndTheRefusedLearnWhenToComeBack, ())
+RC_GTEST_PROP(Admission, AdmittedRequestsMeetTheirDeadlineAndRefusedOnesGetARetryTime, ())
 {
-    const auto queue = anyQueue();
+    const auto queue = randomQueue();
     const millis deadline{*rc::gen::inRange(0, 20'000)};
-    bool refusedBetter = false;
+    bool higherPriorityRefused = false;
     for (const priority rank : ranks) {
-        const auto answer = admit(queue, rank, deadline);
-        RC_ASSERT_FALSE((refusedBetter && answer.admitted)); // a better priority was refused
-        refusedBetter = !answer.admitted;
-        if (answer.admitted) {
-            RC_ASSERT(answer.expectedWait.count + queue.meanServiceMs <= deadline.count + 1);
+        const auto decision = admit(queue, rank, deadline);
+        RC_ASSERT_FALSE((higherPriorityRefused && decision.admitted));
+        higherPriorityRefused = !decision.admitted;
+        if (decision.admitted) {
+            RC_ASSERT(decision.expectedWait.count + queue.meanServiceMs <= deadline.count + 1);
         } else {
-            RC_ASSERT(answer.retryAfter >= millis{50});
-            RC_ASSERT((answer.why == error_kind::Overloaded || answer.why == error_kind::DeadlineTooShort));
+            RC_ASSERT(decision.retryAfter >= millis{50});
+            RC_ASSERT(
+                (decision.why == error_kind::Overloaded || decision.why == error_kind::DeadlineTooShort));
         }
     }
 }
 
-TEST(Admission, WhatWouldMissItsDeadlineIsRefusedAtOnce)
+TEST(Admission, ARequestThatWouldMissItsDeadlineIsRefusedAtOnce)
 {
     EXPECT_TRUE(admit(fullServer(9), priority::Normal, {2'000}).admitted);
     const auto late = admit(fullServer(19), priority::Normal, {2'000});
     EXPECT_EQ(late.why, error_kind::DeadlineTooShort);
-    EXPECT_EQ(late.retryAfter, millis{1'000}) << "ten places have to come free first";
+    EXPECT_EQ(late.retryAfter, millis{1'000}) << "ten places have to become free first";
     admission_view cold{
         .batchLimit = 10, .waitingLimit = 100, .meanServiceMs = 1'000, .loadsAhead = 2, .loadMs = 400};
     EXPECT_EQ(admit(cold, priority::Normal, {3'000}).expectedWait, millis{1'200});
     EXPECT_EQ(admit(cold, priority::Normal, {2'100}).why, error_kind::DeadlineTooShort);
 }
 
-TEST(Admission, LowPrioritiesAreShedFirstAndToldHowLongTheQueueDrains)
+TEST(Admission, LowPrioritiesAreRefusedFirstAndToldHowLongTheQueueTakesToDrain)
 {
     const auto admittedAt = [](std::uint32_t waiting, priority rank) {
         return admit(fullServer(waiting), rank, {60'000}).admitted;
@@ -94,10 +96,11 @@
     queue = fullServer(40);
     queue.callersWaiting = 4;
     queue.callerWaiting = 40;
-    EXPECT_TRUE(admit(queue, priority::Urgent, {60'000}).admitted) << "room for all: no share to keep to";
+    EXPECT_TRUE(admit(queue, priority::Urgent, {60'000}).admitted)
+        << "the queue is less than half full, so no share applies";
 }
 
-TEST(CallerLimit, ARateIsASecondsWorthThenOneAtATime)
+TEST(CallerLimit, ARateAllowsABurstOfOneSecondAndThenOneRequestAtATime)
 {
     caller_limit limit;
     const rule_config rule{.perSecond = 4};
@@ -108,7 +111,7 @@
     EXPECT_FALSE(acquireCallerLimit(limit, rule, {1'250}));
 }
 
-TEST(CallerLimit, PlacesInFlightComeBackOnRelease)
+TEST(CallerLimit, ReleasedPlacesInFlightCanBeUsedAgain)
 {
     caller_limit limit;
     const rule_config rule{.inFlight = 2};
--- a/tests/unit/crash_history_test.cpp
+++ b/tests/unit/crash_history_test.cpp
@@ -10,52 +10,52 @@
 
 constexpr millis now{1'000};
 
-std::string startNumber(int number)
+std::string incarnationName(int number)
 {
     return "server-" + std::to_string(number);
 }
 
 }
 
-TEST(RequestFingerprint, TellsApartWhatACallerRepeatsAndNothingElse)
+TEST(RequestFingerprint, DiffersIfAndOnlyIfARepeatedPartDiffers)
 {
-    const request_content one{"ana", "POST", "h", "/a/b", "body"};
-    EXPECT_EQ(fingerprintOf(one), fingerprintOf({"ana", "POST", "h", "/a/b", "body"}));
-    EXPECT_EQ(fingerprintOf(one).size(), fingerprintDigits);
+    const request_content content{"ana", "POST", "h", "/a/b", "body"};
+    EXPECT_EQ(fingerprintOf(content), fingerprintOf({"ana", "POST", "h", "/a/b", "body"}));
+    EXPECT_EQ(fingerprintOf(content).size(), fingerprintDigits);
     for (const request_content &other : {request_content{"eva", "POST", "h", "/a/b", "body"},
              request_content{"ana", "PUT", "h", "/a/b", "body"},
              request_content{"ana", "POST", "i", "/a/b", "body"},
              request_content{"ana", "POST", "h", "/a/c", "body"},
              request_content{"ana", "POST", "h", "/a/b", "bodY"},
              request_content{"ana", "POST", "h", "/a/", "bbody"}}) {
-        EXPECT_NE(fingerprintOf(one), fingerprintOf(other)) << other.target << other.body;
+        EXPECT_NE(fingerprintOf(content), fingerprintOf(other)) << other.target << other.body;
     }
 }
 
-// Daemons hear of ends in any order, in any groups and more than once. A request is blocked exactly when
-// three different starts of servers have ended under it.
-RC_GTEST_PROP(CrashBook, IsBlockedExactlyFromThreeEndsOn, ())
+// Daemons learn of crashes in any order, in any combination and more than once. A request must be blocked
+// exactly when three different server incarnations have crashed under it.
+RC_GTEST_PROP(CrashHistory, ARequestIsBlockedExactlyFromThreeCrashesOn, ())
 {
     crash_history history;
-    std::set<std::string> ended;
-    const auto groups = *rc::gen::container<std::vector<std::vector<int>>>(
+    std::set<std::string> crashed;
+    const auto reports = *rc::gen::container<std::vector<std::vector<int>>>(
         rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5)));
-    for (const std::vector<int> &group : groups) {
+    for (const std::vector<int> &report : reports) {
         std::vector<std::string> servers;
-        servers.reserve(group.size());
-        for (const int each : group) {
-            servers.push_back(startNumber(each));
+        servers.reserve(report.size());
+        for (const int each : report) {
+            servers.push_back(incarnationName(each));
         }
-        const bool known = std::includes(ended.begin(), ended.end(), servers.begin(), servers.end());
-        ended.insert(servers.begin(), servers.end());
+        const bool known = std::includes(crashed.begin(), crashed.end(), servers.begin(), servers.end());
+        crashed.insert(servers.begin(), servers.end());
         const bool isNew = recordCrashes(history, "f", servers, now);
         RC_ASSERT(!(known && isNew));
-        RC_ASSERT(isBlocked(history, "f") == (ended.size() >= crashesToBlock));
-        RC_ASSERT(crashesOf(history, "f").size() == std::min(ended.size(), crashesToBlock));
+        RC_ASSERT(isBlocked(history, "f") == (crashed.size() >= crashesToBlock));
+        RC_ASSERT(crashesOf(history, "f").size() == std::min(crashed.size(), crashesToBlock));
     }
 }
 
-TEST(CrashBook, OneServerThatEndsAgainUnderItsNameCountsOnce)
+TEST(CrashHistory, RepeatedReportsOfOneIncarnationCountOnce)
 {
     crash_history history;
     for (int i = 0; i < 5; ++i) {
@@ -64,9 +64,9 @@
     EXPECT_FALSE(isBlocked(history, "f"));
 }
 
-// Three servers ended at once, and a request that many callers send was running on each. It must be tried
-// again soon, and only a request that goes on ending servers is left alone for long.
-TEST(CrashBook, ABlockedRequestIsTriedAfterEachWaitAndThenNoMore)
+// Three servers crash at once in an outage, and a request that many callers send was running on each of them.
+// It must be probed soon; only a request that keeps crashing servers may stay blocked for long.
+TEST(CrashHistory, ABlockedRequestIsProbedAfterEachDelayAndThenNoMore)
 {
     crash_history history;
     recordCrashes(history, "f", {"server-1", "server-2", "server-3"}, now);
@@ -75,13 +75,13 @@
     const millis first = now + probeDelays[0] + millis{5};
     recordProbes(history, "f", 1, first);
     EXPECT_EQ(timeUntilProbe(history, "f", first), probeDelays[1]);
-    recordProbes(history, "f", 1, first + millis{50}); // heard again
+    recordProbes(history, "f", 1, first + millis{50}); // reported again
     EXPECT_EQ(timeUntilProbe(history, "f", first + probeDelays[1]), millis{});
     recordProbes(history, "f", 2, first + probeDelays[1]);
     EXPECT_EQ(timeUntilProbe(history, "f", first + probeDelays[1] + probeDelays[1]), crashRetention);
 }
 
-TEST(CrashBook, RemembersAsLongAsItIsAskedFor)
+TEST(CrashHistory, ARequestIsForgottenUnlessItIsStillRequested)
 {
     crash_history history;
     recordCrashes(history, "asked for", {"server-1"}, now);
@@ -90,9 +90,9 @@
     EXPECT_EQ(expiredRequests(history, now + crashRetention), std::vector<std::string>{"not asked for"});
 }
 
-// An outage ends thousands of servers, and all that they ran is remembered for an hour. The blocked one must
-// not be pushed out by them.
-TEST(CrashBook, StaysBoundedAndKeepsWhatIsBlocked)
+// An outage crashes thousands of servers, and all the requests that they were running are remembered for an
+// hour. They must not displace a blocked request.
+TEST(CrashHistory, TheNumberOfRequestsIsLimitedAndBlockedOnesAreKept)
 {
     crash_history history;
     recordCrashes(history, "blocked", {"server-1", "server-2", "server-3"}, now);
--- a/tests/unit/eviction_test.cpp
+++ b/tests/unit/eviction_test.cpp
@@ -16,7 +16,7 @@
     return {.rate = rate, .loadedAt = loadedAt, .lastUsed = lastUsed};
 }
 
-slot_view anySlot()
+slot_view randomSlot()
 {
     slot_view any = slot(*rc::gen::inRange(0, 50) / 10.0, {*rc::gen::inRange(95'000, 100'000)}, {0});
     any.inFlight = *rc::gen::inRange(0U, 2U);
@@ -30,7 +30,7 @@
 
 RC_GTEST_PROP(Eviction, NoSlotInUsePromisedPinnedOrLoadingIsEverChosen, (bool leastRecentlyUsed))
 {
-    const std::vector<slot_view> slots{anySlot(), anySlot(), anySlot(), anySlot()};
+    const std::vector<slot_view> slots{randomSlot(), randomSlot(), randomSlot(), randomSlot()};
     const auto waiting = *rc::gen::inRange(0U, 50U);
     const auto chosen = chooseEviction(slots, *rc::gen::inRange(0, 100), waiting, now, leastRecentlyUsed);
     if (chosen) {
@@ -39,37 +39,38 @@
     }
 }
 
-TEST(Eviction, TheColdestSlotGoesAndTheBaselineTakesTheLeastRecentlyUsed)
+TEST(Eviction, TheColdestSlotIsEvictedOrWithTheBaselineTheLeastRecentlyUsed)
 {
     const std::vector<slot_view> slots{slot(5, {0}, {1'000}), slot(0.1, {0}, {9'000}), slot(2, {0}, {5'000})};
     EXPECT_EQ(chooseEviction(slots, 1, 1, now, false), 1U);
     EXPECT_EQ(chooseEviction(slots, 1, 1, now, true), 0U);
 }
 
-TEST(Eviction, TwoAdaptersAboutAsHotDontUnloadEachOtherOnEveryRequest)
+TEST(Eviction, TwoSimilarlyHotAdaptersDontEvictEachOtherOnEveryRequest)
 {
-    // A working set one adapter above the slots: without a least residence every request of either adapter
-    // would wait for a load, since each load unloads the other one.
+    // The working set is one adapter larger than the slots. Without a minimum residence, every request of
+    // either adapter would wait for a load, since each load evicts the other one.
     const millis loadedAt = now - millis{minResidenceMs - 1};
     const std::vector<slot_view> slots{slot(1, loadedAt, now)};
     EXPECT_FALSE(chooseEviction(slots, 1.1, 1, now, false));
-    EXPECT_EQ(chooseEviction(slots, 1.1, 1, now + millis{1}, false), 0U) << "it waits, and isn't starved";
-    EXPECT_EQ(chooseEviction(slots, 2.1, 1, now, false), 0U) << "something much hotter";
+    EXPECT_EQ(chooseEviction(slots, 1.1, 1, now + millis{1}, false), 0U)
+        << "after the minimum residence it may evict";
+    EXPECT_EQ(chooseEviction(slots, 2.1, 1, now, false), 0U) << "a much hotter adapter may evict it";
     EXPECT_EQ(chooseEviction(slots, 0, 30, now, false), 0U)
-        << "a queue is heat that the average doesn't show yet";
+        << "a queue shows hotness before the average does";
 }
 
-// Callers of a fairly popular adapter wait for a load again and again. Requests for seldom used adapters come
-// one after the other, and each takes the slot of a hotter adapter, since the last newcomer's slot is still
-// young. Such a slot has no request to come within its least residence, so it goes first.
-TEST(Eviction, AYoungSlotThatIsSeldomAskedForGoesBeforeAHotterOlderOne)
+// Requests for rarely used adapters arrive one after the other. If each evicts a hotter adapter, because the
+// previous newcomer's slot is still young, then callers of fairly popular adapters keep waiting for loads. A
+// young slot that expects no request within the minimum residence must go first.
+TEST(Eviction, AYoungSlotThatIsRarelyUsedIsEvictedBeforeAHotterOlderOne)
 {
     const millis loadedAt = now - millis{minResidenceMs / 2};
     const std::vector<slot_view> slots{slot(0.5, {0}, now), slot(0.02, loadedAt, loadedAt)};
     EXPECT_EQ(chooseEviction(slots, 0.02, 1, now, false), 1U);
 }
 
-TEST(Eviction, APrefetchDisplacesOnlyWhatIsMuchColder)
+TEST(Eviction, APrefetchEvictsOnlyAMuchColderAdapter)
 {
     const std::vector<slot_view> slots{slot(1, {0}, {0})};
     EXPECT_FALSE(chooseEviction(slots, 1.9, 0, now, false));
--- a/tests/unit/quota_sim.cpp
+++ b/tests/unit/quota_sim.cpp
@@ -23,19 +23,19 @@
     : m_options(options)
     , m_limit(options.limit)
     , m_random(options.seed)
-    , m_processes(static_cast<std::size_t>(options.daemons))
+    , m_daemons(static_cast<std::size_t>(options.daemons))
 {
     if (options.strategy == quota_strategy::HomeOnly) {
         m_options.plan.maxTotalShares = 0;
         m_options.plan.maxDaemonShare = 0;
     }
-    for (process &one : m_processes) {
-        one.clockAhead = {static_cast<std::int64_t>(random() * 1e9)};
-        one.client.plan = m_options.plan;
-        one.client.rules = m_options.rules;
+    for (sim_daemon &node : m_daemons) {
+        node.clockOffset = {static_cast<std::int64_t>(random() * 1e9)};
+        node.client.plan = m_options.plan;
+        node.client.rules = m_options.rules;
         if (m_options.strategy == quota_strategy::Equal) {
-            quota_client_shard &shard = one.client.shards[shardOf(account)];
-            shard.lastContact = clockOf(one) - m_options.plan.fallbackAfter;
+            quota_client_shard &shard = node.client.shards[shardOf(account)];
+            shard.lastContact = clockOf(node) - m_options.plan.fallbackAfter;
             shard.fallbackShare = 1.0 / options.daemons;
         }
     }
@@ -49,14 +49,14 @@
     return std::uniform_real_distribution<double>(0, 1)(m_random);
 }
 
-millis quota_sim::clockOf(const process &one) const
+millis quota_sim::clockOf(const sim_daemon &node) const
 {
-    return m_now + one.clockAhead;
+    return m_now + node.clockOffset;
 }
 
-bool quota_sim::runs(const process &one) const
+bool quota_sim::isRunning(const sim_daemon &node) const
 {
-    return one.up && m_now >= one.frozenUntil;
+    return node.up && m_now >= node.frozenUntil;
 }
 
 millis quota_sim::now() const
@@ -66,7 +66,7 @@
 
 int quota_sim::home() const
 {
-    return m_holders.empty() ? -1 : m_holders.back().daemon;
+    return m_homes.empty() ? -1 : m_homes.back().daemon;
 }
 
 std::size_t quota_sim::messages() const
@@ -76,24 +76,24 @@
 
 void quota_sim::setDemand(int daemon, double unitsPerSecond)
 {
-    m_processes[static_cast<std::size_t>(daemon)].demand = unitsPerSecond;
+    m_daemons[static_cast<std::size_t>(daemon)].demand = unitsPerSecond;
 }
 
 void quota_sim::setLimit(const quota_limit &limit)
 {
     m_limit = limit;
-    for (process &one : m_processes) {
-        briarhead::setLimit(one.client, account, limit, clockOf(one));
+    for (sim_daemon &node : m_daemons) {
+        briarhead::setLimit(node.client, account, limit, clockOf(node));
     }
 }
 
 void quota_sim::kill(int daemon)
 {
-    process &one = m_processes[static_cast<std::size_t>(daemon)];
-    one.up = false;
-    one.waiting.clear();
-    for (holder &each : m_holders) {
-        if (each.daemon == daemon && each.incarnation == one.incarnation) {
+    sim_daemon &node = m_daemons[static_cast<std::size_t>(daemon)];
+    node.up = false;
+    node.waiting.clear();
+    for (sim_home &each : m_homes) {
+        if (each.daemon == daemon && each.incarnation == node.incarnation) {
             each.until = m_now;
         }
     }
@@ -101,84 +101,84 @@
 
 void quota_sim::restart(int daemon)
 {
-    process &one = m_processes[static_cast<std::size_t>(daemon)];
+    sim_daemon &node = m_daemons[static_cast<std::size_t>(daemon)];
     kill(daemon);
-    one.up = true;
-    one.frozenUntil = {};
-    ++one.incarnation;
-    one.clockAhead = {static_cast<std::int64_t>(random() * 1e9)};
-    one.client = {};
-    one.client.plan = m_options.plan;
-    one.client.rules = m_options.rules;
-    introduceHome(one);
+    node.up = true;
+    node.frozenUntil = {};
+    ++node.incarnation;
+    node.clockOffset = {static_cast<std::int64_t>(random() * 1e9)};
+    node.client = {};
+    node.client.plan = m_options.plan;
+    node.client.rules = m_options.rules;
+    announceHome(node);
 }
 
 void quota_sim::freeze(int daemon, millis span)
 {
-    m_processes[static_cast<std::size_t>(daemon)].frozenUntil = m_now + span;
+    m_daemons[static_cast<std::size_t>(daemon)].frozenUntil = m_now + span;
 }
 
 void quota_sim::setGroup(int daemon, int group)
 {
-    m_processes[static_cast<std::size_t>(daemon)].group = group;
+    m_daemons[static_cast<std::size_t>(daemon)].group = group;
 }
 
-void quota_sim::introduceHome(process &one)
+void quota_sim::announceHome(sim_daemon &node)
 {
-    if (!m_holders.empty()) {
-        const holder &last = m_holders.back();
-        briarhead::setHome(one.client, shardOf(account), nodeName(last.daemon), last.term, clockOf(one));
+    if (!m_homes.empty()) {
+        const sim_home &last = m_homes.back();
+        briarhead::setHome(node.client, shardOf(account), nodeName(last.daemon), last.term, clockOf(node));
     }
 }
 
 void quota_sim::moveHome(int daemon, bool handedOver)
 {
-    // A home that was still waiting for its own predecessor's end has nothing to hand over.
-    handedOver = handedOver && (m_holders.empty() || m_now >= m_holders.back().grantsFrom);
-    if (!m_holders.empty()) {
-        holder &before = m_holders.back();
+    // A home that is still waiting for its own predecessor can't hand over.
+    handedOver = handedOver && (m_homes.empty() || m_now >= m_homes.back().grantsFrom);
+    if (!m_homes.empty()) {
+        sim_home &before = m_homes.back();
         before.until = std::min(before.until, handedOver ? m_now : m_now + m_options.plan.takeoverWait);
     }
-    process &one = m_processes[static_cast<std::size_t>(daemon)];
-    for (holder &each : m_holders) {
-        const bool same = each.daemon == daemon && each.incarnation == one.incarnation;
-        each.until = same ? std::min(each.until, m_now) : each.until; // it keeps one book for a shard
+    sim_daemon &node = m_daemons[static_cast<std::size_t>(daemon)];
+    for (sim_home &each : m_homes) {
+        const bool same = each.daemon == daemon && each.incarnation == node.incarnation;
+        each.until = same ? std::min(each.until, m_now) : each.until; // it keeps one state per shard
     }
-    holder next;
+    sim_home next;
     next.daemon = daemon;
-    next.incarnation = one.incarnation;
-    next.term = static_cast<std::int64_t>(m_holders.size()) + 1;
+    next.incarnation = node.incarnation;
+    next.term = static_cast<std::int64_t>(m_homes.size()) + 1;
     next.grantsFrom = handedOver ? m_now : m_now + m_options.plan.takeoverWait;
-    next.book = startHome(clockOf(one), handedOver);
+    next.state = startHome(clockOf(node), handedOver);
     std::vector<std::string> fleet;
-    fleet.reserve(m_processes.size());
+    fleet.reserve(m_daemons.size());
     for (int i = 0; i < m_options.daemons; ++i) {
         fleet.push_back(nodeName(i));
     }
-    setFleet(next.book, fleet);
-    m_holders.push_back(std::move(next));
-    for (process &each : m_processes) {
-        introduceHome(each);
+    setFleet(next.state, fleet);
+    m_homes.push_back(std::move(next));
+    for (sim_daemon &each : m_daemons) {
+        announceHome(each);
     }
 }
 
-void quota_sim::loseHome()
+void quota_sim::removeHome()
 {
-    for (process &one : m_processes) {
-        briarhead::setHome(one.client, shardOf(account), "", 0, clockOf(one));
+    for (sim_daemon &node : m_daemons) {
+        briarhead::setHome(node.client, shardOf(account), "", 0, clockOf(node));
     }
 }
 
-void quota_sim::post(int from, int to, message one)
+void quota_sim::send(int from, int to, message sent)
 {
     ++m_messages;
-    one.from = from;
-    one.to = to;
-    const int copies = random() < m_options.doubled ? 2 : 1;
+    sent.from = from;
+    sent.to = to;
+    const int copies = random() < m_options.duplication ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         if (random() >= m_options.loss) {
-            one.due = m_now + millis{static_cast<std::int64_t>(random() * m_options.delayMost)};
-            m_net.push_back(one);
+            sent.due = m_now + millis{static_cast<std::int64_t>(random() * m_options.maxDelayMs)};
+            m_network.push_back(sent);
         }
     }
 }
@@ -187,124 +187,125 @@
 {
     std::deque<message> later;
     std::deque<message> due;
-    for (message &each : m_net) {
-        const process &to = m_processes[static_cast<std::size_t>(each.to)];
-        const bool waits = each.due > m_now || (to.up && !runs(to));
+    for (message &each : m_network) {
+        const sim_daemon &to = m_daemons[static_cast<std::size_t>(each.to)];
+        const bool waits = each.due > m_now || (to.up && !isRunning(to));
         (waits ? later : due).push_back(std::move(each));
     }
-    m_net = std::move(later);
+    m_network = std::move(later);
     for (const message &each : due) {
-        process &to = m_processes[static_cast<std::size_t>(each.to)];
-        const process &from = m_processes[static_cast<std::size_t>(each.from)];
+        sim_daemon &to = m_daemons[static_cast<std::size_t>(each.to)];
+        const sim_daemon &from = m_daemons[static_cast<std::size_t>(each.from)];
         if (!to.up || to.group != from.group) {
             continue;
         }
-        if (!each.isAsk) {
-            settle(each.to, applyResponse(to.client, each.answer, clockOf(to)));
+        if (!each.isRequest) {
+            onResolved(each.to, applyResponse(to.client, each.response, clockOf(to)));
             continue;
         }
-        for (holder &home : m_holders) {
-            const bool gives =
+        for (sim_home &home : m_homes) {
+            const bool mayGrant =
                 home.daemon == each.to && home.incarnation == to.incarnation && m_now < home.until;
-            const auto answer = gives ? handleRequest(home.book, m_options.plan, m_options.rules, limits(),
-                                    {nodeName(each.from), each.incarnation, false}, each.ask, clockOf(to))
-                                      : std::nullopt;
-            if (answer) {
-                message reply;
-                reply.answer = *answer;
-                post(each.to, each.from, reply);
+            const auto response = mayGrant
+                ? handleRequest(home.state, m_options.plan, m_options.rules, limits(),
+                    {nodeName(each.from), each.incarnation, false}, each.request, clockOf(to))
+                : std::nullopt;
+            if (response) {
+                message responseMessage;
+                responseMessage.response = *response;
+                send(each.to, each.from, responseMessage);
             }
         }
     }
 }
 
-void quota_sim::granted(int index, double cost)
+void quota_sim::onGranted(int index, double cost)
 {
-    const process &one = m_processes[static_cast<std::size_t>(index)];
-    const millis wait{static_cast<std::int64_t>(random() * m_options.placeWaitMost)};
-    m_taken.push_back({index, one.incarnation, cost, clockOf(one), m_now + wait});
+    const sim_daemon &node = m_daemons[static_cast<std::size_t>(index)];
+    const millis wait{static_cast<std::int64_t>(random() * m_options.maxSlotWaitMs)};
+    m_acquired.push_back({index, node.incarnation, cost, clockOf(node), m_now + wait});
 }
 
-void quota_sim::settle(int index, const std::vector<resolved_waiter> &settled)
+void quota_sim::onResolved(int index, const std::vector<resolved_waiter> &resolved)
 {
-    process &one = m_processes[static_cast<std::size_t>(index)];
-    for (const resolved_waiter &each : settled) {
-        const auto found = std::find_if(one.waiting.begin(), one.waiting.end(), [&](const auto &waiter) {
+    sim_daemon &node = m_daemons[static_cast<std::size_t>(index)];
+    for (const resolved_waiter &each : resolved) {
+        const auto found = std::find_if(node.waiting.begin(), node.waiting.end(), [&](const auto &waiter) {
             return waiter.first == each.id;
         });
-        if (found == one.waiting.end()) {
+        if (found == node.waiting.end()) {
             continue;
         }
         const double cost = found->second;
-        one.waiting.erase(found);
+        node.waiting.erase(found);
         if (each.decision.result == quota_result::Granted) {
-            granted(index, cost);
+            onGranted(index, cost);
         }
     }
 }
 
 void quota_sim::arrivals(int index)
 {
-    process &one = m_processes[static_cast<std::size_t>(index)];
-    const double rate = one.demand / m_options.meanCost;
+    sim_daemon &node = m_daemons[static_cast<std::size_t>(index)];
+    const double rate = node.demand / m_options.meanCost;
     const double mean = rate * static_cast<double>(stepSpan.count) / msPerSecond;
     const int count = mean > 0 ? std::poisson_distribution<int>(mean)(m_random) : 0;
     for (int i = 0; i < count; ++i) {
         const double cost = std::round(m_options.meanCost * (0.3 + 1.4 * random()));
-        m_asked.push_back({m_now, index, cost});
-        const std::uint64_t id = ++one.lastRequest;
-        const quota_decision decision = acquireUnits(one.client, account, m_limit, id, cost, clockOf(one));
+        m_demanded.push_back({m_now, index, cost});
+        const std::uint64_t id = ++node.lastRequest;
+        const quota_decision decision = acquireUnits(node.client, account, m_limit, id, cost, clockOf(node));
         if (decision.result == quota_result::Granted) {
-            granted(index, cost);
+            onGranted(index, cost);
         } else if (decision.result == quota_result::Pending) {
-            one.waiting.emplace_back(id, cost);
+            node.waiting.emplace_back(id, cost);
         }
     }
 }
 
-void quota_sim::sendAsks(int index)
+void quota_sim::sendRequests(int index)
 {
-    process &one = m_processes[static_cast<std::size_t>(index)];
-    for (const addressed_request &each : dueRequests(one.client, m_processes.size(), clockOf(one))) {
+    sim_daemon &node = m_daemons[static_cast<std::size_t>(index)];
+    for (const addressed_request &each : dueRequests(node.client, m_daemons.size(), clockOf(node))) {
         for (int i = 0; i < m_options.daemons; ++i) {
             if (nodeName(i) == each.home) {
                 message sent;
-                sent.isAsk = true;
-                sent.incarnation = one.incarnation;
-                sent.ask = each.ask;
-                post(index, i, sent);
+                sent.isRequest = true;
+                sent.incarnation = node.incarnation;
+                sent.request = each.request;
+                send(index, i, sent);
             }
         }
     }
 }
 
-/// As an entry does: what was taken too long ago is taken anew before the send.
-void quota_sim::sendDue()
+/// Sends what is due. Like an entry, acquires units again if they were acquired too long ago.
+void quota_sim::sendAcquired()
 {
-    std::vector<taken> later;
-    std::vector<taken> due;
-    for (const taken &each : m_taken) {
-        const process &one = m_processes[static_cast<std::size_t>(each.daemon)];
-        const bool lives = one.up && one.incarnation == each.incarnation;
-        if (lives) {
-            (m_now >= each.sendAt && runs(one) ? due : later).push_back(each);
+    std::vector<acquired_units> later;
+    std::vector<acquired_units> due;
+    for (const acquired_units &each : m_acquired) {
+        const sim_daemon &node = m_daemons[static_cast<std::size_t>(each.daemon)];
+        const bool isAlive = node.up && node.incarnation == each.incarnation;
+        if (isAlive) {
+            (m_now >= each.sendAt && isRunning(node) ? due : later).push_back(each);
         }
     }
-    m_taken = std::move(later);
-    for (const taken &each : due) {
-        process &one = m_processes[static_cast<std::size_t>(each.daemon)];
-        const millis clock = clockOf(one);
-        bool holds = clock - each.at <= unitsLifetime(m_options.rules);
-        if (!holds) {
-            returnUnits(one.client, account, each.cost, clock);
-            const std::uint64_t id = ++one.lastRequest;
-            const auto decision = acquireUnits(one.client, account, m_limit, id, each.cost, clock);
-            holds = decision.result == quota_result::Granted;
+    m_acquired = std::move(later);
+    for (const acquired_units &each : due) {
+        sim_daemon &node = m_daemons[static_cast<std::size_t>(each.daemon)];
+        const millis clock = clockOf(node);
+        bool isValid = clock - each.at <= unitsLifetime(m_options.rules);
+        if (!isValid) {
+            returnUnits(node.client, account, each.cost, clock);
+            const std::uint64_t id = ++node.lastRequest;
+            const auto decision = acquireUnits(node.client, account, m_limit, id, each.cost, clock);
+            isValid = decision.result == quota_result::Granted;
             if (decision.result == quota_result::Pending) {
-                one.waiting.emplace_back(id, each.cost);
+                node.waiting.emplace_back(id, each.cost);
             }
         }
-        if (holds) {
+        if (isValid) {
             m_used.push_back({m_now, each.daemon, each.cost});
         }
     }
@@ -314,16 +315,16 @@
 {
     m_now = m_now + stepSpan;
     deliver();
-    sendDue();
+    sendAcquired();
     for (int i = 0; i < m_options.daemons; ++i) {
-        process &one = m_processes[static_cast<std::size_t>(i)];
-        if (runs(one)) {
-            settle(i, expireWaiters(one.client, clockOf(one)));
+        sim_daemon &node = m_daemons[static_cast<std::size_t>(i)];
+        if (isRunning(node)) {
+            onResolved(i, expireWaiters(node.client, clockOf(node)));
             arrivals(i);
-            sendAsks(i);
+            sendRequests(i);
         }
     }
-    m_mostShares = std::max(m_mostShares, sharesInUse());
+    m_maxSharesInUse = std::max(m_maxSharesInUse, sharesInUse());
 }
 
 limit_lookup quota_sim::limits() const
@@ -336,22 +337,22 @@
 double quota_sim::sharesInUse()
 {
     double sum = 0;
-    for (const process &one : m_processes) {
-        sum += runs(one) ? localShare(one.client, account, clockOf(one)) : 0;
+    for (const sim_daemon &node : m_daemons) {
+        sum += isRunning(node) ? localShare(node.client, account, clockOf(node)) : 0;
     }
-    for (const holder &each : m_holders) {
-        const process &one = m_processes[static_cast<std::size_t>(each.daemon)];
-        if (runs(one) && one.incarnation == each.incarnation && m_now < each.until) {
-            quota_home copy = each.book; // looking must not change when the home itself looks
-            sum += homeFillShare(copy, m_options.plan, limits(), account, clockOf(one));
+    for (const sim_home &each : m_homes) {
+        const sim_daemon &node = m_daemons[static_cast<std::size_t>(each.daemon)];
+        if (isRunning(node) && node.incarnation == each.incarnation && m_now < each.until) {
+            quota_home copy = each.state; // the query must not change the home's own survey time
+            sum += homeFillShare(copy, m_options.plan, limits(), account, clockOf(node));
         }
     }
     return sum;
 }
 
-double quota_sim::mostShares() const
+double quota_sim::maxSharesInUse() const
 {
-    return m_mostShares;
+    return m_maxSharesInUse;
 }
 
 void quota_sim::run(millis span)
@@ -364,7 +365,7 @@
 double quota_sim::used(millis from, millis to) const
 {
     double sum = 0;
-    for (const use &each : m_used) {
+    for (const usage &each : m_used) {
         sum += each.at >= from && each.at < to ? each.units : 0;
     }
     return sum;
@@ -373,22 +374,22 @@
 double quota_sim::usedBy(int daemon, millis from, millis to) const
 {
     double sum = 0;
-    for (const use &each : m_used) {
+    for (const usage &each : m_used) {
         sum += each.daemon == daemon && each.at >= from && each.at < to ? each.units : 0;
     }
     return sum;
 }
 
-double quota_sim::asked(millis from, millis to) const
+double quota_sim::demanded(millis from, millis to) const
 {
     double sum = 0;
-    for (const use &each : m_asked) {
+    for (const usage &each : m_demanded) {
         sum += each.at >= from && each.at < to ? each.units : 0;
     }
     return sum;
 }
 
-double quota_sim::worstWindow() const
+double quota_sim::maxWindowUsage() const
 {
     const quota_rules &rules = m_options.rules;
     const quota_limit &limit = m_options.limit;
@@ -397,7 +398,7 @@
     double most = 0;
     double sum = 0;
     std::size_t first = 0;
-    for (const use &each : m_used) {
+    for (const usage &each : m_used) {
         sum += each.units;
         while (m_used[first].at + rules.window <= each.at) {
             sum -= m_used[first++].units;
--- a/tests/unit/quota_sim.h
+++ b/tests/unit/quota_sim.h
@@ -12,12 +12,12 @@
 
 namespace briarhead {
 
-/// How a limit is shared, for comparison.
+/// How the limit is shared; SharesAndHome is the real strategy, the others are for comparison.
 enum class quota_strategy : std::uint8_t
 {
-    Equal, ///< each daemon has the same fixed part
-    HomeOnly, ///< every request asks the home
-    SharesAndHome, ///< parts by demand, and the home for the rest
+    Equal, ///< each daemon has the same fixed share
+    HomeOnly, ///< the home is asked for every request
+    SharesAndHome, ///< shares by demand, and the home grants the rest
 };
 
 struct quota_sim_options
@@ -28,59 +28,60 @@
     quota_strategy strategy = quota_strategy::SharesAndHome;
     quota_plan plan = defaultQuotaPlan;
     double meanCost = 2'400;
-    double loss = 0; ///< of messages
-    double doubled = 0;
-    int delayMost = 4; ///< ms, of a message
-    int placeWaitMost = 400; ///< ms, from the units to the send
+    double loss = 0; ///< fraction of messages that are lost
+    double duplication = 0;
+    int maxDelayMs = 4; ///< of a message
+    int maxSlotWaitMs = 400; ///< from acquiring units to sending the request
     unsigned seed = 1;
 };
 
-/// Daemons that share one account's limit over a net that loses, doubles and delays, in steps of 10 ms. Each
-/// has a clock of its own, which differs from the others'. Units are counted when a server gets the request.
+/// Simulates daemons that share one account's limit over a network that loses, duplicates and delays
+/// messages, in steps of 10 ms. Each daemon has its own clock. Units are counted when a server receives the
+/// request.
 class quota_sim
 {
 public:
     explicit quota_sim(const quota_sim_options &options);
 
     void run(millis span);
-    /// Units a second that callers of a daemon ask for.
+    /// Sets the units per second that callers of a daemon demand.
     void setDemand(int daemon, double unitsPerSecond);
     void setLimit(const quota_limit &limit);
     void kill(int daemon);
     void restart(int daemon);
-    /// It stands still, and its messages wait.
+    /// Pauses a daemon; its messages wait.
     void freeze(int daemon, millis span);
-    /// Nothing passes between it and those of other groups. All begin in group 0.
+    /// Messages pass only between daemons of the same group. All start in group 0.
     void setGroup(int daemon, int group);
-    /// Another daemon becomes the home. The former one may go on for as long as its lease can last.
+    /// Makes another daemon the home. The former home may continue until its lease ends.
     void moveHome(int daemon, bool handedOver);
-    void loseHome();
+    void removeHome();
 
     millis now() const;
     int home() const;
-    /// The most that ran in any window, over what may run there.
-    double worstWindow() const;
-    /// Units that ran between two points in time.
+    /// The maximum number of units that ran in any window, as a fraction of what is allowed.
+    double maxWindowUsage() const;
+    /// Units that ran in a period of time.
     double used(millis from, millis to) const;
-    double asked(millis from, millis to) const;
+    double demanded(millis from, millis to) const;
     double usedBy(int daemon, millis from, millis to) const;
     std::size_t messages() const;
-    /// The most of the limit that was in use at once, by daemons that run and homes that may give: 1 is all.
-    double mostShares() const;
+    /// The maximum fraction of the limit in use at once, by running daemons and by homes that may grant.
+    double maxSharesInUse() const;
 
 private:
-    struct process
+    struct sim_daemon
     {
         std::uint64_t incarnation = 1;
         bool up = true;
         millis frozenUntil;
-        millis clockAhead;
+        millis clockOffset;
         int group = 0;
         double demand = 0;
         quota_client client;
         std::uint64_t lastRequest = 0;
         std::vector<std::pair<std::uint64_t, double>>
-            waiting; ///< callers whose home is asked, and their cost
+            waiting; ///< id and cost of callers that wait for the home
     };
 
     struct message
@@ -89,23 +90,23 @@
         int from = 0;
         int to = 0;
         std::uint64_t incarnation = 0;
-        bool isAsk = false;
-        quota_ask ask;
-        quota_answer answer;
+        bool isRequest = false;
+        quota_ask request;
+        quota_answer response;
     };
 
-    struct holder
+    struct sim_home
     {
         int daemon = -1;
         std::uint64_t incarnation = 0;
         std::int64_t term = 0;
         millis grantsFrom;
-        millis until{1'000'000'000}; ///< it gives nothing later
-        quota_home book;
+        millis until{1'000'000'000}; ///< it grants nothing later
+        quota_home state;
     };
 
-    /// Units that were taken, on their way to a server.
-    struct taken
+    /// Units that were acquired for a request that has not been sent yet.
+    struct acquired_units
     {
         int daemon = 0;
         std::uint64_t incarnation = 0;
@@ -114,40 +115,40 @@
         millis sendAt;
     };
 
-    struct use
+    struct usage
     {
         millis at;
         int daemon = 0;
         double units = 0;
     };
 
-    millis clockOf(const process &one) const;
-    bool runs(const process &one) const;
+    millis clockOf(const sim_daemon &node) const;
+    bool isRunning(const sim_daemon &node) const;
     void step();
     void deliver();
     void arrivals(int index);
-    void granted(int index, double cost);
-    void settle(int index, const std::vector<resolved_waiter> &settled);
-    void sendAsks(int index);
-    void sendDue();
+    void onGranted(int index, double cost);
+    void onResolved(int index, const std::vector<resolved_waiter> &resolved);
+    void sendRequests(int index);
+    void sendAcquired();
     double sharesInUse();
     limit_lookup limits() const;
-    void post(int from, int to, message one);
-    void introduceHome(process &one);
+    void send(int from, int to, message sent);
+    void announceHome(sim_daemon &node);
     double random();
 
     quota_sim_options m_options;
     quota_limit m_limit;
     std::mt19937 m_random;
     millis m_now{100'000};
-    std::vector<process> m_processes;
-    std::deque<message> m_net;
-    std::vector<holder> m_holders; ///< the last one counts; those before may still give
-    std::vector<taken> m_taken;
-    std::vector<use> m_used;
-    std::vector<use> m_asked;
+    std::vector<sim_daemon> m_daemons;
+    std::deque<message> m_network;
+    std::vector<sim_home> m_homes; ///< the last one is current; earlier ones may still grant
+    std::vector<acquired_units> m_acquired;
+    std::vector<usage> m_used;
+    std::vector<usage> m_demanded;
     std::size_t m_messages = 0;
-    double m_mostShares = 0;
+    double m_maxSharesInUse = 0;
 };
 
 }
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -37,16 +37,16 @@
     return home;
 }
 
-void setDemands(quota_sim &sim, const quota_sim_options &options, double each)
+void setDemandOfEach(quota_sim &sim, const quota_sim_options &options, double each)
 {
     for (int i = 0; i < options.daemons; ++i) {
         sim.setDemand(i, each);
     }
 }
 
-/// Of asks and answers between one daemon with callers of many accounts and its homes, both ways. Limits are
-/// as large as a fleet of that size needs, the daemon's part of them its usual one.
-double bytesASecond(int accounts, double perSecond, std::size_t daemons)
+/// Bytes per second of the requests and responses between one daemon, with callers of many accounts, and its
+/// homes. The limits grow with the fleet, so that the daemon's share of them stays typical.
+double bytesPerSecond(int accounts, double perSecond, std::size_t daemons)
 {
     constexpr int seconds = 30;
     constexpr double cost = 2'400;
@@ -71,42 +71,42 @@
             (void)acquireUnits(client, accountHash(std::to_string(account)), *limits(0), ++id, cost, now);
         }
         for (const addressed_request &each : dueRequests(client, daemons, now)) {
-            bytes += encode(fleet_datagram{"edge-zg-1", 1, each.ask}).size();
-            const auto answer = handleRequest(
-                homes[each.ask.shard], defaultQuotaPlan, {}, limits, {"a", 1, true}, each.ask, now);
-            bytes += answer ? encode(fleet_datagram{"edge-zg-2", 1, *answer}).size() : 0;
-            (void)applyResponse(client, *answer, now);
+            bytes += encode(fleet_datagram{"edge-zg-1", 1, each.request}).size();
+            const auto response = handleRequest(
+                homes[each.request.shard], defaultQuotaPlan, {}, limits, {"a", 1, true}, each.request, now);
+            bytes += response ? encode(fleet_datagram{"edge-zg-2", 1, *response}).size() : 0;
+            (void)applyResponse(client, *response, now);
         }
     }
     return static_cast<double>(bytes) / seconds;
 }
 
-/// One thing that goes wrong, out of those that are known to.
-void disturb(quota_sim &sim, std::mt19937 &random, int daemons)
+/// Injects one random fault or change.
+void injectFault(quota_sim &sim, std::mt19937 &random, int daemons)
 {
-    const auto any = [&random](int below) {
+    const auto randomBelow = [&random](int below) {
         return std::uniform_int_distribution<int>(0, below - 1)(random);
     };
-    const int one = any(daemons);
-    switch (any(9)) {
+    const int daemon = randomBelow(daemons);
+    switch (randomBelow(9)) {
     case 0:
-        sim.kill(one);
+        sim.kill(daemon);
         break;
     case 1:
     case 2:
-        sim.restart(one);
-        if (sim.home() == one && any(2) == 0) {
-            sim.moveHome(one, true); // it takes its former record
+        sim.restart(daemon);
+        if (sim.home() == daemon && randomBelow(2) == 0) {
+            sim.moveHome(daemon, true); // it claims its former record
         }
         break;
     case 3:
-        sim.freeze(one, millis{100 + any(6'000)});
+        sim.freeze(daemon, millis{100 + randomBelow(6'000)});
         break;
     case 4:
-        sim.setGroup(one, any(2));
+        sim.setGroup(daemon, randomBelow(2));
         break;
     case 5:
-        sim.moveHome(one, false);
+        sim.moveHome(daemon, false);
         break;
     case 6:
         for (int i = 0; i < daemons; ++i) {
@@ -115,7 +115,7 @@
         sim.moveHome(sim.home(), true);
         break;
     case 7:
-        sim.setDemand(one, 40'000.0 * any(3));
+        sim.setDemand(daemon, 40'000.0 * randomBelow(3));
         break;
     default:
         for (int i = 0; i < daemons; ++i) {
@@ -127,10 +127,10 @@
 
 }
 
-// Callers of one account send several times what it may use, over daemons that die, start again, stand still,
-// are cut off from their home, and change it, over a net that loses, doubles and delays messages. Whatever
-// happens, daemons and homes never use more than the whole limit at once, and in no window more runs than it
-// allows with the stated overage.
+// Callers of one account demand several times its limit. Daemons crash, restart, pause, are disconnected from
+// their home and change it, and the network loses, duplicates and delays messages. Daemons and homes together
+// must never use more than the limit at once, and no window may exceed what the limit and the permitted
+// overage allow.
 RC_GTEST_PROP(Quota, NoWindowHoldsMoreThanTheLimitWhateverFails, ())
 {
     quota_sim_options options;
@@ -138,24 +138,24 @@
     options.limit.rate = *rc::gen::element(4'200.0, 30'000.0, 200'000.0);
     options.limit.burst = options.limit.rate;
     options.loss = *rc::gen::element(0.0, 0.1, 0.4);
-    options.doubled = *rc::gen::element(0.0, 0.2);
-    options.delayMost = *rc::gen::element(4, 200, 2'000);
-    options.placeWaitMost = *rc::gen::element(0, 400, 1'500);
+    options.duplication = *rc::gen::element(0.0, 0.2);
+    options.maxDelayMs = *rc::gen::element(4, 200, 2'000);
+    options.maxSlotWaitMs = *rc::gen::element(0, 400, 1'500);
     quota_sim sim(options);
     std::mt19937 random(options.seed);
-    setDemands(sim, options, 3 * options.limit.rate / options.daemons);
+    setDemandOfEach(sim, options, 3 * options.limit.rate / options.daemons);
     for (int i = 0; i < 30; ++i) {
         sim.run(millis{std::uniform_int_distribution<int>(50, 3'000)(random)});
-        disturb(sim, random, options.daemons);
+        injectFault(sim, random, options.daemons);
     }
     sim.run(seconds(25));
-    constexpr double rounding = 1e-3; // parts are told in millionths
-    RC_ASSERT(sim.mostShares() <= 1.0 + rounding);
-    RC_ASSERT(sim.worstWindow() <= 1.0);
+    constexpr double rounding = 1e-3; // messages carry shares in millionths
+    RC_ASSERT(sim.maxSharesInUse() <= 1.0 + rounding);
+    RC_ASSERT(sim.maxWindowUsage() <= 1.0);
 }
 
-// The balancer hashes clients, so nearly all callers of an account come to two daemons of many, and ask for
-// more than its limit. What lies within the limit is to be served all the same.
+// The balancer hashes clients, so nearly all callers of an account may reach two of many daemons and demand
+// more than its limit. The whole limit must be usable there.
 TEST(Quota, UnevenDemandUsesTheWholeLimit)
 {
     quota_sim_options options;
@@ -168,10 +168,10 @@
     const millis from = sim.now();
     sim.run(seconds(20));
     EXPECT_GE(shareOf(sim, options.limit, from, sim.now()), 0.97);
-    EXPECT_LE(sim.worstWindow(), 1.0);
+    EXPECT_LE(sim.maxWindowUsage(), 1.0);
 }
 
-// An account's callers move from some daemons to others every few seconds, with more than its limit in all.
+// An account's callers move between daemons every few seconds and demand more than its limit in total.
 TEST(Quota, DemandThatMovesFindsTheLimitWhereItGoes)
 {
     quota_sim_options options;
@@ -185,17 +185,17 @@
         sim.run(seconds(4));
     }
     EXPECT_GE(shareOf(sim, options.limit, from, sim.now()), 0.85);
-    EXPECT_LE(sim.worstWindow(), 1.0);
+    EXPECT_LE(sim.maxWindowUsage(), 1.0);
 }
 
-// An account well within its limit loses its home for good. Its callers notice nothing: the daemons hold
-// parts that last until the successor gives.
-TEST(Quota, AnAccountWithinItsLimitDoesNotFeelTheEndOfItsHome)
+// The home of an account that stays within its limit crashes. The callers don't notice it, because the
+// daemons' shares last until the successor grants units.
+TEST(Quota, AnAccountWithinItsLimitIsServedWhileItsHomeIsReplaced)
 {
     quota_sim_options options;
     options.limit = {200'000, 200'000};
     quota_sim sim(options);
-    setDemands(sim, options, 9'000);
+    setDemandOfEach(sim, options, 9'000);
     sim.run(seconds(8));
     const millis from = sim.now();
     sim.setDemand(0, 0);
@@ -203,34 +203,34 @@
     sim.run(seconds(6));
     sim.moveHome(4, false);
     sim.run(seconds(16));
-    setDemands(sim, options, 0);
-    sim.run(seconds(1)); // what is on its way to a server arrives
-    EXPECT_GE(sim.used(from, sim.now()) / sim.asked(from, sim.now()), 0.95);
+    setDemandOfEach(sim, options, 0);
+    sim.run(seconds(1)); // requests on their way to a server arrive
+    EXPECT_GE(sim.used(from, sim.now()) / sim.demanded(from, sim.now()), 0.95);
 }
 
-// A limit is smaller than one request of each daemon in a second. It is usable all the same, by whoever asks.
-TEST(Quota, ALimitSmallerThanOneRequestADaemonIsUsable)
+// The limit is smaller than one request of each daemon per second. Any daemon must be able to use it.
+TEST(Quota, ALimitSmallerThanOneRequestPerDaemonIsUsable)
 {
     quota_sim_options options;
     options.daemons = 70;
     options.limit = {4'200, 4'200};
     quota_sim sim(options);
-    setDemands(sim, options, 120);
+    setDemandOfEach(sim, options, 120);
     sim.run(seconds(10));
     const millis from = sim.now();
     sim.run(seconds(40));
     EXPECT_GE(shareOf(sim, options.limit, from, sim.now()), 0.9);
-    EXPECT_LE(sim.worstWindow(), 1.0);
+    EXPECT_LE(sim.maxWindowUsage(), 1.0);
 }
 
-// A daemon is cut off from all others for half a minute. It goes on with what it held, and then with an equal
-// part; the others get no more than what that leaves, so that the limit holds.
-TEST(Quota, ADaemonThatIsCutOffServesItsPartAndNoMore)
+// A daemon is disconnected from all others for half a minute. It continues with its share and then with its
+// fallback share. The others get only what that leaves, so the limit is kept.
+TEST(Quota, ADisconnectedDaemonUsesItsFallbackShareAndNoMore)
 {
     quota_sim_options options;
     options.limit = {100'000, 100'000};
     quota_sim sim(options);
-    setDemands(sim, options, 30'000);
+    setDemandOfEach(sim, options, 30'000);
     sim.run(seconds(8));
     sim.setGroup(5, 1);
     sim.run(seconds(35));
@@ -239,17 +239,17 @@
     const double equal = options.limit.rate / options.daemons * 10;
     EXPECT_GE(sim.usedBy(5, from, sim.now()), 0.7 * equal);
     EXPECT_LE(sim.usedBy(5, from, sim.now()), 1.3 * equal);
-    EXPECT_LE(sim.worstWindow(), 1.0);
+    EXPECT_LE(sim.maxWindowUsage(), 1.0);
 }
 
-// All daemons are killed at once and start again, home and all. None brings a full bucket with it, and after
-// a second or two the account is served as before.
-TEST(Quota, AfterAllWereKilledTheLimitIsUsedAgainSoonAndNotExceeded)
+// All daemons, including the home, are killed and restarted at once, several times. None may start with a
+// full bucket, and the account must be served as before within two seconds.
+TEST(Quota, AfterAllDaemonsRestartTheLimitIsSoonUsedAndNotExceeded)
 {
     quota_sim_options options;
     options.limit = {100'000, 100'000};
     quota_sim sim(options);
-    setDemands(sim, options, 15'000);
+    setDemandOfEach(sim, options, 15'000);
     sim.run(seconds(8));
     for (int round = 0; round < 5; ++round) {
         for (int i = 0; i < options.daemons; ++i) {
@@ -262,17 +262,17 @@
     const millis from = sim.now();
     sim.run(seconds(6));
     EXPECT_GE(shareOf(sim, options.limit, from, sim.now()), 0.9);
-    EXPECT_LE(sim.worstWindow(), 1.0);
+    EXPECT_LE(sim.maxWindowUsage(), 1.0);
 }
 
-// The operator lowers a limit far below what the account sends, and raises it again. The lower one holds one
-// window later, the higher one is used within two seconds.
-TEST(Quota, ALoweredAndARaisedLimitAreFollowed)
+// The operator lowers the limit far below the account's demand and raises it again. The lower limit is kept
+// after one window, and the higher one is used within two seconds.
+TEST(Quota, LoweredAndRaisedLimitsTakeEffect)
 {
     quota_sim_options options;
     options.limit = {100'000, 100'000};
     quota_sim sim(options);
-    setDemands(sim, options, 15'000);
+    setDemandOfEach(sim, options, 15'000);
     sim.run(seconds(8));
     const quota_limit low{10'000, 10'000};
     sim.setLimit(low);
@@ -288,15 +288,15 @@
     EXPECT_GE(shareOf(sim, options.limit, raised, sim.now()), 0.9);
 }
 
-TEST(Quota, ARequestLargerThanItsAccountMayEverUseIsRefusedForGood)
+TEST(Quota, ARequestLargerThanItsAccountMayEverUseIsRefusedAsTooLarge)
 {
     quota_client client;
     const quota_limit limit{100, 100};
     EXPECT_EQ(acquireUnits(client, 1, limit, 1, 1'000'000'000, millis{1'000}).result, quota_result::TooLarge);
 }
 
-// A request took its units and found no place. They are there for the next one, and once only.
-TEST(Quota, UnitsOfARequestThatDidNotRunAreUsableAgainOnce)
+// A request acquired units but did not run. The next request may use them, but only one.
+TEST(Quota, UnitsOfARequestThatDidNotRunCanBeUsedOnce)
 {
     quota_client client;
     client.plan = defaultQuotaPlan;
@@ -305,7 +305,7 @@
     quota_client_shard &shard = client.shards[shardOf(account)];
     shard.lastContact = millis{100'000} - client.plan.fallbackAfter;
     shard.fallbackShare = 1;
-    millis now{100'500}; // half a second's units are here
+    millis now{100'500}; // the bucket has filled for half a second
     ASSERT_NE(acquireUnits(client, account, limit, 1, 1'000, now).result, quota_result::Granted);
     now = now + second;
     cancelWaiter(client, account, 1);
@@ -315,9 +315,9 @@
     EXPECT_NE(acquireUnits(client, account, limit, 4, 1'000, now).result, quota_result::Granted);
 }
 
-// A daemon held a part, lost its home, and hears nothing for longer than the part lasts. What the home has
-// given to others meanwhile isn't used a second time here.
-TEST(Quota, APartThatHasRunOutFillsNoBucket)
+// A daemon that held a share has no contact to its home for longer than the share lasts. It must not use what
+// the home may have granted to others since.
+TEST(Quota, AnExpiredShareFillsNoBucket)
 {
     quota_client client;
     const quota_limit limit{1'000, 1'000};
@@ -330,87 +330,91 @@
     EXPECT_NE(acquireUnits(client, ana, limit, 2, 400, millis{110'000}).result, quota_result::Granted);
 }
 
-// An answer comes so late that the home may already go by the daemon's being cut off. It gives nothing and
-// renews nothing.
-TEST(Quota, ALateAnswerGivesNothing)
+// The home may already count the daemon as disconnected when a late response arrives, so the response must
+// have no effect.
+TEST(Quota, ALateResponseGrantsAndRenewsNothing)
 {
     for (const bool late : {false, true}) {
         quota_client client;
         const quota_limit limit{1'000, 1'000};
-        const millis asked{100'000};
-        setHome(client, shardOf(ana), "home", 1, asked);
-        ASSERT_EQ(acquireUnits(client, ana, limit, 1, 400, asked).result, quota_result::Pending);
-        const auto asks = dueRequests(client, 2, asked);
-        const auto ask = std::find_if(asks.begin(), asks.end(), [](const addressed_request &each) {
-            return each.ask.shard == shardOf(ana);
-        });
-        ASSERT_NE(ask, asks.end());
-        const quota_answer answer{shardOf(ana), ask->ask.round, 500'000, {{ana, 100'000, toMilli(400), 0}}};
-        const auto settled =
-            applyResponse(client, answer, asked + quotaResponseTimeout + millis{late ? 1 : 0});
-        EXPECT_EQ(settled.size(), late ? 0U : 1U);
+        const millis requestedAt{100'000};
+        setHome(client, shardOf(ana), "home", 1, requestedAt);
+        ASSERT_EQ(acquireUnits(client, ana, limit, 1, 400, requestedAt).result, quota_result::Pending);
+        const auto requests = dueRequests(client, 2, requestedAt);
+        const auto request =
+            std::find_if(requests.begin(), requests.end(), [](const addressed_request &each) {
+                return each.request.shard == shardOf(ana);
+            });
+        ASSERT_NE(request, requests.end());
+        const quota_answer response{
+            shardOf(ana), request->request.round, 500'000, {{ana, 100'000, toMilli(400), 0}}};
+        const auto resolved =
+            applyResponse(client, response, requestedAt + quotaResponseTimeout + millis{late ? 1 : 0});
+        EXPECT_EQ(resolved.size(), late ? 0U : 1U);
         EXPECT_EQ(client.shards[shardOf(ana)].lastContact.has_value(), !late);
     }
 }
 
-// A daemon was killed and started again, and a message that its former process sent comes only now. It must
-// not make the home forget what the new process holds.
-TEST(Quota, ALateMessageOfAnEndedProcessIsPassedOver)
+// After a daemon has restarted, a delayed message of its former process arrives. The home must still count
+// what the new process holds.
+TEST(Quota, ADelayedMessageOfAnEndedProcessIsIgnored)
 {
     quota_home home = homeOf({"a", "b"});
-    const auto askOf = [&home](std::uint64_t incarnation, std::uint64_t round, std::uint32_t heldPpm) {
-        const quota_ask ask{shardOf(ana), round, 0, 0, {{ana, 0, 0, heldPpm, 0, 0, 0}}};
+    const auto sendRequest = [&home](std::uint64_t incarnation, std::uint64_t round, std::uint32_t heldPpm) {
+        const quota_ask request{shardOf(ana), round, 0, 0, {{ana, 0, 0, heldPpm, 0, 0, 0}}};
         return handleRequest(
-            home, defaultQuotaPlan, {}, limitOfAna, {"a", incarnation, false}, ask, millis{101'000});
+            home, defaultQuotaPlan, {}, limitOfAna, {"a", incarnation, false}, request, millis{101'000});
     };
-    ASSERT_TRUE(askOf(1, 1, 0));
-    ASSERT_TRUE(askOf(2, 1, 100'000));
-    EXPECT_FALSE(askOf(1, 2, 0));
+    ASSERT_TRUE(sendRequest(1, 1, 0));
+    ASSERT_TRUE(sendRequest(2, 1, 100'000));
+    EXPECT_FALSE(sendRequest(1, 2, 0));
     EXPECT_GE(home.accounts[ana].holdings["a"].share, 0.1);
 }
 
-// A home stands still for ten seconds. A daemon that it had not heard for long takes to its equal part
-// meanwhile; the home's bucket must not fill for that time as if nobody had.
-TEST(Quota, AHomeThatStoodStillGivesNothingThatOthersUsedMeanwhile)
+// A home is paused for ten seconds. Meanwhile a daemon that it had not heard from for long uses its fallback
+// share, so the home's bucket must fill more slowly for that time.
+TEST(Quota, APausedHomeGrantsNothingThatDisconnectedDaemonsUsedMeanwhile)
 {
     quota_home home = homeOf({"a", "b"});
     millis now{101'000};
-    std::map<std::string, std::uint64_t> recentRounds;
-    const auto hear = [&](const std::string &node, double need) {
-        std::uint64_t &round = recentRounds[node];
-        const quota_ask ask{
+    std::map<std::string, std::uint64_t> rounds;
+    const auto request = [&](const std::string &node, double need) {
+        std::uint64_t &round = rounds[node];
+        const quota_ask message{
             shardOf(ana), round + 1, round, 500'000, {{ana, 0, 0, 0, toMilli(need), toMilli(need), 0}}};
         ++round;
-        return handleRequest(home, defaultQuotaPlan, {}, limitOfAna, {node, 1, true}, ask, now).has_value();
+        return handleRequest(home, defaultQuotaPlan, {}, limitOfAna, {node, 1, true}, message, now)
+            .has_value();
     };
     for (int i = 0; i < 3; ++i) {
         now = now + millis{100};
-        ASSERT_TRUE(hear("a", 0) && hear("b", 0));
+        ASSERT_TRUE(request("a", 0) && request("b", 0));
     }
     for (int i = 0; i < 28; ++i) {
         now = now + second;
-        ASSERT_TRUE(hear("a", 0));
+        ASSERT_TRUE(request("a", 0));
     }
     const double before = home.accounts[ana].bucket.level;
-    now = now + seconds(10); // b has been cut off for long enough
-    ASSERT_TRUE(hear("a", 0));
+    now = now + seconds(10); // daemon b has been disconnected for long enough
+    ASSERT_TRUE(request("a", 0));
     EXPECT_LE(home.accounts[ana].bucket.level - before, 0.5 * 1'000 * 10 + 1);
 }
 
-// What a daemon and its homes tell each other must not grow with the fleet. With few accounts it has to leave
-// most of the 2 KB a second that control may take; where accounts are so many that none deserves a part, each
-// request is asked for, which nothing but the requests of a daemon drives.
-TEST(Quota, WhatADaemonAndItsHomesTellEachOtherDoesNotGrowWithTheFleet)
+// The traffic between a daemon and its homes must not grow with the fleet. With few accounts, it must leave
+// most of the 2 KB per second that control traffic may take. With so many accounts that none gets a share,
+// each caller's request needs one request to a home, so the traffic depends only on the daemon's own
+// requests.
+TEST(Quota, TrafficBetweenADaemonAndItsHomesDoesNotGrowWithTheFleet)
 {
-    constexpr double askAndAnswer = 200; // bytes
-    constexpr double perSecond = 34; // requests of a daemon at the largest size
+    constexpr double maxRequestAndResponseBytes = 200;
+    constexpr double perSecond = 34; // requests per daemon in the largest fleet
     for (const std::size_t daemons : {70U, 300U, 1'200U}) {
-        const double few = bytesASecond(16, perSecond, daemons);
-        const double many = bytesASecond(10'000, perSecond, daemons);
-        std::cout << daemons << " daemons: " << few << " bytes a second with 16 accounts, " << many
-                  << " with 10,000\n";
-        EXPECT_LE(few, 2'000 * 0.75);
-        EXPECT_LE(many, perSecond * askAndAnswer);
+        const double withFewAccounts = bytesPerSecond(16, perSecond, daemons);
+        const double withManyAccounts = bytesPerSecond(10'000, perSecond, daemons);
+        std::cout << daemons << " daemons: " << withFewAccounts << " bytes a second with 16 accounts, "
+                  << withManyAccounts << " with 10,000\n";
+        EXPECT_LE(withFewAccounts, 2'000 * 0.75);
+        EXPECT_LE(withManyAccounts, perSecond * maxRequestAndResponseBytes);
     }
 }
 
--- a/tests/unit/replicas_test.cpp
+++ b/tests/unit/replicas_test.cpp
@@ -13,8 +13,8 @@
 constexpr double serviceMs = 1'000;
 const replica_policy middle{.maxReplicas = 8, .stallWeight = 0.5, .batchLimit = 32};
 
-/// `perSecond` arrivals for `seconds`, evenly, counted every 100 ms.
-void arrive(arrival_rate &rate, double perSecond, int seconds, millis &now)
+/// Adds `perSecond` arrivals for `seconds`, evenly, counted every 100 ms.
+void addArrivals(arrival_rate &rate, double perSecond, int seconds, millis &now)
 {
     for (int i = 0; i < seconds * 10; ++i) {
         now = now + millis{100};
@@ -24,29 +24,29 @@
 
 }
 
-TEST(Replicas, RatesSettleAtTheArrivalsAndFade)
+TEST(Replicas, RatesConvergeToTheArrivalsAndFade)
 {
     arrival_rate rate;
     millis now;
-    arrive(rate, 20, 300, now);
+    addArrivals(rate, 20, 300, now);
     EXPECT_NEAR(rate.fast, 20, 1);
     EXPECT_NEAR(rate.slow, 20, 1);
     EXPECT_LT(decayed(rate, now + millis{20'000}).fast, 0.01);
 }
 
-TEST(Replicas, AShiftOfPopularityIsFoundWithinSeconds)
+TEST(Replicas, ARiseOfPopularityAddsReplicasWithinSeconds)
 {
-    // Yesterday's cold adapter is today's hot one: its callers would wait in one server's queue for the
-    // minute that a slow average needs.
+    // An adapter that was cold becomes hot. With the slow average alone, its callers would wait in the queue
+    // of a single server for about a minute.
     arrival_rate rate;
     millis now;
-    arrive(rate, 0.1, 300, now);
+    addArrivals(rate, 0.1, 300, now);
     EXPECT_EQ(wantedReplicas(rate, serviceMs, 1, middle), 1U);
-    arrive(rate, 100, 4, now);
+    addArrivals(rate, 100, 4, now);
     EXPECT_GE(wantedReplicas(rate, serviceMs, 1, middle), 5U);
 }
 
-TEST(Replicas, MoreWeightOnStallsSpreadsWider)
+TEST(Replicas, AHigherStallWeightGivesMoreReplicas)
 {
     const arrival_rate rate{60, 60, {}};
     replica_policy policy = middle;
@@ -56,18 +56,18 @@
     EXPECT_GT(wantedReplicas(rate, serviceMs, 0, policy), packed);
 }
 
-TEST(Replicas, ALoadAtTheBorderDoesntAddAndDropAReplicaInTurns)
+TEST(Replicas, ALoadNearTheThresholdDoesNotAddAndRemoveAReplicaRepeatedly)
 {
-    const double border = 2 * 0.55 * middle.batchLimit; // what two replicas are planned to carry
-    const arrival_rate above{border + 1, border + 1, {}};
-    const arrival_rate below{border - 1, border - 1, {}};
+    const double threshold = 2 * 0.55 * middle.batchLimit; // the load that two replicas are planned for
+    const arrival_rate above{threshold + 1, threshold + 1, {}};
+    const arrival_rate below{threshold - 1, threshold - 1, {}};
     EXPECT_EQ(wantedReplicas(above, serviceMs, 2, middle), 3U);
     EXPECT_EQ(wantedReplicas(below, serviceMs, 3, middle), 3U);
     EXPECT_EQ(wantedReplicas(below, serviceMs, 2, middle), 2U);
-    EXPECT_EQ(wantedReplicas({border / 2, border / 2, {}}, serviceMs, 3, middle), 2U);
+    EXPECT_EQ(wantedReplicas({threshold / 2, threshold / 2, {}}, serviceMs, 3, middle), 2U);
 }
 
-RC_GTEST_PROP(Replicas, TheNumberStaysInBoundsAndFallsOneAtATimeToARestingPoint, ())
+RC_GTEST_PROP(Replicas, TheNumberStaysWithinBoundsFallsOneAtATimeAndConverges, ())
 {
     const arrival_rate rate{*rc::gen::inRange(0, 2'000) / 10.0, *rc::gen::inRange(0, 2'000) / 10.0, {}};
     const auto now = *rc::gen::inRange(1U, 9U);
@@ -82,7 +82,7 @@
 }
 
 RC_GTEST_PROP(
-    Replicas, SitesStartAtTheFirstServerAndUseEachDomainBeforeAnyTwice, (const std::string &adapter))
+    Replicas, TheFirstServerComesFirstAndEachDomainIsUsedBeforeAnyTwice, (const std::string &adapter))
 {
     std::vector<replica_candidate> sites;
     std::vector<std::string> staying;
--- a/tests/unit/retry_test.cpp
+++ b/tests/unit/retry_test.cpp
@@ -5,31 +5,32 @@
 
 namespace briarhead {
 
-RC_GTEST_PROP(Retry, NothingIsSentAgainThatMayRunTwiceOrIsOver, (bool idempotent, bool responseStarted))
+RC_GTEST_PROP(Retry, ARequestThatMayRunTwiceOrHasEndedIsNotSentAgain, (bool idempotent, bool responseStarted))
 {
-    const attempt_result end{.result = *rc::gen::element(outcome::Done, outcome::NotRun, outcome::Unknown),
+    const attempt_result attempt{
+        .result = *rc::gen::element(outcome::Done, outcome::NotRun, outcome::Unknown),
         .why = static_cast<error_kind>(*rc::gen::inRange(0, static_cast<int>(error_kind::Internal) + 1)),
         .idempotent = idempotent,
         .responseStarted = responseStarted,
         .attempts = *rc::gen::inRange(1U, 6U),
         .deadlineLeft = {*rc::gen::inRange(-10, 10)}};
     retry_budget budget;
-    const auto decision = decideRetry(end, budget);
-    const bool mayRunTwice = end.result == outcome::Unknown && !idempotent;
-    if (mayRunTwice || responseStarted || end.result == outcome::Done || end.attempts >= maxAttempts
-        || end.deadlineLeft <= millis{0}) {
+    const auto decision = decideRetry(attempt, budget);
+    const bool mayRunTwice = attempt.result == outcome::Unknown && !idempotent;
+    if (mayRunTwice || responseStarted || attempt.result == outcome::Done || attempt.attempts >= maxAttempts
+        || attempt.deadlineLeft <= millis{0}) {
         RC_ASSERT(decision == retry_decision::Stop);
         RC_ASSERT(budget.tokens == maxSavedRetries);
     }
-    const bool redirected = end.result == outcome::NotRun && end.why == error_kind::NotOwner;
+    const bool redirected = attempt.result == outcome::NotRun && attempt.why == error_kind::NotOwner;
     RC_ASSERT(
         (decision == retry_decision::Stop || (decision == retry_decision::RetryNamedOwner) == redirected));
 }
 
 TEST(Retry, ARetryStormDiesOut)
 {
-    // All servers fail at once: without a budget each request would be sent three times, and the load that
-    // keeps them failing would triple.
+    // All servers fail at once. Without a budget, each request would be sent three times, and the load that
+    // keeps the servers failing would triple.
     retry_budget budget;
     const attempt_result refused{
         .result = outcome::NotRun, .why = error_kind::Overloaded, .deadlineLeft = {1'000}};
@@ -45,15 +46,15 @@
     EXPECT_EQ(decideRetry(refused, budget), retry_decision::Stop);
 }
 
-TEST(Retry, ARedirectCostsNothingAndACallersOwnErrorIsFinal)
+TEST(Retry, ARedirectCostsNoBudgetAndACallersOwnErrorIsNotRetried)
 {
     retry_budget empty{.tokens = 0};
-    attempt_result end{
+    attempt_result attempt{
         .result = outcome::NotRun, .why = error_kind::NotOwner, .idempotent = false, .deadlineLeft = {1'000}};
-    EXPECT_EQ(decideRetry(end, empty), retry_decision::RetryNamedOwner);
+    EXPECT_EQ(decideRetry(attempt, empty), retry_decision::RetryNamedOwner);
     retry_budget full;
-    end.why = error_kind::Forbidden;
-    EXPECT_EQ(decideRetry(end, full), retry_decision::Stop);
+    attempt.why = error_kind::Forbidden;
+    EXPECT_EQ(decideRetry(attempt, full), retry_decision::Stop);
 }
 
 TEST(Breaker, OpensAfterFailuresAndLetsOneProbeThrough)
@@ -76,9 +77,10 @@
     EXPECT_TRUE(breakerAllows(state, {minBreakerPauseMs + 2 * minBreakerPauseMs}));
 }
 
-TEST(Breaker, AProbeWhoseEndIsNeverToldDoesntCloseTheServerForGood)
+TEST(Breaker, AnotherProbeFollowsIfTheEndOfOneIsNeverReported)
 {
-    // The caller of the probe goes away, and nobody reports its end: the server would get no request again.
+    // The caller of the probe disconnects, so nobody reports its end. The server must still get requests
+    // later.
     breaker state;
     for (std::uint32_t i = 0; i < minBreakerFailures; ++i) {
         breakerFailure(state, {0});
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -35,8 +35,8 @@
     return {.adapter = {"a", 1}, .baseModel = "base", .failureDomain = "d", .replicas = std::move(replicas)};
 }
 
-/// How often each server is chosen.
-std::map<std::string, int> tally(
+/// How often each server is chosen in 200 tries.
+std::map<std::string, int> countChoices(
     const route_query &query, const std::vector<server_view> &servers, double weight)
 {
     std::mt19937_64 random(1);
@@ -47,7 +47,7 @@
     return counts;
 }
 
-server_view anyServer(const std::string &name)
+server_view randomServerView(const std::string &name)
 {
     server_view server{.name = name};
     server.baseModel = *rc::gen::element<std::string>("base", "other");
@@ -65,11 +65,11 @@
 
 }
 
-RC_GTEST_PROP(Routing, EveryKindSendsOnlyToAFitServerAndFindsOneIfThereIs, ())
+RC_GTEST_PROP(Routing, EveryKindChoosesAnEligibleServerIfThereIsOne, ())
 {
     std::vector<server_view> servers;
     for (const auto &name : *rc::gen::element(names{}, names{"s1"}, names{"s1", "s2", "s3", "s4", "s5"})) {
-        servers.push_back(anyServer(name));
+        servers.push_back(randomServerView(name));
     }
     auto query = queryFor(*rc::gen::element(names{}, names{"s1", "gone"}, names{"s2", "s3", "s4"}));
     query.tried = *rc::gen::element(names{}, names{"s2"}, names{"s1", "s3", "gone"});
@@ -88,46 +88,47 @@
     }
 }
 
-TEST(Routing, AColdAdapterGoesToItsFirstServerUntilThatOneOverflows)
+TEST(Routing, AnAdapterWithoutReplicasGoesToItsFirstServerUntilThatOneOverflows)
 {
     auto servers = threeServers(batchLimit, 0, 0);
-    EXPECT_EQ(tally(queryFor(), servers, 0.5)[servers[0].name], 200)
-        << "a full batch passes sooner than a load";
+    EXPECT_EQ(countChoices(queryFor(), servers, 0.5)[servers[0].name], 200)
+        << "waiting for a full batch is faster than a load";
     servers[0].hintedWaiting = batchLimit;
-    EXPECT_EQ(tally(queryFor(), servers, 0.5)[servers[1].name], 200);
+    EXPECT_EQ(countChoices(queryFor(), servers, 0.5)[servers[1].name], 200);
 }
 
-TEST(Routing, TheWeightChoosesBetweenFullBatchesAndEmptyServers)
+TEST(Routing, TheStallWeightChoosesBetweenFullBatchesAndEmptyServers)
 {
     const auto servers = threeServers(16, 2, 0);
     const auto query = queryFor({servers[0].name, servers[1].name});
-    EXPECT_EQ(tally(query, servers, 0)[servers[0].name], 200);
-    EXPECT_EQ(tally(query, servers, 1)[servers[1].name], 200);
+    EXPECT_EQ(countChoices(query, servers, 0)[servers[0].name], 200);
+    EXPECT_EQ(countChoices(query, servers, 1)[servers[1].name], 200);
     const auto nearlyFull = threeServers(31, 2, 0);
-    EXPECT_EQ(tally(query, nearlyFull, 0)[servers[0].name], 200) << "packed up to the last place";
+    EXPECT_EQ(countChoices(query, nearlyFull, 0)[servers[0].name], 200) << "filled up to the last place";
     const auto full = threeServers(40, 2, 0);
-    EXPECT_EQ(tally(query, full, 0)[servers[1].name], 200) << "fuller only while there is room";
+    EXPECT_EQ(countChoices(query, full, 0)[servers[1].name], 200)
+        << "a fuller server is preferred only while it has room";
 }
 
-TEST(Routing, APrefixKeepsToItsServerUntilThatOneIsClearlyFuller)
+TEST(Routing, APrefixStaysOnItsServerUntilThatOneIsClearlyFuller)
 {
     auto servers = threeServers(8, 8, 8);
     auto query = queryFor({servers[0].name, servers[1].name, servers[2].name});
     query.prefix = 77;
-    const auto counts = tally(query, servers, 1);
+    const auto counts = countChoices(query, servers, 1);
     ASSERT_EQ(counts.size(), 1U) << "one server per prefix";
     for (auto &server : servers) {
         server.hintedInFlight = server.name == counts.begin()->first ? 30 : 8;
     }
-    EXPECT_EQ(tally(query, servers, 1).count(counts.begin()->first), 0U);
+    EXPECT_EQ(countChoices(query, servers, 1).count(counts.begin()->first), 0U);
 }
 
-TEST(Routing, TheOwnFailureDomainBreaksNearTies)
+TEST(Routing, TheEntrysOwnFailureDomainDecidesNearTies)
 {
     auto servers = threeServers(8, 9, 0);
     auto query = queryFor({servers[0].name, servers[1].name});
     query.failureDomain = servers[1].failureDomain;
-    EXPECT_EQ(tally(query, servers, 1)[servers[1].name], 200);
+    EXPECT_EQ(countChoices(query, servers, 1)[servers[1].name], 200);
 }
 
 TEST(Routing, AnOldHintFadesAndFirstHandCountsStay)
@@ -141,7 +142,7 @@
     EXPECT_DOUBLE_EQ(expectedFill(server), 36.0 / batchLimit);
 }
 
-TEST(Routing, NamesReadBack)
+TEST(Routing, NamesOfKindsCanBeParsedBack)
 {
     for (const auto kind : allKinds) {
         EXPECT_EQ(routingKindOf(nameOf(kind)), kind);
--- a/tests/unit/server_notices_test.cpp
+++ b/tests/unit/server_notices_test.cpp
@@ -20,18 +20,19 @@
 
 }
 
-TEST(ServerWords, APauseEndsByItselfAndIsOfOneStartAndOneDaemon)
+TEST(ServerNotices, APauseExpiresAndAppliesToOneIncarnationAndOneDaemon)
 {
     server_notices notices;
     EXPECT_TRUE(recordPause(notices, "s@1", "n1", {3'000}, now));
     EXPECT_EQ(pauseLeft(notices, "s@1", "n1", now + millis{1'000}), millis{2'000});
-    EXPECT_EQ(pauseLeft(notices, "s@1", "n2", now), millis{}) << "other daemons were not asked";
-    EXPECT_EQ(pauseLeft(notices, "s@2", "n1", now), millis{}) << "its next start has not asked";
+    EXPECT_EQ(pauseLeft(notices, "s@1", "n2", now), millis{}) << "the pause applies to one daemon";
+    EXPECT_EQ(pauseLeft(notices, "s@2", "n1", now), millis{})
+        << "the next incarnation did not ask for a pause";
     EXPECT_EQ(pauseLeft(notices, "s@1", "n1", now + millis{3'000}), millis{});
 }
 
-// A shorter pause that a late or a second answer asks for ended the one that stood.
-TEST(ServerWords, AShorterPauseDoesNotEndALongerOne)
+// Guards against a late or repeated response that asks for a shorter pause and ends the current one.
+TEST(ServerNotices, AShorterPauseDoesNotEndALongerOne)
 {
     server_notices notices;
     recordPause(notices, "s", "n1", {3'000}, now);
@@ -41,8 +42,8 @@
     EXPECT_EQ(pauseLeft(notices, "s", "n1", now + millis{100}), millis{3'000});
 }
 
-// A server requestedUntil for a pause without end, and was never used again.
-TEST(ServerWords, AnAbsurdPauseIsCut)
+// Guards against a server that asks for an endless pause and is never used again.
+TEST(ServerNotices, AnExcessivePauseIsCutToTheMaximum)
 {
     server_notices notices;
     recordPause(notices, "s", "n1", {1'000'000'000'000}, now);
@@ -52,7 +53,7 @@
     EXPECT_EQ(pauseLeft(notices, "t", "n1", now), millis{});
 }
 
-TEST(ServerWords, LeavingIsFinalForOneStart)
+TEST(ServerNotices, LeavingIsFinalForOneIncarnation)
 {
     server_notices notices;
     EXPECT_TRUE(recordLeaving(notices, "s@1", now));
@@ -61,8 +62,8 @@
     EXPECT_FALSE(isLeaving(notices, "s@2"));
 }
 
-// What is kept grew with every server that ever left or paused.
-TEST(ServerWords, WhatIsOverIsForgotten)
+// Guards against memory that grows with every server that ever left or paused.
+TEST(ServerNotices, ExpiredNoticesAreRemoved)
 {
     server_notices notices;
     for (int i = 0; i < 100; ++i) {
@@ -76,7 +77,7 @@
     EXPECT_EQ(notices.pauses.size(), 1U);
 }
 
-RC_GTEST_PROP(ServerWords, OfSeveralPausesTheOneThatEndsLastStands, ())
+RC_GTEST_PROP(ServerNotices, OfSeveralPausesTheOneThatEndsLastApplies, ())
 {
     server_notices notices;
     millis last;
@@ -89,7 +90,7 @@
     }
 }
 
-TEST(AnswerWords, SecondsMayBeFractionsAndAreCutToTheBound)
+TEST(AnswerWords, SecondsMayBeFractionsAndAreCutToTheMaximum)
 {
     EXPECT_EQ(secondsOf("1.5", {10'000}), millis{1'500});
     EXPECT_EQ(secondsOf(" 0.0004 ", {10'000}), millis{1}) << "rounded up";
@@ -100,7 +101,7 @@
     }
 }
 
-TEST(AnswerWords, OnlyATurnAwayAsksForAPause)
+TEST(AnswerWords, OnlyA503WithRetryAfterAsksForAPause)
 {
     EXPECT_EQ(wordsOf(answerWith(503, {{"retry-after", "2.5"}})).pause, millis{2'500});
     EXPECT_EQ(wordsOf(answerWith(200, {{"retry-after", "2.5"}})).pause, millis{});
