--- a/packages/coordination/load_order.cpp
+++ b/packages/coordination/load_order.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Urgency is a sum of terms of different size, so that it can be compared between owners as one number:
-/// waiting before prefetch, then priority; within a priority slack, penalty and count weigh in.
+/// The urgency is a sum of terms of different magnitude, so that owners can compare it as a single number:
+/// waiting requests come before prefetching, then the priority; within a priority, slack, penalty and count
+/// matter.
 constexpr double waitingUrgency = 10'000;
 constexpr double priorityUrgency = 1'500;
 constexpr double slackUrgency = 500;
@@ -16,37 +17,37 @@
 constexpr double countUrgency = 400;
 constexpr double prefetchUrgency = 1'000;
 
-/// Slack at which half of the slack's urgency is left.
-constexpr double slackHalfMs = 2'000;
-/// Summed penalty and count at which half of their urgency is reached.
-constexpr double penaltyHalf = 10;
-constexpr double countHalf = 4;
+/// The slack at which half of the slack term is left.
+constexpr double halfSlackMs = 2'000;
+/// The penalty and count at which half of their terms is reached.
+constexpr double halfPenalty = 10;
+constexpr double halfCount = 4;
 
-/// Starts that may be saved up: one, so that an idle store doesn't begin with a burst of slow loads.
-constexpr double loadBurst = 1;
+/// Loads that may be saved up: one, so that an idle store doesn't start with a burst of slow loads.
+constexpr double maxSavedLoads = 1;
 
-constexpr std::int64_t backoffFirstMs = 500;
-constexpr std::int64_t backoffMaxMs = 30'000;
+constexpr std::int64_t minBackoffMs = 500;
+constexpr std::int64_t maxBackoffMs = 30'000;
 
 double saturating(double value, double half)
 {
     return value <= 0 ? 0 : value / (value + half);
 }
 
-/// Less slack is more urgent; none at all is not, since the soonest waiting request is lost either way and
-/// the load should not take the store from one that still helps.
-double slackTerm(const load_need &need, millis now, double loadMs)
+/// Less slack is more urgent. Negative slack is not: that request is lost in any case, and its load should
+/// not take the store from one that still helps.
+double slackTerm(const load_demand &demand, millis now, double loadMs)
 {
-    const double slackMs = static_cast<double>((need.soonestDeadline - now).count) - loadMs;
-    return slackMs < 0 ? 0 : slackUrgency * (1 - saturating(slackMs, slackHalfMs));
+    const double slackMs = static_cast<double>((demand.earliestDeadline - now).count) - loadMs;
+    return slackMs < 0 ? 0 : slackUrgency * (1 - saturating(slackMs, halfSlackMs));
 }
 
-bool sameTicket(const load_budget::asked &ask, const std::string &owner, std::uint64_t ticket)
+bool sameTicket(const load_budget::request &request, const std::string &owner, std::uint64_t ticket)
 {
-    return ask.ticket == ticket && ask.owner == owner;
+    return request.ticket == ticket && request.owner == owner;
 }
 
-bool sameTicket(const load_budget::granted &grant, const std::string &owner, std::uint64_t ticket)
+bool sameTicket(const load_budget::grant &grant, const std::string &owner, std::uint64_t ticket)
 {
     return grant.ticket == ticket && grant.owner == owner;
 }
@@ -61,60 +62,61 @@
 
 void fillTokens(load_budget &budget, double perSecond, millis now)
 {
-    if (now > budget.filled) {
-        const double seconds = static_cast<double>((now - budget.filled).count) / 1000.0;
-        budget.tokens = std::min(budget.tokens + seconds * perSecond, loadBurst);
-        budget.filled = now;
+    if (now > budget.filledAt) {
+        const double seconds = static_cast<double>((now - budget.filledAt).count) / 1000.0;
+        budget.tokens = std::min(budget.tokens + seconds * perSecond, maxSavedLoads);
+        budget.filledAt = now;
     }
 }
 
-/// Guards against a dead owner that holds the store's budget for good, seen as loads that stop everywhere:
-/// what its owner no longer confirms by asking again is taken back.
-void forgetSilent(load_budget &budget, millis now)
+/// Removes requests and grants that their owner has not repeated in time. Otherwise a dead owner would hold
+/// the store's budget forever, and loads would stop on all servers.
+void removeExpired(load_budget &budget, millis now)
 {
-    std::erase_if(budget.waiting, [now](const load_budget::asked &ask) {
-        return now - ask.at > millis{askTimeoutMs};
+    std::erase_if(budget.waiting, [now](const load_budget::request &request) {
+        return now - request.requestedAt > millis{requestTimeoutMs};
     });
-    std::erase_if(budget.running, [now](const load_budget::granted &grant) {
-        return now - grant.at > millis{grantTimeoutMs};
+    std::erase_if(budget.running, [now](const load_budget::grant &grant) {
+        return now - grant.confirmedAt > millis{grantTimeoutMs};
     });
 }
 
-/// Grants whose owner asks on, since the answer may have been lost. They cost nothing, being counted already.
-std::vector<load_budget::granted> repeatedGrants(load_budget &budget)
+/// Grants whose owner requested them again, because the response may have been lost. They cost no further
+/// tokens.
+std::vector<load_budget::grant> extractResends(load_budget &budget)
 {
-    std::vector<load_budget::granted> again;
+    std::vector<load_budget::grant> repeated;
     for (auto &grant : budget.running) {
-        if (grant.askedAgain) {
-            grant.askedAgain = false;
-            again.push_back(grant);
+        if (grant.resend) {
+            grant.resend = false;
+            repeated.push_back(grant);
         }
     }
-    return again;
+    return repeated;
 }
 
 }
 
-double loadUrgency(const load_need &need, millis now, double loadMs)
+double loadUrgency(const load_demand &demand, millis now, double loadMs)
 {
-    if (need.waiting == 0) {
-        return prefetchUrgency * saturating(need.rate, 1);
+    if (demand.waiting == 0) {
+        return prefetchUrgency * saturating(demand.rate, 1);
     }
-    const double ranksAbove = static_cast<double>(priority::Low) - static_cast<double>(need.best);
-    return waitingUrgency + ranksAbove * priorityUrgency + slackTerm(need, now, loadMs)
-        + penaltyUrgency * saturating(need.penalty, penaltyHalf)
-        + countUrgency * saturating(need.waiting, countHalf);
+    const double ranksAbove = static_cast<double>(priority::Low) - static_cast<double>(demand.bestPriority);
+    return waitingUrgency + ranksAbove * priorityUrgency + slackTerm(demand, now, loadMs)
+        + penaltyUrgency * saturating(demand.penalty, halfPenalty)
+        + countUrgency * saturating(demand.waiting, halfCount);
 }
 
-std::optional<std::size_t> nextLoad(std::span<const load_need> needs, millis now, double loadMs)
+std::optional<std::size_t> nextLoad(std::span<const load_demand> demands, millis now, double loadMs)
 {
     std::optional<std::size_t> next;
     double nextUrgency = 0;
-    for (std::size_t i = 0; i < needs.size(); ++i) {
-        const double urgency = loadUrgency(needs[i], now, loadMs);
-        const bool wanted = needs[i].waiting > 0 || needs[i].rate > 0;
+    for (std::size_t i = 0; i < demands.size(); ++i) {
+        const double urgency = loadUrgency(demands[i], now, loadMs);
+        const bool wanted = demands[i].waiting > 0 || demands[i].rate > 0;
         const bool older =
-            next && urgency == nextUrgency && needs[i].oldestArrival < needs[*next].oldestArrival;
+            next && urgency == nextUrgency && demands[i].oldestArrival < demands[*next].oldestArrival;
         if (wanted && (!next || urgency > nextUrgency || older)) {
             next = i;
             nextUrgency = urgency;
@@ -123,23 +125,23 @@
     return next;
 }
 
-void askBudget(load_budget &budget, const load_budget::asked &ask)
+void requestLoad(load_budget &budget, const load_budget::request &request)
 {
-    const auto running = findTicket(budget.running, ask.owner, ask.ticket);
+    const auto running = findTicket(budget.running, request.owner, request.ticket);
     if (running != budget.running.end()) {
-        running->at = ask.at;
-        running->askedAgain = true;
+        running->confirmedAt = request.requestedAt;
+        running->resend = true;
         return;
     }
-    const auto waiting = findTicket(budget.waiting, ask.owner, ask.ticket);
+    const auto waiting = findTicket(budget.waiting, request.owner, request.ticket);
     if (waiting != budget.waiting.end()) {
-        *waiting = ask;
+        *waiting = request;
     } else {
-        budget.waiting.push_back(ask);
+        budget.waiting.push_back(request);
     }
 }
 
-void releaseBudget(load_budget &budget, const std::string &owner, std::uint64_t ticket)
+void releaseLoad(load_budget &budget, const std::string &owner, std::uint64_t ticket)
 {
     const auto matches = [&](const auto &entry) {
         return sameTicket(entry, owner, ticket);
@@ -148,18 +150,18 @@
     std::erase_if(budget.waiting, matches);
 }
 
-std::vector<load_budget::granted> grantBudget(
+std::vector<load_budget::grant> grantLoads(
     load_budget &budget, double perSecond, std::uint32_t concurrency, millis now)
 {
     fillTokens(budget, perSecond, now);
-    forgetSilent(budget, now);
-    auto grants = repeatedGrants(budget);
+    removeExpired(budget, now);
+    auto grants = extractResends(budget);
     while (budget.tokens >= 1 && budget.running.size() < concurrency && !budget.waiting.empty()) {
         const auto next =
             std::max_element(budget.waiting.begin(), budget.waiting.end(), [](const auto &a, const auto &b) {
                 return a.urgency < b.urgency;
             });
-        const load_budget::granted grant{next->owner, next->ticket, now};
+        const load_budget::grant grant{next->owner, next->ticket, now};
         budget.waiting.erase(next);
         budget.running.push_back(grant);
         budget.tokens -= 1;
@@ -168,7 +170,7 @@
     return grants;
 }
 
-bool mayLoadUnbrokered(double perSecond, std::uint32_t liveOwners, millis sinceLast)
+bool mayLoadWithoutBroker(double perSecond, std::uint32_t liveOwners, millis sinceLast)
 {
     if (perSecond <= 0) {
         return false;
@@ -182,8 +184,8 @@
         return 0;
     }
     const double longest =
-        std::min(backoffFirstMs * std::exp2(failures - 1.0), static_cast<double>(backoffMaxMs));
-    // Half of it is random, so that the owners which failed together don't come back together.
+        std::min(minBackoffMs * std::exp2(failures - 1.0), static_cast<double>(maxBackoffMs));
+    // Half of it is random, so that owners whose loads failed together don't retry together.
     return static_cast<std::int64_t>(longest * (0.5 + 0.5 * std::clamp(random01, 0.0, 1.0)));
 }
 
--- a/packages/coordination/routing.cpp
+++ b/packages/coordination/routing.cpp
@@ -14,25 +14,26 @@
     "briarhead", "random", "least_loaded", "rendezvous_lru"};
 static_assert(routingNames.size() == static_cast<std::size_t>(routing_kind::RendezvousLru) + 1);
 
-/// A hint's weight falls to 1/e within this time; after a few of them only first-hand counts are left.
+/// The time in which a hint's weight falls to 1/e. After several times as long, only this entry's own counts
+/// matter.
 constexpr double hintDecayMs = 2'000;
-/// The prefix's server is taken unless it is fuller than the other one by more than this part of a batch:
-/// a cached prompt head saves less than a full batch costs.
+/// The prefix's server is chosen unless it is fuller than the other candidate by more than this fraction of a
+/// batch: a cached prompt prefix saves less than a full batch costs.
 constexpr double prefixMargin = 0.15;
-/// Fills closer than this count as equal, and the failure domain decides.
-constexpr double nearTie = 0.05;
-/// Up to which fill a server is preferred for being fuller, at a stall weight of 0. Below 1, so that the
-/// requests which other entries send in the same moment still find room.
-constexpr double packTarget = 0.85;
-/// How much worse a part of a batch above the target is than one below it.
-constexpr double overTargetCost = 4;
-/// At this fill a batch has no place left.
+/// Fills that differ by less than this count as equal, and the failure domain decides.
+constexpr double maxTieDifference = 0.05;
+/// With a stall weight of 0, servers are filled up to this level one after the other. Below 1, to leave room
+/// for the requests that other entries send at the same moment.
+constexpr double maxTargetFill = 0.85;
+/// The cost of a difference above the target fill, relative to the same difference below it.
+constexpr double overTargetWeight = 4;
+/// At this fill a batch has no free place.
 constexpr double fullFill = 1;
-/// From this fill on, a request may go to a server that has yet to load the adapter. Above fullFill, since a
-/// short queue passes sooner than a load does.
+/// From this fill on, a request may go to a server that does not hold the adapter yet. Above fullFill,
+/// because a short queue is faster than a load.
 constexpr double overflowFill = 1.25;
 
-struct router
+struct routing_context
 {
     const route_query &query;
     std::span<const server_view> servers;
@@ -47,11 +48,11 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-bool fit(const router &at, std::size_t i)
+bool isEligible(const routing_context &context, std::size_t i)
 {
-    const server_view &server = at.servers[i];
-    return !server.leaving && !server.open && server.baseModel == at.query.baseModel
-        && !contains(at.query.tried, server.name);
+    const server_view &server = context.servers[i];
+    return !server.leaving && !server.unavailable && server.baseModel == context.query.baseModel
+        && !contains(context.query.tried, server.name);
 }
 
 std::size_t randomBelow(std::mt19937_64 &random, std::size_t count)
@@ -60,94 +61,96 @@
 }
 
 template <class accept>
-indices firstByAdapter(const router &at, std::size_t count, const accept &accepts)
+indices firstByAdapter(const routing_context &context, std::size_t count, const accept &accepts)
 {
     return rendezvousTop(
-        at.query.adapter.adapter, at.servers.size(), count,
-        [&at](std::size_t i) -> std::string_view {
-            return at.servers[i].name;
+        context.query.adapter.adapter, context.servers.size(), count,
+        [&context](std::size_t i) -> std::string_view {
+            return context.servers[i].name;
         },
         accepts);
 }
 
-indices fitServers(const router &at)
+indices eligibleServers(const routing_context &context)
 {
     indices all;
-    for (std::size_t i = 0; i < at.servers.size(); ++i) {
-        if (fit(at, i)) {
+    for (std::size_t i = 0; i < context.servers.size(); ++i) {
+        if (isEligible(context, i)) {
             all.push_back(i);
         }
     }
     return all;
 }
 
-indices fitReplicas(const router &at)
+indices eligibleReplicas(const routing_context &context)
 {
     indices replicas;
-    if (at.query.replicas.empty()) {
+    if (context.query.replicas.empty()) {
         return replicas;
     }
-    for (std::size_t i = 0; i < at.servers.size(); ++i) {
-        if (contains(at.query.replicas, at.servers[i].name) && fit(at, i)) {
+    for (std::size_t i = 0; i < context.servers.size(); ++i) {
+        if (contains(context.query.replicas, context.servers[i].name) && isEligible(context, i)) {
             replicas.push_back(i);
         }
     }
     return replicas;
 }
 
-/// The replicas, or the adapter's first server; with one more that has room when all of them overflow.
-indices candidates(const router &at)
+/// The replicas, or the adapter's first server; if all of them overflow, also a further server that has room.
+indices candidates(const routing_context &context)
 {
-    indices chosen = fitReplicas(at);
+    indices chosen = eligibleReplicas(context);
     if (chosen.empty()) {
-        chosen = firstByAdapter(at, 1, [&at](std::size_t i) {
-            return fit(at, i);
+        chosen = firstByAdapter(context, 1, [&context](std::size_t i) {
+            return isEligible(context, i);
         });
     }
-    const auto fill = [&at](std::size_t i) {
-        return expectedFill(at.servers[i]);
+    const auto fill = [&context](std::size_t i) {
+        return expectedFill(context.servers[i]);
     };
     if (std::all_of(chosen.begin(), chosen.end(), [&](std::size_t i) {
             return fill(i) >= overflowFill;
         })) {
-        // None of the chosen ones has room, so a server that has can't be one of them.
-        const auto next = firstByAdapter(at, 1, [&](std::size_t i) {
-            return fit(at, i) && fill(i) < fullFill;
+        // None of the chosen servers has room, so the next one that has room is not among them.
+        const auto next = firstByAdapter(context, 1, [&](std::size_t i) {
+            return isEligible(context, i) && fill(i) < fullFill;
         });
         chosen.insert(chosen.end(), next.begin(), next.end());
     }
     return chosen;
 }
 
-/// The distance from the fill the weight aims for: batches are filled up to it one server after the other,
-/// and spread evenly above it. A stall weight of 1 aims for empty servers, 0 for nearly full ones.
-double costOf(double fill, double stallWeight)
+/// The distance of a fill from the target fill. Servers are filled up to the target one after the other, and
+/// evenly above it. A stall weight of 1 targets empty servers, 0 nearly full ones.
+double distanceFromTarget(double fill, double stallWeight)
 {
-    const double target = packTarget * (1 - std::clamp(stallWeight, 0.0, 1.0));
-    return fill <= target ? target - fill : (fill - target) * overTargetCost;
+    const double target = maxTargetFill * (1 - std::clamp(stallWeight, 0.0, 1.0));
+    return fill <= target ? target - fill : (fill - target) * overTargetWeight;
 }
 
-std::size_t betterByLoad(const router &at, std::size_t a, std::size_t b)
+std::size_t betterByFill(const routing_context &context, std::size_t a, std::size_t b)
 {
-    const double fillA = expectedFill(at.servers[a]);
-    const double fillB = expectedFill(at.servers[b]);
-    if (std::abs(fillA - fillB) >= nearTie) {
-        return costOf(fillA, at.stallWeight) < costOf(fillB, at.stallWeight) ? a : b;
+    const double fillA = expectedFill(context.servers[a]);
+    const double fillB = expectedFill(context.servers[b]);
+    if (std::abs(fillA - fillB) >= maxTieDifference) {
+        return distanceFromTarget(fillA, context.stallWeight) < distanceFromTarget(fillB, context.stallWeight)
+            ? a
+            : b;
     }
-    const bool nearA = at.servers[a].failureDomain == at.query.failureDomain;
-    const bool nearB = at.servers[b].failureDomain == at.query.failureDomain;
+    const bool nearA = context.servers[a].failureDomain == context.query.failureDomain;
+    const bool nearB = context.servers[b].failureDomain == context.query.failureDomain;
     if (nearA != nearB) {
         return nearA ? a : b;
     }
-    return randomBelow(at.random, 2) == 0 ? a : b;
+    return randomBelow(context.random, 2) == 0 ? a : b;
 }
 
-std::size_t firstByPrefix(const router &at, const indices &among)
+std::size_t firstByPrefix(const routing_context &context, const indices &candidateIndices)
 {
     const auto best = rendezvousTop(
-        std::to_string(at.query.prefix), among.size(), 1,
+        std::to_string(context.query.prefix), candidateIndices.size(), 1,
         [&](std::size_t i) -> std::string_view {
-            return at.servers[among[i]].name;
+            return context.servers[candidateIndices[i]].name;
         },
         [](std::size_t) {
             return true;
@@ -155,66 +158,67 @@
     return best.front();
 }
 
-/// Power of two choices: random pairs don't run after one least-filled server as all entries would do on
-/// the same late hints.
-std::size_t chooseOfTwo(const router &at, const indices &among)
+/// The power of two choices: with random pairs, entries that share the same outdated hints don't all choose
+/// the same least loaded server.
+std::size_t chooseOfTwo(const routing_context &context, const indices &candidateIndices)
 {
-    if (among.size() == 1) {
-        return among.front();
+    if (candidateIndices.size() == 1) {
+        return candidateIndices.front();
     }
-    const bool byPrefix = at.query.prefix != 0;
-    const std::size_t first = byPrefix ? firstByPrefix(at, among) : randomBelow(at.random, among.size());
-    const std::size_t step = 1 + randomBelow(at.random, among.size() - 1);
-    const std::size_t a = among[first];
-    const std::size_t b = among[(first + step) % among.size()];
+    const bool byPrefix = context.query.prefix != 0;
+    const std::size_t first = byPrefix ? firstByPrefix(context, candidateIndices)
+                                       : randomBelow(context.random, candidateIndices.size());
+    const std::size_t step = 1 + randomBelow(context.random, candidateIndices.size() - 1);
+    const std::size_t a = candidateIndices[first];
+    const std::size_t b = candidateIndices[(first + step) % candidateIndices.size()];
     if (byPrefix) {
-        const double fillA = expectedFill(at.servers[a]);
-        const double fillB = expectedFill(at.servers[b]);
+        const double fillA = expectedFill(context.servers[a]);
+        const double fillB = expectedFill(context.servers[b]);
         if (fillA < fullFill && fillA <= fillB + prefixMargin) {
             return a;
         }
     }
-    return betterByLoad(at, a, b);
+    return betterByFill(context, a, b);
 }
 
-std::optional<std::size_t> leastLoaded(const router &at)
+std::optional<std::size_t> leastLoaded(const routing_context &context)
 {
-    indices all = fitServers(at);
-    // Shuffled first, so that entries with the same view don't all take the first of equals.
-    std::shuffle(all.begin(), all.end(), at.random);
-    const auto best = std::min_element(all.begin(), all.end(), [&at](std::size_t a, std::size_t b) {
-        return expectedFill(at.servers[a]) < expectedFill(at.servers[b]);
+    indices all = eligibleServers(context);
+    // Shuffled first, so that entries with the same view don't all choose the first of several equal servers.
+    std::shuffle(all.begin(), all.end(), context.random);
+    const auto best = std::min_element(all.begin(), all.end(), [&context](std::size_t a, std::size_t b) {
+        return expectedFill(context.servers[a]) < expectedFill(context.servers[b]);
     });
     return best == all.end() ? std::nullopt : std::optional(*best);
 }
 
-std::optional<std::size_t> anyOf(const router &at)
+std::optional<std::size_t> randomServer(const routing_context &context)
 {
-    const indices all = fitServers(at);
-    return all.empty() ? std::nullopt : std::optional(all[randomBelow(at.random, all.size())]);
+    const indices all = eligibleServers(context);
+    return all.empty() ? std::nullopt : std::optional(all[randomBelow(context.random, all.size())]);
 }
 
-std::optional<std::size_t> firstOf(const indices &order)
+std::optional<std::size_t> frontOf(const indices &order)
 {
     return order.empty() ? std::nullopt : std::optional(order.front());
 }
 
-std::optional<std::size_t> choose(const router &at, routing_kind kind)
+std::optional<std::size_t> choose(const routing_context &context, routing_kind kind)
 {
     switch (kind) {
     case routing_kind::Random:
-        return anyOf(at);
+        return randomServer(context);
     case routing_kind::LeastLoaded:
-        return leastLoaded(at);
+        return leastLoaded(context);
     case routing_kind::RendezvousLru:
-        return firstOf(firstByAdapter(at, 1, [&at](std::size_t i) {
-            return fit(at, i);
+        return frontOf(firstByAdapter(context, 1, [&context](std::size_t i) {
+            return isEligible(context, i);
         }));
     case routing_kind::Briarhead:
         break;
     }
-    const indices among = candidates(at);
-    return among.empty() ? std::nullopt : std::optional(chooseOfTwo(at, among));
+    const indices candidateIndices = candidates(context);
+    return candidateIndices.empty() ? std::nullopt : std::optional(chooseOfTwo(context, candidateIndices));
 }
 
 }
@@ -241,8 +245,9 @@
     const double hinted = static_cast<double>(server.hintedInFlight) + server.hintedWaiting;
     const double weight =
         std::exp(-static_cast<double>(std::max(server.hintAge.count, std::int64_t{0})) / hintDecayMs);
-    // What the hint counted fades, with this entry's own share in it; what is first-hand stays. Requests sent
-    // after the hint are in no hint yet: without them a burst would all run to the server that was empty.
+    // The hinted load, which includes this entry's own requests, fades; the first-hand count stays. Requests
+    // sent after the hint are not part of it, so they are added: otherwise a whole burst would go to the
+    // server that was empty.
     const double expected = weight * (hinted + server.sentSinceHint) + (1 - weight) * firstHand;
     return std::max(expected, firstHand) / std::max(server.batchLimit, 1U);
 }
@@ -250,7 +255,7 @@
 std::optional<std::string> chooseServer(const route_query &query, std::span<const server_view> servers,
     double stallWeight, routing_kind kind, std::mt19937_64 &random)
 {
-    const auto chosen = choose(router{query, servers, stallWeight, random}, kind);
+    const auto chosen = choose(routing_context{query, servers, stallWeight, random}, kind);
     return chosen ? std::optional(servers[*chosen].name) : std::nullopt;
 }
 
