--- a/packages/coordination/config_peers.cpp
+++ b/packages/coordination/config_peers.cpp
@@ -50,7 +50,7 @@
     }
 }
 
-void config_task::onVersionHeard(const version_heard &news)
+void config_task::onVersionHeard(const peer_version_seen &news)
 {
     if (m_current && news.version <= m_current->version) {
         return;
--- a/packages/coordination/config_submit.cpp
+++ b/packages/coordination/config_submit.cpp
@@ -43,7 +43,7 @@
     return names.at(static_cast<std::size_t>(value));
 }
 
-void config_task::submitPatch(config_patch patch, std::function<void(const submit_answer &)> done)
+void config_task::submitPatch(config_patch patch, std::function<void(const submit_result &)> done)
 {
     if (m_submissions.size() >= maxSubmissions) {
         const error why{error_kind::Overloaded, "patch", "too many patches wait here already"};
@@ -123,7 +123,7 @@
 {
     const auto &patch = m_submissions.front().patch;
     const auto current = found.head.version;
-    const submit_answer stale{submit_status::Refused, current, false, staleError(patch, current)};
+    const submit_result stale{submit_status::Refused, current, false, staleError(patch, current)};
     if (patch.base >= found.head.snapshotVersion) {
         finishSubmission(stale);
         return;
@@ -237,7 +237,7 @@
     finishSubmission({otherwise, headVersion(), false, last});
 }
 
-void config_task::finishSubmission(const submit_answer &answer)
+void config_task::finishSubmission(const submit_result &answer)
 {
     const auto finished = std::move(m_submissions.front());
     m_submissions.pop_front();
--- a/packages/coordination/config_task.cpp
+++ b/packages/coordination/config_task.cpp
@@ -57,7 +57,7 @@
     m_bus.on<members_changed>([this](const members_changed &news) {
         onMembers(news);
     });
-    m_bus.on<version_heard>([this](const version_heard &news) {
+    m_bus.on<peer_version_seen>([this](const peer_version_seen &news) {
         onVersionHeard(news);
     });
     m_bus.on<received<config_ask>>([this](const received<config_ask> &question) {
@@ -236,7 +236,7 @@
     });
     spdlog::info("config: version {} is in force", next->version);
     m_bus.post(config_changed{next});
-    m_bus.post(version_news{next->version});
+    m_bus.post(announce_version{next->version});
 }
 
 void config_task::updateWatch(std::int64_t storeRevision)
@@ -325,7 +325,7 @@
     m_store.readHistory(from, historyLimit, onRead);
 }
 
-void config_task::atVersion(
+void config_task::readVersion(
     std::uint64_t version, std::function<void(const config_ptr &found, const error &why)> done)
 {
     if (m_current && m_current->version == version) {
--- a/packages/coordination/config_task.h
+++ b/packages/coordination/config_task.h
@@ -32,7 +32,7 @@
 
 std::string_view nameOf(submit_status value);
 
-struct submit_answer
+struct submit_result
 {
     submit_status status = submit_status::NotRun;
     std::uint64_t version = 0; ///< accepted at; otherwise the current version as far as known
@@ -52,7 +52,7 @@
 
 /// The task that owns this daemon's configuration: it follows the head in the key-value service and the
 /// versions that peers hold, serves peers, and submits operators' patches. It posts config_changed,
-/// version_news and send_to. There is no configuration, and so no readiness, until one was learnt.
+/// announce_version and send_to. There is no configuration, and so no readiness, until one was learnt.
 class config_task
 {
 public:
@@ -75,12 +75,12 @@
     std::uint64_t headVersion() const;
 
     /// Submits a patch. Submitting the same id again is safe at any time and gives the same answer.
-    void submitPatch(config_patch patch, std::function<void(const submit_answer &)> done);
+    void submitPatch(config_patch patch, std::function<void(const submit_result &)> done);
     /// The accepted patches from a version on, at most historyLimit. With a `why`, only those in memory.
     void history(std::uint64_t from,
         std::function<void(const std::vector<config_patch> &patches, const error &why)> done);
     /// The configuration at a version that the service still holds, or nullptr with `why`.
-    void atVersion(
+    void readVersion(
         std::uint64_t version, std::function<void(const config_ptr &found, const error &why)> done);
 
 private:
@@ -88,7 +88,7 @@
     struct submission
     {
         config_patch patch;
-        std::function<void(const submit_answer &)> done;
+        std::function<void(const submit_result &)> done;
         millis deadline;
         millis pause;
         std::optional<std::int64_t> openRevision; ///< of the head at a swap whose answer was lost
@@ -120,7 +120,7 @@
 
     // Following peers.
     void onMembers(const members_changed &news);
-    void onVersionHeard(const version_heard &news);
+    void onVersionHeard(const peer_version_seen &news);
     void onAsk(const received<config_ask> &question);
     void onAnswer(const received<config_answer> &answer);
     void takePatches(const config_answer &answer);
@@ -140,7 +140,7 @@
     void stepAgain();
     void stepLater(const error &why, submit_status otherwise = submit_status::NotRun);
     void undecided(const error &why);
-    void finishSubmission(const submit_answer &answer);
+    void finishSubmission(const submit_result &answer);
     std::vector<config_patch> historyFor(const config_head &head) const;
 
     bus &m_bus;
--- a/packages/coordination/events.h
+++ b/packages/coordination/events.h
@@ -45,14 +45,14 @@
 };
 
 /// Membership -> config task: a peer holds this version.
-struct version_heard
+struct peer_version_seen
 {
     std::string peer;
     std::uint64_t version = 0;
 };
 
 /// Config task -> membership: tell a few peers now.
-struct version_news
+struct announce_version
 {
     std::uint64_t version = 0;
 };
@@ -74,7 +74,7 @@
 };
 
 /// Peer link -> all: the link broke, or a send was impossible.
-struct link_broken
+struct peer_unreachable
 {
     std::string peer;
 };
@@ -83,12 +83,13 @@
 struct server_gained
 {
     live_instance server;
-    std::uint64_t fencing = 0;
+    std::uint64_t fencingToken = 0;
     bool checksFencing = false;
-    millis mayRunAt; ///< when the old owner's last unload can no longer arrive
-    millis mayEvictAt; ///< on an engine that doesn't check fencing: when the old tenure has ended for sure
+    millis earliestRunAt; ///< when the old owner's last unload can no longer arrive
+    millis
+        earliestEvictAt; ///< on an engine that doesn't check fencing: when the old tenure has ended for sure
     std::vector<adapter_ref>
-        pinned; ///< still serving the old owner's streams, until mayEvictAt at the latest
+        pinned; ///< still serving the old owner's streams, until earliestEvictAt at the latest
 };
 
 /// Ownership task -> owner task: no orders or new requests to it any more.
@@ -108,15 +109,15 @@
 struct fencing_refused
 {
     std::string server;
-    std::uint64_t fencing = 0;
+    std::uint64_t fencingToken = 0;
 };
 
 /// Ownership task -> owner task: the old owner's process is known to be gone, so evictions on an engine that
-/// does not check fencing may begin at `mayEvictAt` already.
-struct tenure_ended
+/// does not check fencing may begin at `earliestEvictAt` already.
+struct predecessor_exited
 {
     std::string server;
-    millis mayEvictAt;
+    millis earliestEvictAt;
 };
 
 /// Ownership task -> owner task: stop admitting to this server and say what still runs.
--- a/packages/coordination/key_journal.cpp
+++ b/packages/coordination/key_journal.cpp
@@ -61,7 +61,7 @@
 void keepAnswer(key_journal &journal, record_at at, const key_finish &end)
 {
     const std::size_t added = end.answer.size() + end.contentType.size();
-    if (end.answer.size() > maxKeptAnswerBytes || journal.bytes + added > maxJournalBytes) {
+    if (end.answer.size() > maxStoredResponseBytes || journal.bytes + added > maxJournalBytes) {
         return;
     }
     journal.bytes += added;
--- a/packages/coordination/key_journal.h
+++ b/packages/coordination/key_journal.h
@@ -24,7 +24,7 @@
     std::string answer;
 };
 
-constexpr std::size_t maxKeptAnswerBytes = 64 * 1024;
+constexpr std::size_t maxStoredResponseBytes = 64 * 1024;
 constexpr std::size_t maxJournalBytes = 64 * 1024 * 1024;
 
 /// The journal of one home.
--- a/packages/coordination/key_task.cpp
+++ b/packages/coordination/key_task.cpp
@@ -11,7 +11,7 @@
 
 }
 
-std::vector<std::string> homesOf(const std::vector<member> &members)
+std::vector<std::string> keyHomeCandidates(const std::vector<member> &members)
 {
     std::vector<std::string> homes;
     for (const member &one : members) {
@@ -27,7 +27,7 @@
     , m_self(std::move(self))
 {
     m_bus.on<members_changed>([this](const members_changed &news) {
-        m_homes = homesOf(news.members);
+        m_homes = keyHomeCandidates(news.members);
     });
     m_bus.on<received<key_begin>>([this](const received<key_begin> &news) {
         key_verdict answer{news.body.id, key_state::NotHome};
--- a/packages/coordination/key_task.h
+++ b/packages/coordination/key_task.h
@@ -26,6 +26,6 @@
 };
 
 /// The daemons that may be home of a key: alive or suspect, not leaving.
-std::vector<std::string> homesOf(const std::vector<member> &members);
+std::vector<std::string> keyHomeCandidates(const std::vector<member> &members);
 
 }
--- a/packages/coordination/membership.cpp
+++ b/packages/coordination/membership.cpp
@@ -760,7 +760,7 @@
 }
 
 std::vector<outgoing> handle(membership &state, const peer_address &from, const peer_datagram &datagram,
-    millis now, std::optional<version_heard> &heard)
+    millis now, std::optional<peer_version_seen> &heard)
 {
     std::vector<outgoing> out;
     if (datagram.from == state.self.name) {
@@ -779,7 +779,7 @@
     }
     const bool accused = takeFacts(state, datagram.facts, now);
     if (datagram.configVersion > state.configVersion) {
-        heard = version_heard{datagram.from, datagram.configVersion};
+        heard = peer_version_seen{datagram.from, datagram.configVersion};
     }
     switch (datagram.kind) {
     case probe_kind::Ping:
--- a/packages/coordination/membership.h
+++ b/packages/coordination/membership.h
@@ -128,7 +128,7 @@
 std::vector<outgoing> tick(membership &state, millis now);
 /// Handles one datagram. `heard` gets a configuration version above ours, with its holder.
 std::vector<outgoing> handle(membership &state, const peer_address &from, const peer_datagram &datagram,
-    millis now, std::optional<version_heard> &heard);
+    millis now, std::optional<peer_version_seen> &heard);
 /// Datagrams that tell a few random peers of a new version now.
 std::vector<outgoing> notice(membership &state, std::uint64_t version);
 /// Says to peers that this daemon is leaving.
--- a/packages/coordination/membership_task.cpp
+++ b/packages/coordination/membership_task.cpp
@@ -22,7 +22,7 @@
 {
     // Daemons that start together with the same seed would all probe the same peer at the same time.
     m_state.random.seed(std::random_device{}());
-    m_bus.on<version_news>([this](const version_news &news) {
+    m_bus.on<announce_version>([this](const announce_version &news) {
         send(notice(m_state, news.version));
     });
     m_bus.on<drain_began>([this](const drain_began &) {
@@ -41,7 +41,7 @@
 
 void membership_task::onDatagram(const peer_address &from, const peer_datagram &datagram)
 {
-    std::optional<version_heard> heard;
+    std::optional<peer_version_seen> heard;
     send(handle(m_state, from, datagram, bootNow(), heard));
     if (heard) {
         m_bus.post(*heard);
--- a/packages/coordination/membership_task.h
+++ b/packages/coordination/membership_task.h
@@ -14,7 +14,7 @@
 namespace briarhead {
 
 /// The task that owns this daemon's membership and follows the platform's list. It posts members_changed,
-/// live_list_changed and version_heard, and takes version_news and drain_began.
+/// live_list_changed and peer_version_seen, and takes announce_version and drain_began.
 class membership_task
 {
 public:
--- a/packages/coordination/owner_engine.cpp
+++ b/packages/coordination/owner_engine.cpp
@@ -112,10 +112,10 @@
     }
     // A cold engine has no base model: order the one that the live list names for it.
     if (state.baseModel.empty() && state.role != "loading" && !server.baseOrdered && takesWork(server)
-        && mayOrder(order_kind::Role, server.checksFencing, m_leaseUntil, now)) {
+        && isOrderAllowed(order_kind::Role, server.checksFencing, m_leaseUntil, now)) {
         server.baseOrdered = true;
         spdlog::info("owner: {} loads its base model {}.", server.where.name, server.where.service);
-        server.guarded->role("serving", server.where.service, server.fencing, stateTimeout,
+        server.guarded->role("serving", server.where.service, server.fencingToken, stateTimeout,
             [this, name = server.where.name](const engine_order_end &how) {
                 if (owned *found = find(name); found != nullptr && !how.ok) {
                     found->baseOrdered = false;
@@ -135,7 +135,7 @@
             }
             // Only a report made after our own claim tells what the old owner's tenure left running; one made
             // before it may miss a request that the old owner handed over later.
-            if (!found->checksFencing || report->fencing < found->fencing) {
+            if (!found->checksFencing || report->fencingToken < found->fencingToken) {
                 return;
             }
             std::set<adapter_ref> running;
--- a/packages/coordination/owner_loads.cpp
+++ b/packages/coordination/owner_loads.cpp
@@ -144,7 +144,7 @@
         return;
     }
     const adapter_ref which = list[*next].adapter;
-    if (!mayOrder(order_kind::LoadFree, server.checksFencing, m_leaseUntil, now)) {
+    if (!isOrderAllowed(order_kind::LoadFree, server.checksFencing, m_leaseUntil, now)) {
         return;
     }
     if (usedSlots(server) < server.slots) {
@@ -167,15 +167,15 @@
 {
     const bool there = wanted != nullptr && (wanted->resident || wanted->loading);
     const bool kept = !there && !server.checksFencing && usedSlots(server) >= server.slots;
-    return kept ? server.mayEvictAt : now;
+    return kept ? server.earliestEvictAt : now;
 }
 
 /// The adapter to unload for `wanted`, or nothing when every slot is in use, promised or hotter.
 std::optional<adapter_ref> owner_task::victimFor(const owned &server, const adapter_ref &wanted) const
 {
     const millis now = bootNow();
-    const bool mayEvict = mayOrder(order_kind::Evict, server.checksFencing, m_leaseUntil, now)
-        && (server.checksFencing || now >= server.mayEvictAt);
+    const bool mayEvict = isOrderAllowed(order_kind::Evict, server.checksFencing, m_leaseUntil, now)
+        && (server.checksFencing || now >= server.earliestEvictAt);
     if (!mayEvict) {
         return std::nullopt;
     }
@@ -188,7 +188,7 @@
         view.adapter = ref;
         view.inFlight = where.inFlight;
         view.promised = static_cast<std::uint32_t>(where.waiting.size());
-        view.pinned = where.pinned && now < server.mayEvictAt;
+        view.pinned = where.pinned && now < server.earliestEvictAt;
         view.loading = where.loading || where.unloading;
         view.rate = decayed(where.arrivals, now).slow;
         view.loadedAt = where.loadedAt;
@@ -210,7 +210,7 @@
     server.ordering = true;
     const std::string name = server.where.name;
     server.guarded->unload(
-        which, server.fencing, unloadTimeout, [this, name, which](const engine_order_end &how) {
+        which, server.fencingToken, unloadTimeout, [this, name, which](const engine_order_end &how) {
             owned *found = find(name);
             if (found == nullptr) {
                 return;
@@ -230,7 +230,7 @@
                 found->polledAt = {};
             }
             if (how.why.kind == error_kind::StaleFencing) {
-                m_bus.post(fencing_refused{name, std::max(how.fencing, found->fencing + 1)});
+                m_bus.post(fencing_refused{name, std::max(how.fencingToken, found->fencingToken + 1)});
                 return;
             }
             pump(*found);
@@ -240,7 +240,7 @@
 void owner_task::settleLater(const std::string &name, const adapter_ref &which)
 {
     const std::uint64_t id = ++m_lastSettle;
-    m_settling[id] = m_loop.timer({orderLifeMs}, {}, [this, id, name, which] {
+    m_settling[id] = m_loop.timer({maxOrderLatencyMs}, {}, [this, id, name, which] {
         m_settling.erase(id);
         if (owned *found = find(name); found != nullptr) {
             found->adapters[which].unloading = false;
@@ -258,7 +258,7 @@
     // A load goes into a free slot and takes nothing from anybody, so it does not go through the guarded
     // client.
     server.runs->load(
-        which, server.fencing, loadTimeout, [this, name, which, began](const engine_order_end &how) {
+        which, server.fencingToken, loadTimeout, [this, name, which, began](const engine_order_end &how) {
             if (owned *found = find(name); found != nullptr) {
                 loaded(*found, which, how, began);
             }
@@ -284,7 +284,7 @@
     }
     server.polledAt = {};
     if (how.why.kind == error_kind::StaleFencing) {
-        m_bus.post(fencing_refused{server.where.name, std::max(how.fencing, server.fencing + 1)});
+        m_bus.post(fencing_refused{server.where.name, std::max(how.fencingToken, server.fencingToken + 1)});
         return;
     }
     ++where.failures;
--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -74,12 +74,12 @@
         return;
     }
     const millis now = bootNow();
-    if (!server->known || server->role != "serving" || server->unclaimed || now < server->mayRunAt) {
+    if (!server->known || server->role != "serving" || server->unclaimed || now < server->earliestRunAt) {
         refuse(from, request, error_kind::NoServer, "the server is starting",
-            std::max(millis{startingPollMs}, server->mayRunAt - now));
+            std::max(millis{startingPollMs}, server->earliestRunAt - now));
         return;
     }
-    if (!mayOrder(order_kind::Run, server->checksFencing, m_leaseUntil, now)) {
+    if (!isOrderAllowed(order_kind::Run, server->checksFencing, m_leaseUntil, now)) {
         refuse(from, request, error_kind::NotOwner, "the lease has lapsed", {startingPollMs});
         return;
     }
@@ -214,7 +214,7 @@
     run.path = one.request.path;
     run.body = one.request.body;
     run.id = one.request.id;
-    run.fencing = server.fencing;
+    run.fencingToken = server.fencingToken;
     run.rank = one.request.rank;
     run.idempotent = one.request.idempotent;
     run.deadline = one.deadline - now;
@@ -298,7 +298,7 @@
         server->serviceMs += (took - server->serviceMs) * (server->serviceMs == 0 ? 1 : meanWeight);
     }
     if (how.why.kind == error_kind::StaleFencing) {
-        m_bus.post(fencing_refused{one.request.server, server->fencing + 1});
+        m_bus.post(fencing_refused{one.request.server, server->fencingToken + 1});
     }
     if (how.result != outcome::Done) {
         // The engine may have restarted, be leaving, or no longer have the adapter. Look again.
--- a/packages/coordination/owner_status.cpp
+++ b/packages/coordination/owner_status.cpp
@@ -21,7 +21,7 @@
         if (!server.held) {
             continue;
         }
-        list.push_back({{"name", name}, {"owner", m_options.self}, {"fencing", server.fencing},
+        list.push_back({{"name", name}, {"owner", m_options.self}, {"fencing", server.fencingToken},
             {"role", server.role}, {"failure_domain", server.where.failureDomain}, {"slots", server.slots},
             {"used", usedSlots(server)}, {"in_flight", server.inFlight}, {"batch_limit", server.batchLimit},
             {"waiting", server.waiting}, {"leaving", leaves(server)}, {"pause_ms", pauseOf(server).count},
--- a/packages/coordination/owner_task.cpp
+++ b/packages/coordination/owner_task.cpp
@@ -63,9 +63,9 @@
     m_bus.on<release_server>([this](const release_server &news) {
         onRelease(news.server);
     });
-    m_bus.on<tenure_ended>([this](const tenure_ended &news) {
+    m_bus.on<predecessor_exited>([this](const predecessor_exited &news) {
         if (owned *server = find(news.server); server != nullptr) {
-            server->mayEvictAt = news.mayEvictAt;
+            server->earliestEvictAt = news.earliestEvictAt;
         }
     });
     m_bus.on<lease_confirmed>([this](const lease_confirmed &news) {
@@ -89,7 +89,7 @@
         }
         m_members = static_cast<std::uint32_t>(std::max<std::size_t>(1, m_brokers.size()));
     });
-    m_bus.on<link_broken>([this](const link_broken &news) {
+    m_bus.on<peer_unreachable>([this](const peer_unreachable &news) {
         // A broker that can't be reached is passed over at once, not when membership has seen its death.
         m_brokers.erase(std::remove(m_brokers.begin(), m_brokers.end(), news.peer), m_brokers.end());
         for (auto &entry : m_servers) {
@@ -160,11 +160,11 @@
     server.where = news.server;
     server.releasing = false;
     server.releaseAsked = false;
-    server.fencing = news.fencing;
+    server.fencingToken = news.fencingToken;
     server.unclaimed = false;
     server.checksFencing = news.checksFencing;
-    server.mayRunAt = news.mayRunAt;
-    server.mayEvictAt = news.mayEvictAt;
+    server.earliestRunAt = news.earliestRunAt;
+    server.earliestEvictAt = news.earliestEvictAt;
     if (server.held) {
         return; // the same tenure under a higher number
     }
@@ -243,7 +243,7 @@
             answer.running.push_back(ref);
         }
     }
-    answer.drain = releaseDrain(now, streamsEnd, server.mayEvictAt);
+    answer.drain = drainAtRelease(now, streamsEnd, server.earliestEvictAt);
     m_bus.post(answer);
 }
 
--- a/packages/coordination/owner_task.h
+++ b/packages/coordination/owner_task.h
@@ -89,10 +89,10 @@
         bool releasing = false;
         bool releaseAsked = false; ///< release_server has no answer yet
         bool draining = false; ///< by the operators' order
-        std::uint64_t fencing = 0;
+        std::uint64_t fencingToken = 0;
         bool checksFencing = false;
-        millis mayRunAt;
-        millis mayEvictAt;
+        millis earliestRunAt;
+        millis earliestEvictAt;
         bool unclaimed = false; ///< the engine restarted and our number is not there yet
         bool pinsKnown = true; ///< a report with our own number has been seen
         std::unique_ptr<engine_client> runs;
--- a/packages/coordination/ownership.cpp
+++ b/packages/coordination/ownership.cpp
@@ -173,14 +173,14 @@
     return record;
 }
 
-std::optional<std::uint64_t> outageFencing(std::uint64_t seen, std::string_view instance)
+std::optional<std::uint64_t> outageFencingToken(std::uint64_t seen, std::string_view instance)
 {
     const std::uint64_t round = ((seen >> hashBits) & roundMask) + 1;
     if (round > roundMask) {
         return std::nullopt;
     }
     const std::uint64_t hash = XXH3_64bits(instance.data(), instance.size()) & hashMask;
-    return fencingOf(epochOf(seen)) | (round << hashBits) | hash;
+    return fencingTokenOf(epochOf(seen)) | (round << hashBits) | hash;
 }
 
 millis pacedPause(std::size_t members)
@@ -215,43 +215,44 @@
     return view.selfLeased ? ownership_step::TakeOver : ownership_step::Wait;
 }
 
-bool mayOrder(order_kind kind, bool checksFencing, millis leaseUntil, millis now)
+bool isOrderAllowed(order_kind kind, bool checksFencing, millis leaseUntil, millis now)
 {
     if (checksFencing) {
         return true;
     }
     // Guards against an old owner that unloads what its successor serves: it would show as a stream broken in
     // its middle. An unload or a change of role ends with the lease; a run or a load into a free slot takes
-    // nothing from a successor, which leaves the slots alone until firstEviction.
+    // nothing from a successor, which leaves the slots alone until earliestEvictionTime.
     const bool harmless = kind == order_kind::Run || kind == order_kind::LoadFree;
-    return now < (harmless ? leaseUntil + millis{lapsedGraceMs} : leaseUntil);
+    return now < (harmless ? leaseUntil + millis{leaseExpiryGraceMs} : leaseUntil);
 }
 
-millis firstRun(millis takenAt, bool checksFencing, bool oldReleasedInOrder)
+millis earliestRunTime(millis takenAt, bool checksFencing, bool oldReleasedInOrder)
 {
     // On an engine that doesn't check fencing, an unload sent at the very end of the old lease may still be
     // on its way. A run admitted before it lands would be served by an adapter that is about to go.
-    return checksFencing || oldReleasedInOrder ? takenAt : takenAt + millis{orderLifeMs};
+    return checksFencing || oldReleasedInOrder ? takenAt : takenAt + millis{maxOrderLatencyMs};
 }
 
-millis firstEviction(millis takenAt, millis maxDeadline, bool oldReleasedInOrder, millis releasedDrain)
+millis earliestEvictionTime(millis takenAt, millis maxDeadline, bool oldReleasedInOrder, millis releasedDrain)
 {
     if (oldReleasedInOrder) {
         return takenAt + releasedDrain;
     }
-    // The old owner may be unaware that its tenure has ended. By mayOrder it admits runs for lapsedGraceMs
-    // after its lease's end, which the service saw no later than `takenAt`; the last of these reaches the
-    // engine within orderLifeMs and ends by its deadline, at most maxDeadline later. Its clock may be slower
-    // than ours, so the sum is stretched. Only then can no adapter be in use that we don't know of.
-    const std::int64_t tenureMs = lapsedGraceMs + orderLifeMs + maxDeadline.count;
+    // The old owner may be unaware that its tenure has ended. By mayOrder it admits runs for
+    // leaseExpiryGraceMs after its lease's end, which the service saw no later than `takenAt`; the last of
+    // these reaches the engine within maxOrderLatencyMs and ends by its deadline, at most maxDeadline later.
+    // Its clock may be slower than ours, so the sum is stretched. Only then can no adapter be in use that we
+    // don't know of.
+    const std::int64_t tenureMs = leaseExpiryGraceMs + maxOrderLatencyMs + maxDeadline.count;
     return takenAt + millis{tenureMs + tenureMs * clockDriftPerThousand / 1000};
 }
 
-millis releaseDrain(millis now, millis streamsEnd, millis mayEvictAt)
+millis drainAtRelease(millis now, millis streamsEnd, millis earliestEvictAt)
 {
     // Guards against a chain: a paused owner, its successor, and a third that takes the successor's release
     // for the end of all earlier work and unloads what the first, awake again within its grace, runs on.
-    return std::max(std::max(streamsEnd, mayEvictAt), now) - now;
+    return std::max(std::max(streamsEnd, earliestEvictAt), now) - now;
 }
 
 }
--- a/packages/coordination/ownership.h
+++ b/packages/coordination/ownership.h
@@ -41,16 +41,16 @@
 
 /// A fencing number: 40 bits of epoch, 24 bits that order claims made without the key-value service and
 /// keep them unique (8 bits round, 16 bits of the claimant's hash).
-constexpr std::uint64_t fencingOf(std::uint64_t epoch)
+constexpr std::uint64_t fencingTokenOf(std::uint64_t epoch)
 {
     return epoch << 24;
 }
-constexpr std::uint64_t epochOf(std::uint64_t fencing)
+constexpr std::uint64_t epochOf(std::uint64_t fencingToken)
 {
-    return fencing >> 24;
+    return fencingToken >> 24;
 }
 /// The number for a claim on an engine without the service: above `seen`, same epoch, unique to `instance`.
-std::optional<std::uint64_t> outageFencing(std::uint64_t seen, std::string_view instance);
+std::optional<std::uint64_t> outageFencingToken(std::uint64_t seen, std::string_view instance);
 
 /// Time between lease renewals and the lease's length for a fleet of this size: the whole fleet's
 /// renewals stay under renewalsPerSecond.
@@ -76,7 +76,7 @@
     bool selfLeased = true; ///< this daemon's own session lease stands; without it nothing is taken over
     std::uint32_t owned = 0; ///< servers this daemon owns
     std::uint32_t fairShare = 0; ///< servers over live daemons, rounded up
-    bool settled = true; ///< holder is mine: its firstRun has passed
+    bool settled = true; ///< holder is mine: its earliestRunTime has passed
 };
 
 /// The step to take.
@@ -84,7 +84,7 @@
 {
     Keep, ///< nothing to do
     TakeOver, ///< compare-and-swap the record to self, epoch + 1
-    ClaimOnEngine, ///< the service is out: claim with outageFencing on an engine that checks it
+    ClaimOnEngine, ///< the service is out: claim with outageFencingToken on an engine that checks it
     Release, ///< hand over in order: stop admitting, write the record with what still runs
     Wait, ///< an orphan, but it can't safely be taken yet
 };
@@ -104,31 +104,32 @@
 
 /// What an owner may do at `now` given its lease's end. On engines that check fencing the engine is the
 /// arbiter and all orders may go on; on the others only orders that can't hurt a successor: runs and loads
-/// into free slots until the lease has been over for `lapsedGraceMs`, no evictions after its end.
-bool mayOrder(order_kind kind, bool checksFencing, millis leaseUntil, millis now);
+/// into free slots until the lease has been over for `leaseExpiryGraceMs`, no evictions after its end.
+bool isOrderAllowed(order_kind kind, bool checksFencing, millis leaseUntil, millis now);
 
 /// How long after its lease's end an owner may still run requests on an engine that doesn't check fencing.
-constexpr std::int64_t lapsedGraceMs = 1'800'000;
+constexpr std::int64_t leaseExpiryGraceMs = 1'800'000;
 
 /// How long an order or run may take from its send to its effect on the engine at the latest. The order
 /// path's TCP_USER_TIMEOUT and the engine's order queue have to stay within it.
-constexpr std::int64_t orderLifeMs = 5'000;
+constexpr std::int64_t maxOrderLatencyMs = 5'000;
 
 /// A release in order says that the old owner had an answer to each of its unloads and sends no order after
 /// it.
 ///
 /// When a new owner that took over at `takenAt` may first run requests: on an engine that doesn't check
 /// fencing, after the old owner's last unload can no longer arrive.
-millis firstRun(millis takenAt, bool checksFencing, bool oldReleasedInOrder);
+millis earliestRunTime(millis takenAt, bool checksFencing, bool oldReleasedInOrder);
 
 /// When a new owner may first evict on an engine that doesn't check fencing, having seen the old session
 /// gone at `takenAt`: after everything the old tenure admitted must have ended. `maxDeadline` is the longest
 /// that any configuration in force during that tenure allowed. An owner that retakes its own record (its
 /// session had lapsed, nobody came between) keeps the time it had.
-millis firstEviction(millis takenAt, millis maxDeadline, bool oldReleasedInOrder, millis releasedDrain);
+millis earliestEvictionTime(
+    millis takenAt, millis maxDeadline, bool oldReleasedInOrder, millis releasedDrain);
 
 /// The drain to write into a record that is released: it also covers what is left of this owner's own wait
 /// for a tenure before it.
-millis releaseDrain(millis now, millis streamsEnd, millis mayEvictAt);
+millis drainAtRelease(millis now, millis streamsEnd, millis earliestEvictAt);
 
 }
--- a/packages/coordination/ownership_task.cpp
+++ b/packages/coordination/ownership_task.cpp
@@ -54,9 +54,9 @@
     m_bus.on<fencing_refused>([this](const fencing_refused &news) {
         tracked *server = find(news.server);
         if (server != nullptr && server->active) {
-            server->lostTo = std::max(server->lostTo, news.fencing);
+            server->lostTo = std::max(server->lostTo, news.fencingToken);
             spdlog::warn(
-                "ownership: {} refused our fencing number, {} stands there.", news.server, news.fencing);
+                "ownership: {} refused our fencing number, {} stands there.", news.server, news.fencingToken);
             lose(*server);
         }
     });
@@ -194,7 +194,7 @@
     view.checksFencing = server.engine && server.engine->checksFencing;
     view.selfLeaving = m_leaving;
     view.selfLeased = m_lease != 0;
-    view.settled = bootNow() >= server.mayRunAt;
+    view.settled = bootNow() >= server.earliestRunAt;
     view.owned = m_owned;
     const auto daemons = std::max<std::size_t>(1, m_candidates.size());
     view.fairShare = static_cast<std::uint32_t>((m_servers.size() + daemons - 1) / daemons);
@@ -219,7 +219,7 @@
     }
     if (server.refence && server.active) {
         server.refence = false;
-        putFence(server, server.fencing);
+        putFence(server, server.fencingToken);
         return;
     }
     if (server.retake || server.outageClaim) {
@@ -256,7 +256,7 @@
         if (server.lostTo != 0) {
             takeOver(server);
         } else {
-            putFence(server, fencingOf(server.record.epoch));
+            putFence(server, fencingTokenOf(server.record.epoch));
         }
         return;
     }
@@ -361,7 +361,7 @@
     owner_record next;
     next.owner = m_options.self;
     next.incarnation = m_options.incarnation;
-    next.epoch = std::max({server.record.epoch, epochOf(server.lostTo), epochOf(server.fencing)}) + 1;
+    next.epoch = std::max({server.record.epoch, epochOf(server.lostTo), epochOf(server.fencingToken)}) + 1;
     server.busy = true;
     m_kv.compareAndSwap(ownerRecordKey(server.where.name), std::max<std::int64_t>(0, server.revision),
         toJson(next), 0, [this, next, name = server.where.name](const kv_write &written) {
@@ -394,13 +394,14 @@
             found->revision = written.revision;
             found->lostTo = 0;
             spdlog::info("ownership: {} is ours, epoch {}.", name, next.epoch);
-            putFence(*found, fencingOf(next.epoch));
+            putFence(*found, fencingTokenOf(next.epoch));
         });
 }
 
 void ownership_task::claimOnEngine(tracked &server)
 {
-    const auto number = outageFencing(std::max(server.engine->fencing, server.lostTo), m_options.self);
+    const auto number =
+        outageFencingToken(std::max(server.engine->fencingToken, server.lostTo), m_options.self);
     if (!number) {
         return;
     }
@@ -410,26 +411,26 @@
     putFence(server, *number);
 }
 
-void ownership_task::putFence(tracked &server, std::uint64_t fencing)
+void ownership_task::putFence(tracked &server, std::uint64_t fencingToken)
 {
     if (!server.engine->checksFencing) {
-        gained(server, fencing);
+        gained(server, fencingToken);
         return;
     }
     server.busy = true;
     auto engine = std::make_shared<engine_client>(m_orders, urlOf(server.where));
-    engine->claim(fencing, m_options.self, orderTimeout,
-        [this, engine, fencing, name = server.where.name](const engine_order_end &end) {
+    engine->claim(fencingToken, m_options.self, orderTimeout,
+        [this, engine, fencingToken, name = server.where.name](const engine_order_end &end) {
             tracked *found = answered(name);
             if (found == nullptr) {
                 return;
             }
             if (end.ok) {
-                gained(*found, fencing);
+                gained(*found, fencingToken);
                 return;
             }
             if (end.why.kind == error_kind::StaleFencing) {
-                found->lostTo = std::max(found->lostTo, end.fencing);
+                found->lostTo = std::max(found->lostTo, end.fencingToken);
                 found->outageClaim = false;
                 lose(*found);
             }
@@ -438,23 +439,23 @@
         });
 }
 
-void ownership_task::gained(tracked &server, std::uint64_t fencing)
+void ownership_task::gained(tracked &server, std::uint64_t fencingToken)
 {
     const millis now = bootNow();
     const bool again = server.active;
-    const bool first = server.previous.epoch == 0 && server.engine->fencing == 0;
+    const bool first = server.previous.epoch == 0 && server.engine->fencingToken == 0;
     const bool inOrder = server.previous.owner.empty();
     server_gained news;
     news.server = server.where;
-    news.fencing = fencing;
+    news.fencingToken = fencingToken;
     news.checksFencing = server.engine->checksFencing;
     if (!again) {
         server.previousOpen = !first && !inOrder;
-        server.mayEvictAt =
-            first ? now : firstEviction(now, longestDeadline(), inOrder, {server.previous.drainMs});
+        server.earliestEvictAt =
+            first ? now : earliestEvictionTime(now, longestDeadline(), inOrder, {server.previous.drainMs});
         if (!inOrder && news.checksFencing) {
             // The engine refuses the old owner from here on; what it admitted ends within its deadline.
-            server.mayEvictAt = now + longestDeadline();
+            server.earliestEvictAt = now + longestDeadline();
         }
         for (const std::string &text : server.previous.pinned) {
             const auto colon = text.rfind(':');
@@ -468,16 +469,16 @@
         }
     }
     if (!again) {
-        server.mayRunAt = firstRun(now, news.checksFencing, first || inOrder);
+        server.earliestRunAt = earliestRunTime(now, news.checksFencing, first || inOrder);
     }
-    news.mayRunAt = server.mayRunAt;
-    news.mayEvictAt = server.mayEvictAt;
+    news.earliestRunAt = server.earliestRunAt;
+    news.earliestEvictAt = server.earliestEvictAt;
     server.active = true;
     server.retake = false;
     server.releasing = false;
-    server.fencing = fencing;
-    server.outageClaim = server.outageClaim && epochOf(fencing) != server.record.epoch;
-    if (fencing == fencingOf(server.record.epoch) && mine(server.record)) {
+    server.fencingToken = fencingToken;
+    server.outageClaim = server.outageClaim && epochOf(fencingToken) != server.record.epoch;
+    if (fencingToken == fencingTokenOf(server.record.epoch) && mine(server.record)) {
         server.outageClaim = false;
     }
     m_bus.post(news);
@@ -501,8 +502,8 @@
     // The platform replaced or removed the instance, or it runs a newer process: the old process can neither
     // run nor wake up, so only what it had handed to the engine may still run.
     server.previousOpen = false;
-    server.mayEvictAt = std::min(server.mayEvictAt, bootNow() + longestDeadline());
-    m_bus.post(tenure_ended{server.where.name, server.mayEvictAt});
+    server.earliestEvictAt = std::min(server.earliestEvictAt, bootNow() + longestDeadline());
+    m_bus.post(predecessor_exited{server.where.name, server.earliestEvictAt});
 }
 
 void ownership_task::lose(tracked &server)
--- a/packages/coordination/ownership_task.h
+++ b/packages/coordination/ownership_task.h
@@ -53,13 +53,13 @@
         bool retake = false; ///< ours, but the epoch must rise before orders go on
         bool refence = false; ///< the engine restarted: our number has to be put there again
         bool releasing = false;
-        std::uint64_t fencing = 0; ///< the number we hold while active
+        std::uint64_t fencingToken = 0; ///< the number we hold while active
         bool outageClaim = false; ///< held by the engine's word only
         std::uint64_t lostTo = 0; ///< a higher number that the engine refused ours for
         owner_record previous; ///< whose tenure ours followed
         bool previousOpen = false; ///< it may still have something running
-        millis mayRunAt;
-        millis mayEvictAt;
+        millis earliestRunAt;
+        millis earliestEvictAt;
     };
 
     void onMembers(const members_changed &news);
@@ -83,8 +83,8 @@
     void readEngine(tracked &server);
     void takeOver(tracked &server);
     void claimOnEngine(tracked &server);
-    void putFence(tracked &server, std::uint64_t fencing);
-    void gained(tracked &server, std::uint64_t fencing);
+    void putFence(tracked &server, std::uint64_t fencingToken);
+    void gained(tracked &server, std::uint64_t fencingToken);
     void lose(tracked &server);
     void release(tracked &server);
     void watchOldTenure(tracked &server);
--- a/packages/daemon/admin_config.cpp
+++ b/packages/daemon/admin_config.cpp
@@ -31,7 +31,7 @@
     return value;
 }
 
-int statusOf(const submit_answer &answer)
+int statusOf(const submit_result &answer)
 {
     switch (answer.status) {
     case submit_status::Accepted:
@@ -46,7 +46,7 @@
     return 504;
 }
 
-void respondSubmit(http_reply &reply, const std::string &id, const submit_answer &answer)
+void respondSubmit(http_reply &reply, const std::string &id, const submit_result &answer)
 {
     if (answer.status == submit_status::Accepted) {
         respondJson(reply, 200, {{"version", answer.version}, {"id", id}, {"repeated", answer.repeated}});
@@ -84,7 +84,7 @@
         }
         return;
     }
-    m_configuration.submitPatch(*parsed, [reply, id = parsed->id](const submit_answer &answer) {
+    m_configuration.submitPatch(*parsed, [reply, id = parsed->id](const submit_result &answer) {
         respondSubmit(*reply, id, answer);
     });
 }
@@ -102,7 +102,7 @@
         reply->respond(200, {{"Content-Type", "application/json"}}, toJson(*at));
         return;
     }
-    m_configuration.atVersion(wanted, [reply](const config_ptr &found, const error &why) {
+    m_configuration.readVersion(wanted, [reply](const config_ptr &found, const error &why) {
         if (found) {
             reply->respond(200, {{"Content-Type", "application/json"}}, toJson(*found));
         } else {
--- a/packages/daemon/crash_records.cpp
+++ b/packages/daemon/crash_records.cpp
@@ -35,7 +35,7 @@
     , m_self(std::move(self))
 {
     m_bus.on<members_changed>([this](const members_changed &news) {
-        m_daemons = homesOf(news.members);
+        m_daemons = keyHomeCandidates(news.members);
     });
 }
 
--- a/packages/daemon/entry_admit.cpp
+++ b/packages/daemon/entry_admit.cpp
@@ -421,7 +421,7 @@
     end.status = status;
     end.contentType = one.answerType;
     end.answer = answerBody;
-    if (answerBody.size() > maxKeptAnswerBytes) {
+    if (answerBody.size() > maxStoredResponseBytes) {
         // Too long to keep: a repeat is told that the outcome is unknown rather than given an empty answer.
         end.result = outcome::Unknown;
         end.answer.clear();
--- a/packages/daemon/entry_task.cpp
+++ b/packages/daemon/entry_task.cpp
@@ -44,7 +44,7 @@
     });
     m_bus.on<members_changed>([this](const members_changed &news) {
         m_members = news.members;
-        m_daemons = homesOf(news.members);
+        m_daemons = keyHomeCandidates(news.members);
     });
     m_bus.on<live_list_changed>([this](const live_list_changed &news) {
         onLiveList(news.view);
@@ -61,7 +61,7 @@
     m_bus.on<received<key_verdict>>([this](const received<key_verdict> &news) {
         onKeyVerdict(news.from, news.body);
     });
-    m_bus.on<link_broken>([this](const link_broken &news) {
+    m_bus.on<peer_unreachable>([this](const peer_unreachable &news) {
         onBroken(news.peer);
     });
     m_timer = m_loop.timer({tickMs}, {tickMs}, [this] {
--- a/packages/daemon/peer_router.cpp
+++ b/packages/daemon/peer_router.cpp
@@ -31,7 +31,7 @@
                 m_link->closeOlder(name, found->second.incarnation);
             }
             if (gone || replaced) {
-                m_bus.post(link_broken{name});
+                m_bus.post(peer_unreachable{name});
             }
         }
         m_members = std::move(now);
@@ -43,7 +43,7 @@
         }
         const auto found = m_members.find(news.to);
         if (found == m_members.end() || !m_link->send(news.to, found->second.address, news.body)) {
-            m_bus.post(link_broken{news.to});
+            m_bus.post(peer_unreachable{news.to});
         }
     });
 }
@@ -67,7 +67,7 @@
         }
     };
     calls.onBroken = [this](const std::string &name) {
-        m_bus.post(link_broken{name});
+        m_bus.post(peer_unreachable{name});
     };
     return calls;
 }
--- a/packages/transport/engine_client.cpp
+++ b/packages/transport/engine_client.cpp
@@ -49,7 +49,7 @@
 {
     error_kind kind = error_kind::None; ///< None: no known code, so nothing is proved
     std::string code;
-    std::uint64_t fencing = 0;
+    std::uint64_t fencingToken = 0;
     millis retryAfter;
 };
 
@@ -114,7 +114,7 @@
         answer.contains("error") && answer["error"].is_object() ? answer["error"] : json::object();
     refusal read;
     read.code = textIn(problem, "code");
-    read.fencing = numberOf(problem, "fencing");
+    read.fencingToken = numberOf(problem, "fencing");
     read.retryAfter = retryAfterOf(result, problem);
     const auto row = std::find_if(refusalTable.begin(), refusalTable.end(), [&](const refusal_row &one) {
         return one.status == result.status && one.code == read.code;
@@ -213,14 +213,14 @@
     }
     const refusal read = readRefusal(result, result.body);
     if (read.kind != error_kind::None) {
-        return {false, true, {read.kind, url, read.code}, read.fencing};
+        return {false, true, {read.kind, url, read.code}, read.fencingToken};
     }
     return {false, !result.sent, reasonOf(result, url), 0};
 }
 
-std::string fencingHeader(std::uint64_t fencing)
+std::string fencingHeader(std::uint64_t fencingToken)
 {
-    return "X-Fencing-Token: " + std::to_string(fencing);
+    return "X-Fencing-Token: " + std::to_string(fencingToken);
 }
 
 http_call postTo(const std::string &url, std::string body, millis timeout)
@@ -310,7 +310,7 @@
     state.role = textIn(object, "role");
     state.leaving = flagIn(object, "leaving");
     state.checksFencing = flagIn(object, "checks_fencing");
-    state.fencing = numberOf(object, "fencing");
+    state.fencingToken = numberOf(object, "fencing");
     state.slots = static_cast<std::uint32_t>(numberOf(object, "slots"));
     state.batchLimit = static_cast<std::uint32_t>(numberOf(object, "batch_limit"));
     state.resident = adaptersIn(object, "resident");
@@ -322,7 +322,7 @@
 {
     engine_report report;
     report.asOfMs = static_cast<std::int64_t>(numberOf(object, "as_of_ms"));
-    report.fencing = numberOf(object, "fencing");
+    report.fencingToken = numberOf(object, "fencing");
     report.running = static_cast<std::uint32_t>(numberOf(object, "running"));
     report.queued = static_cast<std::uint32_t>(numberOf(object, "queued"));
     const auto counts = object.find("running_by_adapter");
@@ -389,40 +389,43 @@
     };
 }
 
-void engine_client::order(
-    const std::string &path, const std::string &body, std::uint64_t fencing, millis timeout, on_order done)
+void engine_client::order(const std::string &path, const std::string &body, std::uint64_t fencingToken,
+    millis timeout, on_order done)
 {
     http_call call = postTo(m_url + path, body, timeout);
-    call.headers.push_back(fencingHeader(fencing));
+    call.headers.push_back(fencingHeader(fencingToken));
     m_http.start(call, [url = call.url, tell = teller(), done = std::move(done)](const http_result &result) {
         tell(result, result.body);
         done(orderEndOf(result, url));
     });
 }
 
-void engine_client::claim(std::uint64_t fencing, const std::string &holder, millis timeout, on_order done)
+void engine_client::claim(
+    std::uint64_t fencingToken, const std::string &holder, millis timeout, on_order done)
 {
-    order("/v1/fence", json{{"holder", holder}}.dump(), fencing, timeout, std::move(done));
+    order("/v1/fence", json{{"holder", holder}}.dump(), fencingToken, timeout, std::move(done));
 }
 
-void engine_client::load(const adapter_ref &adapter, std::uint64_t fencing, millis timeout, on_order done)
+void engine_client::load(
+    const adapter_ref &adapter, std::uint64_t fencingToken, millis timeout, on_order done)
 {
     const std::string path = "store://" + adapter.adapter + '/' + std::to_string(adapter.version);
     const json body{{"lora_name", toString(adapter)}, {"lora_path", path}};
-    order("/v1/load_lora_adapter", body.dump(), fencing, timeout, std::move(done));
+    order("/v1/load_lora_adapter", body.dump(), fencingToken, timeout, std::move(done));
 }
 
-void engine_client::unload(const adapter_ref &adapter, std::uint64_t fencing, millis timeout, on_order done)
+void engine_client::unload(
+    const adapter_ref &adapter, std::uint64_t fencingToken, millis timeout, on_order done)
 {
     const json body{{"lora_name", toString(adapter)}};
-    order("/v1/unload_lora_adapter", body.dump(), fencing, timeout, std::move(done));
+    order("/v1/unload_lora_adapter", body.dump(), fencingToken, timeout, std::move(done));
 }
 
-void engine_client::role(const std::string &role, const std::string &baseModel, std::uint64_t fencing,
+void engine_client::role(const std::string &role, const std::string &baseModel, std::uint64_t fencingToken,
     millis timeout, on_order done)
 {
     const json body{{"role", role}, {"base_model", baseModel}};
-    order("/v1/role", body.dump(), fencing, timeout, std::move(done));
+    order("/v1/role", body.dump(), fencingToken, timeout, std::move(done));
 }
 
 void engine_client::state(
@@ -450,7 +453,7 @@
 {
     http_call call = postTo(m_url + request.path, request.body, request.deadline);
     call.headers.push_back("X-Request-Id: " + toString(request.id));
-    call.headers.push_back(fencingHeader(request.fencing));
+    call.headers.push_back(fencingHeader(request.fencingToken));
     call.headers.push_back("X-Priority: " + std::to_string(static_cast<int>(request.rank)));
     call.headers.push_back("X-Deadline-Ms: " + std::to_string(engineDeadline(call.timeout).count));
     if (!request.idempotent) {
--- a/packages/transport/engine_client.h
+++ b/packages/transport/engine_client.h
@@ -24,7 +24,7 @@
     std::string role; ///< "serving", "loading" or "idle"
     bool leaving = false;
     bool checksFencing = false;
-    std::uint64_t fencing = 0; ///< highest number seen
+    std::uint64_t fencingToken = 0; ///< highest number seen
     std::uint32_t slots = 0;
     std::uint32_t batchLimit = 0;
     std::vector<adapter_ref> resident;
@@ -36,7 +36,7 @@
 struct engine_report
 {
     std::int64_t asOfMs = 0; ///< engine's clock
-    std::uint64_t fencing = 0;
+    std::uint64_t fencingToken = 0;
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     std::vector<std::pair<adapter_ref, std::uint32_t>> runningByAdapter;
@@ -68,7 +68,7 @@
     std::string path; ///< "/v1/completions" or "/v1/chat/completions"
     std::string body; ///< JSON with "model" set to "adapter:version" and "stream": true
     request_id id;
-    std::uint64_t fencing = 0;
+    std::uint64_t fencingToken = 0;
     priority rank = priority::Normal;
     millis deadline; ///< left
     bool idempotent = true; ///< false: marked for the engine's own record by X-Non-Idempotent
@@ -88,7 +88,7 @@
     bool ok = false;
     bool certain = true;
     error why;
-    std::uint64_t fencing = 0; ///< the number the engine holds, when it said so
+    std::uint64_t fencingToken = 0; ///< the number the engine holds, when it said so
 };
 
 /// One backend server that is a model engine. Orders carry the fencing number; an engine that checks
@@ -106,14 +106,14 @@
 
     using on_order = std::function<void(const engine_order_end &)>;
     /// POST /v1/fence: puts a fencing number on the engine. Answered at once.
-    void claim(std::uint64_t fencing, const std::string &holder, millis timeout, on_order done);
+    void claim(std::uint64_t fencingToken, const std::string &holder, millis timeout, on_order done);
     /// POST /v1/load_lora_adapter {"lora_name", "lora_path"}; answers when loaded.
-    void load(const adapter_ref &adapter, std::uint64_t fencing, millis timeout, on_order done);
+    void load(const adapter_ref &adapter, std::uint64_t fencingToken, millis timeout, on_order done);
     /// POST /v1/unload_lora_adapter {"lora_name"}.
-    void unload(const adapter_ref &adapter, std::uint64_t fencing, millis timeout, on_order done);
+    void unload(const adapter_ref &adapter, std::uint64_t fencingToken, millis timeout, on_order done);
     /// POST /v1/role {"role", "base_model"}; answers at once, the base model loads afterwards.
-    void role(const std::string &role, const std::string &baseModel, std::uint64_t fencing, millis timeout,
-        on_order done);
+    void role(const std::string &role, const std::string &baseModel, std::uint64_t fencingToken,
+        millis timeout, on_order done);
     /// GET /v1/state.
     void state(millis timeout, std::function<void(const std::optional<engine_state> &, const error &)> done);
     /// GET /v1/report.
@@ -133,7 +133,7 @@
     void cancel(http_client::call_id call, const request_id &id, on_order done = {});
 
 private:
-    void order(const std::string &path, const std::string &body, std::uint64_t fencing, millis timeout,
+    void order(const std::string &path, const std::string &body, std::uint64_t fencingToken, millis timeout,
         on_order done);
 
     /// Hands on what a whole answer says; `body` as far as it was kept.
--- a/tests/failure/owner_guard_test.cpp
+++ b/tests/failure/owner_guard_test.cpp
@@ -100,10 +100,11 @@
         m_bus.post(live_list_changed{view});
     }
 
-    void gain(bool checksFencing, millis mayRunAt = {}, millis mayEvictAt = {},
+    void gain(bool checksFencing, millis earliestRunAt = {}, millis earliestEvictAt = {},
         std::vector<adapter_ref> pinned = {})
     {
-        m_bus.post(server_gained{m_where, ownNumber, checksFencing, mayRunAt, mayEvictAt, std::move(pinned)});
+        m_bus.post(server_gained{
+            m_where, ownNumber, checksFencing, earliestRunAt, earliestEvictAt, std::move(pinned)});
         settleFor(settle);
     }
 
@@ -402,7 +403,7 @@
 }
 
 // A server was taken over from an owner that may be paused, on an engine that ignores fencing numbers. Its
-// last unload may still arrive, so nothing is run before `mayRunAt`; the caller hears when to come back.
+// last unload may still arrive, so nothing is run before `earliestRunAt`; the caller hears when to come back.
 TEST_F(owner_guard_test, NothingRunsBeforeAnOldOwnersUnloadCanNoLongerArrive)
 {
     startEngine(false);
@@ -415,7 +416,7 @@
 }
 
 // The same, later: the old owner may still have streams on the engine, whose adapters a new owner can't tell.
-// It loads into free slots only until `mayEvictAt`; a request that finds none free hears so.
+// It loads into free slots only until `earliestEvictAt`; a request that finds none free hears so.
 TEST_F(owner_guard_test, NothingIsEvictedWhileAnOldTenureMayHaveStreams)
 {
     startEngine(false);
@@ -425,7 +426,7 @@
     ASSERT_TRUE(ended(newcomer));
     EXPECT_EQ(m_ends[newcomer].result, outcome::NotRun);
     EXPECT_TRUE(m_engine->recorded("unload").empty());
-    m_bus.post(tenure_ended{"e1", bootNow()});
+    m_bus.post(predecessor_exited{"e1", bootNow()});
     const auto later = ask("a1", 2);
     ASSERT_TRUE(ended(later));
     EXPECT_EQ(m_ends[later].result, outcome::Done);
@@ -467,7 +468,7 @@
     run.path = "/v1/completions";
     run.body = R"({"model":"a0:1","stream":true,"prompt":"x","max_tokens":400})";
     run.id = {"entry-3", 1, 1};
-    run.fencing = ownNumber - 1;
+    run.fencingToken = ownNumber - 1;
     run.deadline = testPatienceMs;
     bool began = false;
     std::vector<outcome> oldEnds;
--- a/tests/failure/ownership_guard_test.cpp
+++ b/tests/failure/ownership_guard_test.cpp
@@ -146,9 +146,10 @@
     ASSERT_TRUE(gained(1));
     engine_client old(m_orders, m_engine->url());
     std::optional<engine_order_end> got;
-    old.unload({"a0", 1}, fencingOf(deadOwner().epoch), testPatienceMs, [&](const engine_order_end &how) {
-        got = how;
-    });
+    old.unload(
+        {"a0", 1}, fencingTokenOf(deadOwner().epoch), testPatienceMs, [&](const engine_order_end &how) {
+            got = how;
+        });
     ASSERT_TRUE(runUntil(m_loop, [&] {
         return got.has_value();
     }));
@@ -165,7 +166,7 @@
     m_engine->setFaults({{"reset", true}});
     m_bus.post(engine_restarted{"e1"});
     ASSERT_TRUE(gained(2));
-    EXPECT_EQ(m_engine->state()["fencing"].get<std::uint64_t>(), m_gained.front().fencing);
+    EXPECT_EQ(m_engine->state()["fencing"].get<std::uint64_t>(), m_gained.front().fencingToken);
 }
 
 // An owner's session lapses unseen while it is paused; no peer has come between. Going on under the old epoch
@@ -179,7 +180,7 @@
     dropSession();
     ASSERT_TRUE(gained(2));
     EXPECT_GT(record().epoch, before);
-    EXPECT_GT(m_gained.back().fencing, m_gained.front().fencing);
+    EXPECT_GT(m_gained.back().fencingToken, m_gained.front().fencingToken);
 }
 
 // The same, but a peer has taken the server over by the time the owner notices. The old owner must give it
@@ -250,8 +251,8 @@
     startTask();
     const millis before = bootNow();
     ASSERT_TRUE(gained(1));
-    EXPECT_GE(m_gained.front().mayRunAt, before + millis{orderLifeMs});
-    EXPECT_GE(m_gained.front().mayEvictAt, before + millis{lapsedGraceMs});
+    EXPECT_GE(m_gained.front().earliestRunAt, before + millis{maxOrderLatencyMs});
+    EXPECT_GE(m_gained.front().earliestEvictAt, before + millis{leaseExpiryGraceMs});
 }
 
 // An owner is cut from the key-value service, and an eviction of its is on its way when its lease ends. The
@@ -274,9 +275,10 @@
     m_engine->setFaults({{"hold", "/v1/unload_lora_adapter"}});
     engine_client engine(guarded, m_engine->url());
     std::optional<engine_order_end> got;
-    engine.unload({"a0", 1}, m_gained.front().fencing, millis{600'000}, [&](const engine_order_end &how) {
-        got = how;
-    });
+    engine.unload(
+        {"a0", 1}, m_gained.front().fencingToken, millis{600'000}, [&](const engine_order_end &how) {
+            got = how;
+        });
     EXPECT_TRUE(runUntil(m_loop, [&] {
         return got.has_value();
     }));
@@ -294,7 +296,7 @@
 {
     start(true);
     write(recordKey, toJson(deadOwner()));
-    const std::uint64_t old = fencingOf(deadOwner().epoch);
+    const std::uint64_t old = fencingTokenOf(deadOwner().epoch);
     engine_client engine(m_orders, m_engine->url());
     std::optional<engine_order_end> claimed;
     engine.claim(old, deadOwner().owner, testPatienceMs, [&](const engine_order_end &how) {
@@ -306,8 +308,8 @@
     m_service->setFaults({kv_down::Refuse});
     startTask();
     ASSERT_TRUE(gained(1));
-    EXPECT_GT(m_gained.front().fencing, old);
-    EXPECT_EQ(epochOf(m_gained.front().fencing), deadOwner().epoch);
+    EXPECT_GT(m_gained.front().fencingToken, old);
+    EXPECT_EQ(epochOf(m_gained.front().fencingToken), deadOwner().epoch);
     m_service->setFaults({});
     ASSERT_TRUE(gained(2)) << "the record follows";
     EXPECT_GT(record().epoch, deadOwner().epoch);
--- a/tests/standins/engine_batch.h
+++ b/tests/standins/engine_batch.h
@@ -33,7 +33,7 @@
     std::string ran; ///< adapter and version it runs on
     std::string promptHash;
     std::uint64_t prefix = 0; ///< hash of the prompt's head
-    std::uint64_t fencing = 0;
+    std::uint64_t fencingToken = 0;
     std::uint32_t rank = 0;
     bool nonIdempotent = false;
     bool chat = false;
--- a/tests/standins/engine_standin.cpp
+++ b/tests/standins/engine_standin.cpp
@@ -286,7 +286,7 @@
     run->ran = m_runAs.empty() ? run->asked : m_runAs;
     run->promptHash = standinPromptHash(body);
     run->prefix = standinPrefix(body);
-    run->fencing = numberOf(headerOf(request, "x-fencing-token"));
+    run->fencingToken = numberOf(headerOf(request, "x-fencing-token"));
     run->rank = static_cast<std::uint32_t>(
         std::min(numberOf(headerOf(request, "x-priority"), lowestRank - 1), lowestRank));
     run->nonIdempotent = !headerOf(request, "x-non-idempotent").empty();
@@ -338,7 +338,7 @@
     }
     note(run.started.count > 0 ? "run" : "withdrawn",
         {{"request_id", run.requestId}, {"model", run.asked}, {"ran", run.ran}, {"prompt", run.promptHash},
-            {"fencing", run.fencing}, {"priority", run.rank}, {"non_idempotent", run.nonIdempotent},
+            {"fencing", run.fencingToken}, {"priority", run.rank}, {"non_idempotent", run.nonIdempotent},
             {"accepted_ms", run.accepted.count}, {"start_ms", run.started.count}, {"end_ms", bootNow().count},
             {"tokens", run.made}, {"how", how}});
 }
@@ -423,11 +423,11 @@
     beginLoad(adapter, reply, numberOf(headerOf(request, "x-fencing-token")));
 }
 
-void engine_standin::beginLoad(const std::string &adapter, const reply_ptr &reply, std::uint64_t fencing)
+void engine_standin::beginLoad(const std::string &adapter, const reply_ptr &reply, std::uint64_t fencingToken)
 {
     adapter_load &load = m_loads[adapter];
     load.waiting.push_back(reply);
-    load.fencing = fencing;
+    load.fencingToken = fencingToken;
     load.begun = bootNow();
     if (m_store == nullptr) {
         endLoad(adapter, true);
@@ -446,7 +446,7 @@
     const bool fails = !ok || m_failLoads > 0;
     m_failLoads -= m_failLoads > 0 ? 1 : 0;
     note("load",
-        {{"adapter", adapter}, {"fencing", load.fencing}, {"begun_ms", load.begun.count},
+        {{"adapter", adapter}, {"fencing", load.fencingToken}, {"begun_ms", load.begun.count},
             {"result", fails ? "load_failed" : "loaded"}});
     if (!fails) {
         m_resident.insert(adapter);
@@ -472,7 +472,7 @@
     for (const auto &[adapter, load] : std::exchange(m_loads, {})) {
         cancelLoad(load);
         note("load",
-            {{"adapter", adapter}, {"fencing", load.fencing}, {"begun_ms", load.begun.count},
+            {{"adapter", adapter}, {"fencing", load.fencingToken}, {"begun_ms", load.begun.count},
                 {"result", "aborted"}});
         for (const reply_ptr &reply : load.waiting) {
             reply->abort();
--- a/tests/standins/engine_standin.h
+++ b/tests/standins/engine_standin.h
@@ -61,7 +61,7 @@
     struct adapter_load
     {
         std::vector<reply_ptr> waiting;
-        std::uint64_t fencing = 0;
+        std::uint64_t fencingToken = 0;
         millis begun;
         weight_store_standin::load_id id = 0;
     };
@@ -85,7 +85,7 @@
     bool takesFencing(const http_request &request, const reply_ptr &reply, std::string_view order);
     std::string_view whyNotRun(const std::string &model) const;
     void refuse(const http_request &request, const reply_ptr &reply, int status, std::string_view code);
-    void beginLoad(const std::string &adapter, const reply_ptr &reply, std::uint64_t fencing);
+    void beginLoad(const std::string &adapter, const reply_ptr &reply, std::uint64_t fencingToken);
     void endLoad(const std::string &adapter, bool ok);
     void cancelLoad(const adapter_load &load);
     void abortLoads();
--- a/tests/unit/config_task_test.cpp
+++ b/tests/unit/config_task_test.cpp
@@ -128,19 +128,19 @@
         to.messages.post(news);
     }
 
-    submit_answer submit(node &to, const config_patch &patch)
+    submit_result submit(node &to, const config_patch &patch)
     {
-        std::optional<submit_answer> answer;
-        to.task.submitPatch(patch, [&answer](const submit_answer &given) {
+        std::optional<submit_result> answer;
+        to.task.submitPatch(patch, [&answer](const submit_result &given) {
             answer = given;
         });
         EXPECT_TRUE(runUntil(m_loop, [&answer] {
             return answer.has_value();
         }));
-        return answer.value_or(submit_answer{});
+        return answer.value_or(submit_result{});
     }
 
-    submit_answer submitNext(node &to, const std::string &id)
+    submit_result submitNext(node &to, const std::string &id)
     {
         const auto base = to.version();
         return submit(to, patchOf(base, id, adapterSet("a" + std::to_string(base % 5), 1)));
@@ -213,8 +213,8 @@
 {
     auto &one = start("zg-1");
     auto &two = start("zg-2");
-    std::vector<submit_answer> answers;
-    const auto collect = [&answers](const submit_answer &given) {
+    std::vector<submit_result> answers;
+    const auto collect = [&answers](const submit_result &given) {
         answers.push_back(given);
     };
     one.task.submitPatch(patchOf(0, "x", adapterSet("x", 1)), collect);
@@ -222,7 +222,7 @@
     ASSERT_TRUE(runUntil(m_loop, [&answers] {
         return answers.size() == 2;
     }));
-    const auto accepted = std::ranges::count(answers, submit_status::Accepted, &submit_answer::status);
+    const auto accepted = std::ranges::count(answers, submit_status::Accepted, &submit_result::status);
     ASSERT_EQ(accepted, 1);
     const auto &loser = answers[answers[0].status == submit_status::Accepted ? 1 : 0];
     EXPECT_EQ(loser.status, submit_status::Refused);
@@ -280,9 +280,9 @@
     auto &one = start("zg-1");
     ASSERT_TRUE(reaches(one, 0));
     m_kv->setFaults({.loseAnswers = 1});
-    std::optional<submit_answer> answer;
+    std::optional<submit_result> answer;
     const auto patch = patchOf(0, "p1", adapterSet("x", 1));
-    one.task.submitPatch(patch, [&answer](const submit_answer &given) {
+    one.task.submitPatch(patch, [&answer](const submit_result &given) {
         answer = given;
     });
     ASSERT_TRUE(runUntil(m_loop, [this] {
@@ -439,7 +439,7 @@
     m_gone.swap(m_nodes);
     auto &fresh = start("zg-2", empty->url());
     ASSERT_TRUE(reaches(fresh, 0));
-    fresh.messages.post(version_heard{"zg-1", 1});
+    fresh.messages.post(peer_version_seen{"zg-1", 1});
     const auto early = submit(fresh, patchOf(0, "p2", adapterSet("x", 1)));
     EXPECT_EQ(early.status, submit_status::NotRun);
     EXPECT_EQ(early.why.kind, error_kind::NotReady);
@@ -471,7 +471,7 @@
         const auto patch =
             patchOf(which.version(), id, adapterSet(which.name, static_cast<std::uint32_t>(tries)));
         ++open;
-        which.task.submitPatch(patch, [&, id](const submit_answer &answer) {
+        which.task.submitPatch(patch, [&, id](const submit_result &answer) {
             --open;
             EXPECT_NE(answer.status, submit_status::Unknown) << message(answer.why);
             if (answer.status == submit_status::Accepted) {
--- a/tests/unit/engine_test.cpp
+++ b/tests/unit/engine_test.cpp
@@ -66,26 +66,26 @@
         }));
         return got.value_or(engine_order_end{});
     }
-    engine_order_end claim(std::uint64_t fencing)
+    engine_order_end claim(std::uint64_t fencingToken)
     {
         return wait([&](auto done) {
-            m_client->claim(fencing, "entry-1", longTimeout, done);
+            m_client->claim(fencingToken, "entry-1", longTimeout, done);
         });
     }
-    engine_order_end load(const adapter_ref &adapter, std::uint64_t fencing)
+    engine_order_end load(const adapter_ref &adapter, std::uint64_t fencingToken)
     {
         return wait([&](auto done) {
-            m_client->load(adapter, fencing, longTimeout, done);
+            m_client->load(adapter, fencingToken, longTimeout, done);
         });
     }
-    engine_order_end unload(const adapter_ref &adapter, std::uint64_t fencing)
+    engine_order_end unload(const adapter_ref &adapter, std::uint64_t fencingToken)
     {
         return wait([&](auto done) {
-            m_client->unload(adapter, fencing, longTimeout, done);
+            m_client->unload(adapter, fencingToken, longTimeout, done);
         });
     }
 
-    engine_run request(const adapter_ref &adapter, std::uint64_t fencing)
+    engine_run request(const adapter_ref &adapter, std::uint64_t fencingToken)
     {
         engine_run run;
         run.path = "/v1/completions";
@@ -93,7 +93,7 @@
             {"max_tokens",
                 5}}.dump();
         run.id = {"entry-1", 7, ++m_sequence};
-        run.fencing = fencing;
+        run.fencingToken = fencingToken;
         run.deadline = longTimeout;
         return run;
     }
@@ -353,7 +353,7 @@
     EXPECT_FALSE(end.ok);
     EXPECT_TRUE(end.certain);
     EXPECT_EQ(end.why.kind, error_kind::StaleFencing);
-    EXPECT_EQ(end.fencing, 6U);
+    EXPECT_EQ(end.fencingToken, 6U);
     EXPECT_EQ(m_engine->state()["resident"], json::array({"syllabus:3"}));
 }
 
@@ -434,9 +434,9 @@
     }));
     EXPECT_EQ(state->resident, (std::vector{galley, syllabus}));
     EXPECT_EQ(state->role, "serving");
-    EXPECT_EQ(state->fencing, 9U);
+    EXPECT_EQ(state->fencingToken, 9U);
     EXPECT_TRUE(state->checksFencing);
-    EXPECT_EQ(report->fencing, 9U);
+    EXPECT_EQ(report->fencingToken, 9U);
     EXPECT_EQ(report->running, 0U);
     // The second event is lost, and the next sequence shows the gap.
     EXPECT_EQ(events->next, 3U);
--- a/tests/unit/key_journal_test.cpp
+++ b/tests/unit/key_journal_test.cpp
@@ -104,7 +104,7 @@
 {
     key_journal journal;
     beginKey(journal, begin(1), {5'000});
-    finishKey(journal, finish(1, outcome::Done, std::string(maxKeptAnswerBytes + 1, 'x')), {5'001});
+    finishKey(journal, finish(1, outcome::Done, std::string(maxStoredResponseBytes + 1, 'x')), {5'001});
     EXPECT_EQ(beginKey(journal, begin(2, 2), {5'002}).state, key_state::Started);
 }
 
--- a/tests/unit/membership_task_test.cpp
+++ b/tests/unit/membership_task_test.cpp
@@ -18,7 +18,7 @@
     std::unique_ptr<membership_task> task;
     std::vector<members_changed> members;
     std::vector<live_list_changed> lists;
-    std::vector<version_heard> versions;
+    std::vector<peer_version_seen> versions;
 
     task_daemon(loop &events, const std::string &name, std::uint16_t listPort)
         : messages(events)
@@ -31,7 +31,7 @@
         messages.on<live_list_changed>([this](const live_list_changed &news) {
             lists.push_back(news);
         });
-        messages.on<version_heard>([this](const version_heard &news) {
+        messages.on<peer_version_seen>([this](const peer_version_seen &news) {
             versions.push_back(news);
         });
         error why;
@@ -78,7 +78,7 @@
         return a.seen() == "a:alive b:alive " && b.seen() == "a:alive b:alive "
             && a.members.back().members.back().incarnation == 1;
     }));
-    a.messages.post(version_news{9});
+    a.messages.post(announce_version{9});
     ASSERT_TRUE(runUntil(events, [&] {
         return !b.versions.empty();
     }));
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -106,7 +106,7 @@
             if (!receiver.runs || receiver.cutOff != nodes[from].cutOff) {
                 continue;
             }
-            std::optional<version_heard> heard;
+            std::optional<peer_version_seen> heard;
             const peer_address source = nodes[from].state.self.address;
             post(to, handle(receiver.state, source, what.datagram, now, heard));
             if (heard) {
@@ -259,7 +259,7 @@
     membership woken = old;
     const std::vector<outgoing> late = tick(woken, fleet.now);
     ASSERT_FALSE(late.empty());
-    std::optional<version_heard> heard;
+    std::optional<peer_version_seen> heard;
     EXPECT_TRUE(
         handle(fleet.nodes[0].state, {"127.0.0.1", 5}, late.front().datagram, fleet.now, heard).empty());
     fleet.post(4, leave(woken));
@@ -432,7 +432,7 @@
     tick(state, fleet.now);
     const seal_keys keys{};
     const auto bytesOf = [&](std::uint64_t sequence) {
-        std::optional<version_heard> heard;
+        std::optional<peer_version_seen> heard;
         peer_datagram ping{probe_kind::Ping, test_fleet::nameAt(1), firstIncarnation, sequence};
         const auto acks = handle(state, {"127.0.0.1", 9}, ping, fleet.now, heard);
         return sealDatagram(keys, encode(acks.front().datagram)).size() + packetHeadBytes;
@@ -443,7 +443,7 @@
     for (std::uint64_t i = 2; i < 500; ++i) {
         const peer_datagram news{probe_kind::Notice, test_fleet::nameAt(1), firstIncarnation, 0, "", 0,
             {{test_fleet::nameAt(i), firstIncarnation + i, peer_state::Suspect, 3}}};
-        std::optional<version_heard> heard;
+        std::optional<peer_version_seen> heard;
         handle(state, {"127.0.0.1", 9}, news, fleet.now, heard);
         full = std::max(full, bytesOf(1'000'000 + i));
     }
--- a/tests/unit/ownership_test.cpp
+++ b/tests/unit/ownership_test.cpp
@@ -51,8 +51,8 @@
     std::pair<millis, millis> allowed(const daemon &one, order_kind kind, millis until) const
     {
         const millis from = std::max(now, kind == order_kind::Evict ? one.evictsFrom : one.runsFrom);
-        const bool pastLease = mayOrder(kind, false, one.tenureLease, one.tenureLease);
-        const millis last = pastLease ? one.tenureLease + millis{lapsedGraceMs} : one.tenureLease;
+        const bool pastLease = isOrderAllowed(kind, false, one.tenureLease, one.tenureLease);
+        const millis last = pastLease ? one.tenureLease + millis{leaseExpiryGraceMs} : one.tenureLease;
         return {from, one.owns ? std::min(until, last) : never};
     }
 
@@ -62,11 +62,11 @@
         for (daemon &one : daemons) {
             const auto [runFrom, runTo] = allowed(one, order_kind::Run, until);
             if (runFrom < runTo) {
-                one.runsEnd = runTo + millis{orderLifeMs} + maxDeadline;
+                one.runsEnd = runTo + millis{maxOrderLatencyMs} + maxDeadline;
             }
             const auto [evictFrom, evictTo] = allowed(one, order_kind::Evict, until);
             if (evictFrom < evictTo) {
-                one.unloadsEnd = evictTo + millis{orderLifeMs};
+                one.unloadsEnd = evictTo + millis{maxOrderLatencyMs};
             }
         }
         for (const daemon &one : daemons) {
@@ -124,8 +124,9 @@
             return; // the swap fails
         }
         if (step == ownership_step::Release && one.owns) {
-            const millis streamsEnd = now + millis{orderLifeMs} + maxDeadline;
-            record = {.epoch = record.epoch, .drainMs = releaseDrain(now, streamsEnd, one.evictsFrom).count};
+            const millis streamsEnd = now + millis{maxOrderLatencyMs} + maxDeadline;
+            record = {
+                .epoch = record.epoch, .drainMs = drainAtRelease(now, streamsEnd, one.evictsFrom).count};
             one.owns = false;
             one.unloadsEnd = never; // a release in order waits for the answers to unloads
             ++revision;
@@ -133,8 +134,8 @@
         if (step == ownership_step::TakeOver) {
             const bool inOrder = record.owner.empty();
             if (!one.view.holderMine) {
-                one.runsFrom = firstRun(now, false, inOrder);
-                one.evictsFrom = firstEviction(now, maxDeadline, inOrder, {record.drainMs});
+                one.runsFrom = earliestRunTime(now, false, inOrder);
+                one.evictsFrom = earliestEvictionTime(now, maxDeadline, inOrder, {record.drainMs});
             }
             record = {.owner = one.name, .epoch = record.epoch + 1};
             recordSession = one.session;
@@ -247,13 +248,13 @@
     (std::uint32_t epoch, std::uint8_t round, const std::string &instance))
 {
     const std::uint64_t seen =
-        fencingOf(epoch) | (std::uint64_t{round} << 16) | *rc::gen::inRange(0, 0x10000);
-    const auto claim = outageFencing(seen, instance);
+        fencingTokenOf(epoch) | (std::uint64_t{round} << 16) | *rc::gen::inRange(0, 0x10000);
+    const auto claim = outageFencingToken(seen, instance);
     RC_ASSERT(claim.has_value() == (round < 255));
     if (claim) {
         RC_ASSERT(*claim > seen);
-        RC_ASSERT(*claim < fencingOf(std::uint64_t{epoch} + 1));
-        RC_ASSERT(outageFencing(seen, instance + "x") != claim);
+        RC_ASSERT(*claim < fencingTokenOf(std::uint64_t{epoch} + 1));
+        RC_ASSERT(outageFencingToken(seen, instance + "x") != claim);
     }
 }
 
