--- a/packages/coordination/membership.cpp
+++ b/packages/coordination/membership.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr std::size_t constantIntervalMembers = 200;
+constexpr std::size_t maxConstantIntervalMembers = 200;
 constexpr double intervalGrowth = 0.4; ///< for each tenfold size above that
-constexpr std::uint32_t enoughHeard = 3; ///< members that must speak before their domain is taken back
-constexpr std::size_t maxRelays = 16; ///< probes for others at a time
-constexpr std::uint32_t leaveFanoutFactor = 2; ///< leaving is told to more peers at once than a version
-constexpr std::int64_t ticksPerInterval = 5;
+constexpr std::uint32_t minMembersSeen = 3; ///< members that must be seen before a dead domain is alive again
+constexpr std::size_t maxRelays = 16; ///< open probes on behalf of other peers
+constexpr std::uint32_t leaveFanoutFactor = 2; ///< leaving is announced to more peers at once than a version
+constexpr std::int64_t ticksPerProbeInterval = 5;
 
 using probe = membership::probe;
 
@@ -33,7 +33,7 @@
     return probeIntervalFor(state.tuning, fleetSize(state));
 }
 
-millis times(millis span, double factor)
+millis scaled(millis span, double factor)
 {
     return {std::llround(static_cast<double>(span.count) * factor)};
 }
@@ -46,18 +46,18 @@
 
 bool isDead(const peer_entry &entry)
 {
-    return entry.who.state == peer_state::Dead;
+    return entry.info.state == peer_state::Dead;
 }
 
-/// Takes over what follows from the parts of an entry; `changed` tells whether others see a difference.
-void refresh(membership &state, peer_entry &entry)
+/// Recomputes an entry's state from its parts; sets `changed` where the result differs.
+void updateState(membership &state, peer_entry &entry)
 {
-    peer_state seen = std::max(entry.health, entry.domainHealth);
-    if (seen != peer_state::Dead && (entry.leaving || entry.listLeaving)) {
-        seen = peer_state::Leaving;
+    peer_state combined = std::max(entry.health, entry.domainHealth);
+    if (combined != peer_state::Dead && (entry.leaving || entry.listLeaving)) {
+        combined = peer_state::Leaving;
     }
-    if (seen != entry.who.state) {
-        entry.who.state = seen;
+    if (combined != entry.info.state) {
+        entry.info.state = combined;
         state.changed = true;
     }
 }
@@ -70,20 +70,20 @@
     }
     if (health == peer_state::Dead) {
         entry.deadSince = now;
-        endIntroduction(state, entry.who.name);
+        removeIntroduction(state, entry.info.name);
     }
-    refresh(state, entry);
+    updateState(state, entry);
 }
 
-// A higher incarnation is a new process: nothing that was known of the old one holds for it. Where none
-// was known, its domain's silence still speaks against it until it is heard.
-void takeIncarnation(membership &state, peer_entry &entry, std::uint64_t incarnation, millis now)
+// A higher incarnation is a new process, so nothing known about the old one holds for it. A peer whose
+// incarnation was unknown keeps its domain's health until a datagram from it arrives.
+void applyIncarnation(membership &state, peer_entry &entry, std::uint64_t incarnation, millis now)
 {
-    if (entry.who.incarnation != 0) {
+    if (entry.info.incarnation != 0) {
         entry.domainHealth = peer_state::Alive;
     }
-    entry.who.incarnation = incarnation;
-    entry.who.configVersion = 0;
+    entry.info.incarnation = incarnation;
+    entry.info.configVersion = 0;
     entry.refutation = 0;
     entry.leaving = false;
     state.changed = true;
@@ -93,37 +93,38 @@
 peer_entry &addPeer(membership &state, const std::string &name)
 {
     peer_entry &entry = state.peers[name];
-    entry.who.name = name;
+    entry.info.name = name;
     state.changed = true;
-    const std::size_t left = state.probeOrder.size() - std::min(state.probeNext, state.probeOrder.size());
-    const std::size_t at = state.probeOrder.size() - left + state.random() % (left + 1);
-    state.probeOrder.insert(state.probeOrder.begin() + static_cast<std::ptrdiff_t>(at), name);
+    const std::size_t remaining =
+        state.probeOrder.size() - std::min(state.probeNext, state.probeOrder.size());
+    const std::size_t position = state.probeOrder.size() - remaining + state.random() % (remaining + 1);
+    state.probeOrder.insert(state.probeOrder.begin() + static_cast<std::ptrdiff_t>(position), name);
     return entry;
 }
 
 // ---- facts
 
-/// Merges a fact of the entry's own incarnation. True when it was news.
+/// Merges a fact of the entry's own incarnation. Returns whether it changed what is known of the peer.
 bool mergeFact(membership &state, peer_entry &entry, const peer_fact &fact, millis now)
 {
     const bool refuted = fact.refutation > entry.refutation;
-    bool news = false;
+    bool isNew = false;
     switch (fact.state) {
     case peer_state::Alive:
-        news = refuted;
+        isNew = refuted;
         break;
     case peer_state::Leaving:
-        news = refuted || !entry.leaving;
+        isNew = refuted || !entry.leaving;
         entry.leaving = true;
         break;
     case peer_state::Suspect:
-        news = refuted || (fact.refutation == entry.refutation && entry.health == peer_state::Alive);
+        isNew = refuted || (fact.refutation == entry.refutation && entry.health == peer_state::Alive);
         break;
     case peer_state::Dead:
-        news = refuted || (fact.refutation == entry.refutation && entry.health != peer_state::Dead);
+        isNew = refuted || (fact.refutation == entry.refutation && entry.health != peer_state::Dead);
         break;
     }
-    if (!news) {
+    if (!isNew) {
         return false;
     }
     entry.refutation = std::max(entry.refutation, fact.refutation);
@@ -133,17 +134,17 @@
         entry.domainHealth = peer_state::Alive;
         setHealth(state, entry, peer_state::Alive, now);
     }
-    refresh(state, entry);
+    updateState(state, entry);
     return true;
 }
 
-bool accuses(const peer_fact &fact)
+bool isAccusation(const peer_fact &fact)
 {
     return fact.state == peer_state::Suspect || fact.state == peer_state::Dead;
 }
 
-// A process that was paused or cut off finds itself suspected, or dead, in the eyes of others; only a
-// higher refutation makes them take it back. Its incarnation stays: it is the same process.
+// A process that was paused or disconnected learns that others consider it suspect or dead; only a higher
+// refutation makes them consider it alive again. Its incarnation stays: it is the same process.
 void refute(membership &state, const peer_fact &fact)
 {
     if (fact.incarnation != state.self.incarnation || fact.refutation < state.refutation) {
@@ -151,12 +152,13 @@
     }
     state.refutation = fact.refutation + 1;
     const peer_state own = state.selfLeaving ? peer_state::Leaving : peer_state::Alive;
-    spread(state, {state.self.name, state.self.incarnation, own, state.refutation});
+    queueFact(state, {state.self.name, state.self.incarnation, own, state.refutation});
 }
 
 bool isRefuted(const peer_entry &entry, const peer_fact &fact)
 {
-    return accuses(fact) && fact.incarnation == entry.who.incarnation && fact.refutation < entry.refutation;
+    return isAccusation(fact) && fact.incarnation == entry.info.incarnation
+        && fact.refutation < entry.refutation;
 }
 
 void applyFact(membership &state, const peer_fact &fact, millis now)
@@ -165,35 +167,36 @@
     if (entry == nullptr) {
         return;
     }
-    if (fact.incarnation < entry->who.incarnation || isRefuted(*entry, fact)) {
-        // The peer's process, or its refutation, is not known to the sender, and its gossip may have ended.
-        spreadAgain(state, factOf(*entry));
+    if (fact.incarnation < entry->info.incarnation || isRefuted(*entry, fact)) {
+        // The sender doesn't know the peer's current process or refutation, and its gossip may have ended.
+        queueFactIfAbsent(state, factOf(*entry));
         return;
     }
-    const bool firstHeard = entry->who.incarnation == 0;
-    const bool newer = fact.incarnation > entry->who.incarnation;
+    const bool wasUnknown = entry->info.incarnation == 0;
+    const bool newer = fact.incarnation > entry->info.incarnation;
     if (newer) {
-        takeIncarnation(state, *entry, fact.incarnation, now);
+        applyIncarnation(state, *entry, fact.incarnation, now);
     }
-    if (accuses(fact) && entry->domainHealth != peer_state::Alive) {
+    if (isAccusation(fact) && entry->domainHealth != peer_state::Alive) {
         return;
     }
-    const bool news = mergeFact(state, *entry, fact, now);
-    // When a whole fleet starts, everybody hears of everybody; passing that on would crowd out the rest.
-    const bool worthTelling = newer ? !firstHeard || fact.state != peer_state::Alive : news;
-    if (worthTelling) {
-        spread(state, factOf(*entry));
+    const bool isNew = mergeFact(state, *entry, fact, now);
+    // When a whole fleet starts, each daemon learns of every other one at once; gossiping all of that would
+    // crowd out other facts.
+    const bool shouldSpread = newer ? !wasUnknown || fact.state != peer_state::Alive : isNew;
+    if (shouldSpread) {
+        queueFact(state, factOf(*entry));
     }
 }
 
-/// True when one of them accuses this daemon.
-bool takeFacts(membership &state, const std::vector<peer_fact> &facts, millis now)
+/// Returns whether one of the facts says that this daemon is suspect or dead.
+bool applyFacts(membership &state, const std::vector<peer_fact> &facts, millis now)
 {
     bool accused = false;
     for (const peer_fact &fact : facts) {
         if (fact.name != state.self.name) {
             applyFact(state, fact, now);
-        } else if (accuses(fact)) {
+        } else if (isAccusation(fact)) {
             refute(state, fact);
             accused = true;
         }
@@ -201,141 +204,144 @@
     return accused;
 }
 
-// ---- signs of life
+// ---- datagrams as evidence that a peer is alive
 
-/// Sets what is concluded of all members of a domain of which `from` was concluded.
-void judgeDomain(membership &state, const std::string &domain, peer_state from, peer_state to, millis now)
+/// Changes domainHealth from `oldHealth` to `newHealth` for all members of a domain.
+void setDomainHealth(
+    membership &state, const std::string &domain, peer_state oldHealth, peer_state newHealth, millis now)
 {
     for (auto &[name, entry] : state.peers) {
-        if (entry.who.failureDomain == domain && entry.domainHealth == from) {
-            entry.domainHealth = to;
-            entry.deadSince = to == peer_state::Dead ? now : entry.deadSince;
-            refresh(state, entry);
+        if (entry.info.failureDomain == domain && entry.domainHealth == oldHealth) {
+            entry.domainHealth = newHealth;
+            entry.deadSince = newHealth == peer_state::Dead ? now : entry.deadSince;
+            updateState(state, entry);
         }
     }
 }
 
-// A member of a domain that was held to be lost speaks. It is taken back, and with it the others if most
-// of them prove to be there: the domain was cut off for a while. Where only a few outlived the loss the
-// rest stays dead; else each survivor would bring all the dead back.
-void reviewLostDomain(membership &state, peer_entry &heard, millis now)
+// Handles a datagram from a member of a domain that is considered dead. The member is alive again, and so
+// are the others once enough members were seen compared with failed probes: the domain was only disconnected.
+// Where only a few survived, the rest stay dead; otherwise each survivor would revive all the dead.
+void reviewLostDomain(membership &state, peer_entry &entry, millis now)
 {
-    heard.domainHealth = peer_state::Alive;
-    refresh(state, heard);
-    const std::string domain = heard.who.failureDomain;
-    domain_evidence &evidence = state.silentDomains[domain];
-    evidence.failed = evidence.heard == 0 ? 0 : evidence.failed;
-    ++evidence.heard;
-    if (evidence.heard >= enoughHeard && evidence.heard > 2 * evidence.failed) {
-        state.silentDomains.erase(domain);
-        judgeDomain(state, domain, peer_state::Dead, peer_state::Alive, now);
+    entry.domainHealth = peer_state::Alive;
+    updateState(state, entry);
+    const std::string domain = entry.info.failureDomain;
+    domain_evidence &evidence = state.domainEvidence[domain];
+    evidence.failedProbes = evidence.membersSeen == 0 ? 0 : evidence.failedProbes;
+    ++evidence.membersSeen;
+    if (evidence.membersSeen >= minMembersSeen && evidence.membersSeen > 2 * evidence.failedProbes) {
+        state.domainEvidence.erase(domain);
+        setDomainHealth(state, domain, peer_state::Dead, peer_state::Alive, now);
     }
 }
 
-void markHeard(membership &state, peer_entry &entry, millis now)
+void markSeen(membership &state, peer_entry &entry, millis now)
 {
-    entry.heardAt = now;
+    entry.lastSeenAt = now;
     if (entry.domainHealth == peer_state::Suspect) {
-        const std::string domain = entry.who.failureDomain;
-        state.silentDomains.erase(domain);
-        judgeDomain(state, domain, peer_state::Suspect, peer_state::Alive, now);
+        const std::string domain = entry.info.failureDomain;
+        state.domainEvidence.erase(domain);
+        setDomainHealth(state, domain, peer_state::Suspect, peer_state::Alive, now);
     } else if (entry.domainHealth == peer_state::Dead) {
         reviewLostDomain(state, entry, now);
     }
 }
 
-/// Takes what a datagram tells of its sender by its mere arrival.
-void hear(
+/// Updates the sender's entry from a datagram's header fields and the fact that it arrived.
+void applySender(
     membership &state, peer_entry &entry, const peer_address &from, const peer_datagram &datagram, millis now)
 {
-    const bool replaced = entry.who.incarnation != 0 && datagram.incarnation > entry.who.incarnation;
+    const bool replaced = entry.info.incarnation != 0 && datagram.incarnation > entry.info.incarnation;
     if (!replaced) {
-        markHeard(state, entry, now);
+        markSeen(state, entry, now);
     }
-    if (datagram.incarnation > entry.who.incarnation) {
-        takeIncarnation(state, entry, datagram.incarnation, now);
+    if (datagram.incarnation > entry.info.incarnation) {
+        applyIncarnation(state, entry, datagram.incarnation, now);
         entry.refutation = datagram.refutation;
-        entry.heardAt = now;
+        entry.lastSeenAt = now;
         if (replaced) {
-            entry.who.address = from;
-            spread(state, factOf(entry));
+            entry.info.address = from;
+            queueFact(state, factOf(entry));
         }
     }
     if (datagram.refutation > entry.refutation) {
         entry.refutation = datagram.refutation;
         setHealth(state, entry, peer_state::Alive, now);
-        spread(state, factOf(entry));
+        queueFact(state, factOf(entry));
     }
-    if (datagram.configVersion > entry.who.configVersion) {
-        entry.who.configVersion = datagram.configVersion;
+    if (datagram.configVersion > entry.info.configVersion) {
+        entry.info.configVersion = datagram.configVersion;
         state.changed = true;
     }
 }
 
-/// A daemon becomes usable before the lagging list shows it: by its own introduction, passed on by others.
-/// Peers on the list are known, wherever they are; their new processes are told of by facts.
-void takeIntroduction(membership &state, const peer_introduction &introduction, millis now)
+/// A daemon becomes usable before the lagging live list shows it, by its introduction, which peers pass on.
+/// Ignored for peers on the list: their addresses come from there, and facts announce their new processes.
+void applyIntroduction(membership &state, const peer_introduction &introduction, millis now)
 {
     peer_entry *known = find(state, introduction.name);
     const bool stale =
-        known != nullptr && (known->listed || known->who.incarnation >= introduction.incarnation);
+        known != nullptr && (known->listed || known->info.incarnation >= introduction.incarnation);
     if (introduction.name == state.self.name || stale) {
         return;
     }
     peer_entry &entry = known == nullptr ? addPeer(state, introduction.name) : *known;
-    takeIncarnation(state, entry, introduction.incarnation, now);
-    entry.who.address = {introduction.ip, introduction.port};
-    entry.who.callerPort = introduction.callerPort;
-    entry.who.failureDomain = introduction.failureDomain;
-    spreadIntroduction(state, introduction);
+    applyIncarnation(state, entry, introduction.incarnation, now);
+    entry.info.address = {introduction.ip, introduction.port};
+    entry.info.callerPort = introduction.callerPort;
+    entry.info.failureDomain = introduction.failureDomain;
+    queueIntroduction(state, introduction);
 }
 
 // ---- probing
 
-/// What decides on the failure domains: for each, when any of its members was last heard.
+/// By failure domain: when any of its members was last seen.
 using domain_times = std::map<std::string_view, millis>;
 
-domain_times heardByDomain(const membership &state)
+domain_times lastSeenByDomain(const membership &state)
 {
-    domain_times heard;
+    domain_times lastSeen;
     for (const auto &[name, entry] : state.peers) {
-        millis &last = heard[entry.who.failureDomain];
-        last = std::max(last, entry.heardAt);
+        millis &last = lastSeen[entry.info.failureDomain];
+        last = std::max(last, entry.lastSeenAt);
     }
-    return heard;
+    return lastSeen;
 }
 
-bool unansweredSince(const peer_entry &entry, millis heard)
+bool hasFailedProbeSince(const peer_entry &entry, millis since)
 {
-    return entry.failedSentAt > heard;
+    return entry.failedProbeSentAt > since;
 }
 
-/// A member of a domain from which nothing was heard since one of its members was suspected: probing it
-/// next tells a lost domain from a lost member. Empty where no domain is in doubt.
-std::string memberOfDoubtfulDomain(membership &state)
+/// A random member of a domain from which nothing was received since one of its members became suspect or
+/// left a probe unanswered. Probing it next distinguishes a lost domain from a lost member. Empty where there
+/// is no such domain.
+std::string pickFromUnresponsiveDomain(membership &state)
 {
-    const domain_times heard = heardByDomain(state);
-    std::set<std::string_view> doubtful;
+    const domain_times lastSeen = lastSeenByDomain(state);
+    std::set<std::string_view> unresponsiveDomains;
     for (const auto &[name, entry] : state.peers) {
-        const millis last = heard.at(entry.who.failureDomain);
+        const millis last = lastSeen.at(entry.info.failureDomain);
         const bool suspected = entry.health == peer_state::Suspect && entry.suspectSince > last;
-        if (suspected || unansweredSince(entry, last)) {
-            doubtful.insert(entry.who.failureDomain);
+        if (suspected || hasFailedProbeSince(entry, last)) {
+            unresponsiveDomains.insert(entry.info.failureDomain);
         }
     }
     std::vector<const std::string *> candidates;
     for (const auto &[name, entry] : state.peers) {
-        if (doubtful.contains(entry.who.failureDomain) && entry.health == peer_state::Alive
+        if (unresponsiveDomains.contains(entry.info.failureDomain) && entry.health == peer_state::Alive
             && entry.domainHealth == peer_state::Alive
-            && !unansweredSince(entry, heard.at(entry.who.failureDomain))) {
+            && !hasFailedProbeSince(entry, lastSeen.at(entry.info.failureDomain))) {
             candidates.push_back(&name);
         }
     }
     return candidates.empty() ? std::string() : *candidates[state.random() % candidates.size()];
 }
 
-/// A member of a domain that is suspected as a whole: until that is decided, probes go there.
-std::string memberOfSuspectDomain(membership &state)
+/// A random member of a domain that is suspect as a whole, which is probed until it is alive or dead; empty
+/// where there is none.
+std::string pickFromSuspectDomain(membership &state)
 {
     std::vector<const std::string *> candidates;
     for (const auto &[name, entry] : state.peers) {
@@ -346,29 +352,29 @@
     return candidates.empty() ? std::string() : *candidates[state.random() % candidates.size()];
 }
 
-// Once a domain is judged as a whole, what was told of single members is explained by that. Were it kept
-// and passed on, each of them would have to refute it by gossip after a partition has healed, which takes
-// minutes at fleet sizes.
-void dropSuspicions(membership &state, const std::string &domain, millis now)
+// Once a domain is suspect as a whole, that explains the suspicions against single members. If they were kept
+// and gossiped on, each member would have to refute its own after a partition has healed, which takes minutes
+// in a large fleet.
+void dropMemberSuspicions(membership &state, const std::string &domain, millis now)
 {
     for (auto &[name, entry] : state.peers) {
-        if (entry.who.failureDomain == domain && entry.health == peer_state::Suspect) {
+        if (entry.info.failureDomain == domain && entry.health == peer_state::Suspect) {
             setHealth(state, entry, peer_state::Alive, now);
         }
     }
-    std::erase_if(state.facts, [&](const membership::fact_out &each) {
-        const peer_entry *entry = find(state, each.fact.name);
-        return each.fact.state == peer_state::Suspect && entry != nullptr
-            && entry->who.failureDomain == domain;
+    std::erase_if(state.facts, [&](const membership::queued_fact &queued) {
+        const peer_entry *entry = find(state, queued.fact.name);
+        return queued.fact.state == peer_state::Suspect && entry != nullptr
+            && entry->info.failureDomain == domain;
     });
 }
 
-// When a whole failure domain goes, telling of each member by gossip takes far too long at fleet sizes
-// (hundreds of facts, a few on each datagram). So each daemon concludes it by itself: several of its own
-// probes into the domain failed, directly and through others, and nobody of the domain was heard since
-// the first of them. The domain is then suspected, and dead after as many further failures as make it
-// unlikely that a good part of it is alive: to be held dead cuts the streams of those who aren't.
-void suspectDomains(membership &state, millis now)
+// When a whole failure domain is lost, gossiping the death of each member takes far too long in a large fleet
+// (hundreds of facts, a few per datagram). So each daemon infers it by itself: several of its own probes into
+// the domain failed, directly and through others, and no datagram came from the domain since the first of
+// them. The domain is then suspect, and dead after enough further failures to make it unlikely that many of
+// its members are alive: considering a live member dead breaks its streams.
+void suspectUnresponsiveDomains(membership &state, millis now)
 {
     struct domain_count
     {
@@ -376,36 +382,37 @@
         std::uint32_t failed = 0;
     };
     std::map<std::string, domain_count> counts;
-    for (const domain_times heard = heardByDomain(state); const auto &[name, entry] : state.peers) {
-        const std::string &domain = entry.who.failureDomain;
+    for (const domain_times lastSeen = lastSeenByDomain(state); const auto &[name, entry] : state.peers) {
+        const std::string &domain = entry.info.failureDomain;
         if (entry.health != peer_state::Dead && entry.domainHealth == peer_state::Alive) {
             ++counts[domain].live;
-            counts[domain].failed += unansweredSince(entry, heard.at(domain)) ? 1 : 0;
+            counts[domain].failed += hasFailedProbeSince(entry, lastSeen.at(domain)) ? 1 : 0;
         }
     }
     for (const auto &[domain, count] : counts) {
-        if (!domain.empty() && count.live >= state.tuning.domainMembers
+        if (!domain.empty() && count.live >= state.tuning.minDomainMembers
             && count.failed >= state.tuning.domainSuspectFailures) {
-            state.silentDomains[domain] = {};
-            dropSuspicions(state, domain, now);
-            judgeDomain(state, domain, peer_state::Alive, peer_state::Suspect, now);
+            state.domainEvidence[domain] = {};
+            dropMemberSuspicions(state, domain, now);
+            setDomainHealth(state, domain, peer_state::Alive, peer_state::Suspect, now);
         }
     }
 }
 
-/// Counts a failed probe to a member of a domain that is suspected, or held to be lost.
-void addDomainEvidence(membership &state, const peer_entry &entry, millis now)
+/// Counts a failed probe to a member of a domain that is suspect or dead as a whole.
+void recordDomainFailure(membership &state, const peer_entry &entry, millis now)
 {
-    const std::string domain = entry.who.failureDomain;
-    domain_evidence &evidence = state.silentDomains[domain];
-    ++evidence.failed;
-    if (entry.domainHealth == peer_state::Suspect && evidence.failed >= state.tuning.domainDeadFailures) {
+    const std::string domain = entry.info.failureDomain;
+    domain_evidence &evidence = state.domainEvidence[domain];
+    ++evidence.failedProbes;
+    if (entry.domainHealth == peer_state::Suspect
+        && evidence.failedProbes >= state.tuning.domainDeadFailures) {
         evidence = {};
-        judgeDomain(state, domain, peer_state::Suspect, peer_state::Dead, now);
+        setDomainHealth(state, domain, peer_state::Suspect, peer_state::Dead, now);
     }
 }
 
-void startRound(membership &state)
+void startProbeRound(membership &state)
 {
     state.probeOrder.clear();
     state.probeNext = 0;
@@ -417,7 +424,7 @@
     std::shuffle(state.probeOrder.begin(), state.probeOrder.end(), state.random);
 }
 
-/// The next peer of the round, or of a new one; empty where all are dead.
+/// The next peer of the current probe round, or of a new one; empty where all are dead.
 std::string nextInRound(membership &state)
 {
     for (int round = 0; round < 2; ++round) {
@@ -428,14 +435,14 @@
                 return name;
             }
         }
-        startRound(state);
+        startProbeRound(state);
     }
     return {};
 }
 
-// After a long partition each side holds the other for dead and would never speak to it again. A probe
-// to a dead peer now and then, with the fact of its death, lets it refute.
-std::string deadPeer(membership &state)
+// After a long partition each side considers the other dead and would never send to it again. Every
+// deadProbeEvery-th probe goes to a dead peer and carries the fact of its death, so that it can refute.
+std::string pickDeadPeer(membership &state)
 {
     std::vector<const std::string *> dead;
     for (const auto &[name, entry] : state.peers) {
@@ -446,33 +453,34 @@
     return dead.empty() ? std::string() : *dead[state.random() % dead.size()];
 }
 
-std::string probeTarget(membership &state)
+std::string pickProbeTarget(membership &state)
 {
     std::string target;
     if (state.probesSent % state.tuning.deadProbeEvery == state.tuning.deadProbeEvery - 1) {
-        target = deadPeer(state);
+        target = pickDeadPeer(state);
     }
     if (target.empty()) {
-        target = memberOfSuspectDomain(state);
+        target = pickFromSuspectDomain(state);
     }
     if (target.empty()) {
-        target = memberOfDoubtfulDomain(state);
+        target = pickFromUnresponsiveDomain(state);
     }
     if (target.empty()) {
         target = nextInRound(state);
     }
-    return target.empty() ? deadPeer(state) : target;
+    return target.empty() ? pickDeadPeer(state) : target;
 }
 
-/// A datagram to a peer with the suspicion against it, if there is one, for it to refute.
-outgoing datagramTo(membership &state, const peer_entry &entry, probe_kind kind, std::uint64_t sequence)
+/// A datagram to a peer; carries the suspicion against it, if there is one, so that it can refute.
+outgoing_datagram datagramTo(
+    membership &state, const peer_entry &entry, probe_kind kind, std::uint64_t sequence)
 {
-    return {entry.who.address, makeDatagram(state, kind, sequence, {}, suspicionOf(entry))};
+    return {entry.info.address, makeDatagram(state, kind, sequence, {}, suspicionOf(entry))};
 }
 
-void sendProbe(membership &state, millis now, std::vector<outgoing> &out)
+void sendProbe(membership &state, millis now, std::vector<outgoing_datagram> &out)
 {
-    const std::string target = probeTarget(state);
+    const std::string target = pickProbeTarget(state);
     if (target.empty()) {
         return;
     }
@@ -483,7 +491,8 @@
     out.push_back(datagramTo(state, state.peers.at(target), kind, sequence));
 }
 
-std::vector<const peer_entry *> somePeers(membership &state, std::size_t count, const std::string &except)
+std::vector<const peer_entry *> pickAlivePeers(
+    membership &state, std::size_t count, const std::string &except)
 {
     std::vector<const peer_entry *> chosen;
     for (const auto &[name, entry] : state.peers) {
@@ -497,64 +506,65 @@
     return chosen;
 }
 
-/// After the first timeout: once more, since a single datagram may have been lost, and by way of others,
-/// since only the path from here may be broken.
-void probeAgain(membership &state, std::uint64_t sequence, probe &running, std::vector<outgoing> &out)
+/// After the first timeout: probes once more, since a single datagram may have been lost, and through other
+/// peers, since only the path from here may be broken.
+void probeAgain(
+    membership &state, std::uint64_t sequence, probe &pending, std::vector<outgoing_datagram> &out)
 {
-    running.indirect = true;
-    const peer_entry *target = find(state, running.target);
+    pending.indirect = true;
+    const peer_entry *target = find(state, pending.target);
     if (target == nullptr || isDead(*target)) {
         return;
     }
     out.push_back(datagramTo(state, *target, probe_kind::Ping, sequence));
-    for (const peer_entry *helper : somePeers(state, state.tuning.indirectProbes, running.target)) {
+    for (const peer_entry *helper : pickAlivePeers(state, state.tuning.indirectProbes, pending.target)) {
         out.push_back(
-            {helper->who.address, makeDatagram(state, probe_kind::PingRequest, sequence, running.target)});
+            {helper->info.address, makeDatagram(state, probe_kind::PingRequest, sequence, pending.target)});
     }
 }
 
-void failProbe(membership &state, const probe &failed, millis now, std::vector<outgoing> &out)
+void onProbeFailed(membership &state, const probe &failed, millis now, std::vector<outgoing_datagram> &out)
 {
     peer_entry *entry = find(state, failed.target);
-    if (entry == nullptr || entry->heardAt > failed.sentAt) {
+    if (entry == nullptr || entry->lastSeenAt > failed.sentAt) {
         return;
     }
     if (entry->domainHealth != peer_state::Alive) {
-        addDomainEvidence(state, *entry, now);
+        recordDomainFailure(state, *entry, now);
         return;
     }
     if (entry->health == peer_state::Dead) {
         return;
     }
-    entry->failedSentAt = failed.sentAt;
-    // Off the list and not answering: two sources agree, so no time is given to refute.
-    const bool gone = !entry->listed && entry->listedRevision > 0;
-    const peer_state judged = gone ? peer_state::Dead : peer_state::Suspect;
-    if (judged > entry->health) {
-        setHealth(state, *entry, judged, now);
-        spread(state, factOf(*entry));
-        // A peer that lives hears of it at once, and its refutation comes back before the suspicion is far.
+    entry->failedProbeSentAt = failed.sentAt;
+    // Off the live list and not answering: two sources agree, so it is dead without time to refute.
+    const bool delisted = !entry->listed && entry->listedRevision > 0;
+    const peer_state health = delisted ? peer_state::Dead : peer_state::Suspect;
+    if (health > entry->health) {
+        setHealth(state, *entry, health, now);
+        queueFact(state, factOf(*entry));
+        // If the peer is alive, it learns of the suspicion at once and refutes before it has spread far.
         out.push_back(datagramTo(state, *entry, probe_kind::Notice, 0));
     }
-    suspectDomains(state, now);
+    suspectUnresponsiveDomains(state, now);
 }
 
-void expireProbes(membership &state, millis now, std::vector<outgoing> &out)
+void expireProbes(membership &state, millis now, std::vector<outgoing_datagram> &out)
 {
     const millis deadline = intervalOf(state);
     for (auto it = state.probes.begin(); it != state.probes.end();) {
-        auto &[sequence, running] = *it;
-        const millis age = now - running.sentAt;
-        const bool own = running.requester.empty();
+        auto &[sequence, pending] = *it;
+        const millis age = now - pending.sentAt;
+        const bool own = pending.requester.empty();
         if (age >= deadline) {
             if (own) {
-                failProbe(state, running, now, out);
+                onProbeFailed(state, pending, now, out);
             }
             it = state.probes.erase(it);
             continue;
         }
-        if (own && !running.indirect && age >= state.tuning.probeTimeout) {
-            probeAgain(state, sequence, running, out);
+        if (own && !pending.indirect && age >= state.tuning.probeTimeout) {
+            probeAgain(state, sequence, pending, out);
         }
         ++it;
     }
@@ -562,46 +572,46 @@
 
 void expireSuspects(membership &state, millis now)
 {
-    const millis toRefute = suspicionFor(state.tuning, fleetSize(state));
+    const millis toRefute = suspicionTimeoutFor(state.tuning, fleetSize(state));
     for (auto &[name, entry] : state.peers) {
         if (entry.health == peer_state::Suspect && now - entry.suspectSince >= toRefute) {
             setHealth(state, entry, peer_state::Dead, now);
-            spreadDeath(state, factOf(entry));
+            queueDeath(state, factOf(entry));
         }
     }
 }
 
-void forgetDead(membership &state, millis now)
+void removeDeadPeers(membership &state, millis now)
 {
-    const auto count = std::erase_if(state.peers, [&](const auto &each) {
-        const peer_entry &entry = each.second;
-        return !entry.listed && isDead(entry) && now - entry.deadSince >= state.tuning.forgetAfter;
+    const auto count = std::erase_if(state.peers, [&](const auto &peer) {
+        const peer_entry &entry = peer.second;
+        return !entry.listed && isDead(entry) && now - entry.deadSince >= state.tuning.deadPeerRetention;
     });
     state.changed = state.changed || count > 0;
 }
 
-// A process that was paused, or too busy to read its socket, finds all its timers run out at once while
-// the answers wait in the socket's buffer; it would declare half the fleet dead. The time it didn't run
-// counts for nobody.
-void forgiveOwnPause(membership &state, millis now)
+// When a process was paused, or too busy to read its socket, all its timers expire at once while the answers
+// wait in the socket's buffer; it would declare half the fleet dead. So the time in which it did not run is
+// added to all open deadlines.
+void compensateOwnPause(membership &state, millis now)
 {
     const millis gap = now - state.lastTick;
     if (state.lastTick == millis{} || gap <= state.tuning.probeTimeout) {
         return;
     }
-    const millis lost = gap - millis{state.tuning.probeInterval.count / ticksPerInterval};
-    for (auto &[sequence, running] : state.probes) {
-        running.sentAt = running.sentAt + lost;
+    const millis pause = gap - millis{state.tuning.probeInterval.count / ticksPerProbeInterval};
+    for (auto &[sequence, pending] : state.probes) {
+        pending.sentAt = pending.sentAt + pause;
     }
     for (auto &[name, entry] : state.peers) {
-        entry.suspectSince = entry.suspectSince + lost;
+        entry.suspectSince = entry.suspectSince + pause;
     }
 }
 
 // ---- answering
 
-void answerPing(
-    membership &state, const peer_address &from, const peer_datagram &ping, std::vector<outgoing> &out)
+void answerPing(membership &state, const peer_address &from, const peer_datagram &ping,
+    std::vector<outgoing_datagram> &out)
 {
     const peer_entry *sender = find(state, ping.from);
     const auto suspicion = sender == nullptr ? std::nullopt : suspicionOf(*sender);
@@ -613,11 +623,12 @@
     }
 }
 
-void relayPing(membership &state, const peer_datagram &request, millis now, std::vector<outgoing> &out)
+void relayPing(
+    membership &state, const peer_datagram &request, millis now, std::vector<outgoing_datagram> &out)
 {
     const peer_entry *target = find(state, request.target);
-    const auto relays = std::count_if(state.probes.begin(), state.probes.end(), [](const auto &each) {
-        return !each.second.requester.empty();
+    const auto relays = std::count_if(state.probes.begin(), state.probes.end(), [](const auto &open) {
+        return !open.second.requester.empty();
     });
     if (target == nullptr || static_cast<std::size_t>(relays) >= maxRelays) {
         return;
@@ -627,90 +638,90 @@
     out.push_back(datagramTo(state, *target, probe_kind::Ping, sequence));
 }
 
-void takeAck(membership &state, const peer_datagram &ack, millis now, std::vector<outgoing> &out)
+void onAck(membership &state, const peer_datagram &ack, millis now, std::vector<outgoing_datagram> &out)
 {
     const auto found = state.probes.find(ack.sequence);
     if (found == state.probes.end()) {
         return;
     }
-    const probe running = found->second;
-    peer_entry *target = find(state, running.target);
-    const bool direct = ack.from == running.target;
-    const bool relayed = running.indirect && ack.target == running.target;
+    const probe pending = found->second;
+    peer_entry *target = find(state, pending.target);
+    const bool direct = ack.from == pending.target;
+    const bool relayed = pending.indirect && ack.target == pending.target;
     if (target == nullptr || (!direct && !relayed)) {
         return;
     }
     state.probes.erase(found);
     if (relayed) {
-        markHeard(state, *target, now);
+        markSeen(state, *target, now);
     }
-    if (const peer_entry *requester = find(state, running.requester); requester != nullptr) {
-        out.push_back({requester->who.address,
+    if (const peer_entry *requester = find(state, pending.requester); requester != nullptr) {
+        out.push_back({requester->info.address,
             makeDatagram(
-                state, probe_kind::Ack, running.requesterSequence, running.target, factOf(*target))});
+                state, probe_kind::Ack, pending.requesterSequence, pending.target, factOf(*target))});
     }
 }
 
-std::vector<outgoing> noticesTo(membership &state, std::size_t count)
+std::vector<outgoing_datagram> noticesToRandomPeers(membership &state, std::size_t count)
 {
-    std::vector<outgoing> out;
-    for (const peer_entry *peer : somePeers(state, count, {})) {
-        out.push_back({peer->who.address, makeDatagram(state, probe_kind::Notice, 0)});
+    std::vector<outgoing_datagram> out;
+    for (const peer_entry *peer : pickAlivePeers(state, count, {})) {
+        out.push_back({peer->info.address, makeDatagram(state, probe_kind::Notice, 0)});
     }
     return out;
 }
 
-// ---- the list
+// ---- the live list
 
-void listPeer(membership &state, const live_instance &instance, std::uint64_t revision)
+void applyListEntry(membership &state, const live_instance &instance, std::uint64_t revision)
 {
     peer_entry *known = find(state, instance.name);
     peer_entry &entry = known == nullptr ? addPeer(state, instance.name) : *known;
     const peer_address address{instance.address, instance.port};
-    // The list may show where an earlier process was; a peer that was heard elsewhere since then stays
-    // there until the list itself says something new.
+    // The list may still show an earlier process's address. An address learnt from the peer's own datagrams
+    // since then is kept until the list shows another one.
     if (address != entry.listedAddress) {
         entry.listedAddress = address;
-        entry.who.address = address;
+        entry.info.address = address;
         state.changed = true;
     }
-    if (entry.who.failureDomain != instance.failureDomain || entry.who.callerPort != instance.callerPort) {
-        entry.who.failureDomain = instance.failureDomain;
-        entry.who.callerPort = instance.callerPort;
+    if (entry.info.failureDomain != instance.failureDomain || entry.info.callerPort != instance.callerPort) {
+        entry.info.failureDomain = instance.failureDomain;
+        entry.info.callerPort = instance.callerPort;
         state.changed = true;
     }
     entry.listed = true;
     entry.listedRevision = revision;
     entry.listLeaving = instance.leaving;
-    endIntroduction(state, instance.name);
-    refresh(state, entry);
+    removeIntroduction(state, instance.name);
+    updateState(state, entry);
 }
 
-void unlistPeer(membership &state, peer_entry &entry)
+void onUnlisted(membership &state, peer_entry &entry)
 {
     entry.listed = false;
     entry.listLeaving = false;
-    refresh(state, entry);
+    updateState(state, entry);
     const auto next = std::min(state.probeNext, state.probeOrder.size());
-    state.probeOrder.insert(state.probeOrder.begin() + static_cast<std::ptrdiff_t>(next), entry.who.name);
+    state.probeOrder.insert(state.probeOrder.begin() + static_cast<std::ptrdiff_t>(next), entry.info.name);
 }
 
 }
 
 millis probeIntervalFor(const membership_tuning &tuning, std::size_t members)
 {
-    if (members <= constantIntervalMembers) {
+    if (members <= maxConstantIntervalMembers) {
         return tuning.probeInterval;
     }
     const double tenfolds =
-        std::log10(static_cast<double>(members) / static_cast<double>(constantIntervalMembers));
-    return times(tuning.probeInterval, 1 + intervalGrowth * tenfolds);
+        std::log10(static_cast<double>(members) / static_cast<double>(maxConstantIntervalMembers));
+    return scaled(tuning.probeInterval, 1 + intervalGrowth * tenfolds);
 }
 
-millis suspicionFor(const membership_tuning &tuning, std::size_t members)
+millis suspicionTimeoutFor(const membership_tuning &tuning, std::size_t members)
 {
     const double rounds = std::ceil(std::log10(static_cast<double>(members)) + 1);
-    return times(probeIntervalFor(tuning, members), tuning.suspectIntervals * rounds);
+    return scaled(probeIntervalFor(tuning, members), tuning.suspectIntervals * rounds);
 }
 
 void applyLiveList(membership &state, const live_view &view)
@@ -726,13 +737,13 @@
             selfLeaving = selfLeaving || instance.leaving;
             continue;
         }
-        listPeer(state, instance, view.revision);
+        applyListEntry(state, instance, view.revision);
     }
     for (auto &[name, entry] : state.peers) {
         const auto listed = view.instances.find(name);
-        const bool there = listed != view.instances.end() && listed->second.kind == instance_kind::Entry;
-        if (entry.listed && !there) {
-            unlistPeer(state, entry);
+        const bool inList = listed != view.instances.end() && listed->second.kind == instance_kind::Entry;
+        if (entry.listed && !inList) {
+            onUnlisted(state, entry);
         }
     }
     const peer_state self = selfLeaving ? peer_state::Leaving : peer_state::Alive;
@@ -740,18 +751,18 @@
     state.self.state = self;
 }
 
-std::vector<outgoing> tick(membership &state, millis now)
+std::vector<outgoing_datagram> tick(membership &state, millis now)
 {
-    std::vector<outgoing> out;
+    std::vector<outgoing_datagram> out;
     if (state.startedAt == millis{}) {
         state.startedAt = now;
         state.nextProbe = now;
     }
-    forgiveOwnPause(state, now);
+    compensateOwnPause(state, now);
     state.lastTick = now;
     expireProbes(state, now, out);
     expireSuspects(state, now);
-    forgetDead(state, now);
+    removeDeadPeers(state, now);
     if (now >= state.nextProbe) {
         sendProbe(state, now, out);
         state.nextProbe = now + intervalOf(state);
@@ -759,27 +770,27 @@
     return out;
 }
 
-std::vector<outgoing> handle(membership &state, const peer_address &from, const peer_datagram &datagram,
-    millis now, std::optional<peer_version_seen> &heard)
+std::vector<outgoing_datagram> handleDatagram(membership &state, const peer_address &from,
+    const peer_datagram &datagram, millis now, std::optional<peer_version_seen> &newerVersion)
 {
-    std::vector<outgoing> out;
+    std::vector<outgoing_datagram> out;
     if (datagram.from == state.self.name) {
         return out;
     }
     for (const peer_introduction &introduction : datagram.introductions) {
-        takeIntroduction(state, introduction, now);
+        applyIntroduction(state, introduction, now);
     }
     if (peer_entry *sender = find(state, datagram.from); sender != nullptr) {
-        if (datagram.incarnation < sender->who.incarnation) {
-            // A late datagram of an earlier process, or that process itself, paused and woken up after
-            // its successor began. Neither may speak for the name any more.
+        if (datagram.incarnation < sender->info.incarnation) {
+            // A delayed datagram of an earlier process, or one from an earlier process that was paused and
+            // has resumed after its successor started. Both are outdated for this name.
             return out;
         }
-        hear(state, *sender, from, datagram, now);
+        applySender(state, *sender, from, datagram, now);
     }
-    const bool accused = takeFacts(state, datagram.facts, now);
+    const bool accused = applyFacts(state, datagram.facts, now);
     if (datagram.configVersion > state.configVersion) {
-        heard = peer_version_seen{datagram.from, datagram.configVersion};
+        newerVersion = peer_version_seen{datagram.from, datagram.configVersion};
     }
     switch (datagram.kind) {
     case probe_kind::Ping:
@@ -790,10 +801,10 @@
         relayPing(state, datagram, now, out);
         break;
     case probe_kind::Ack:
-        takeAck(state, datagram, now, out);
+        onAck(state, datagram, now, out);
         break;
     case probe_kind::Notice:
-        // A notice may be a suspicion: what an answer says of its sender's process clears it.
+        // The notice carried a suspicion against this daemon: the response's refutation clears it.
         if (accused) {
             out.push_back({from, makeDatagram(state, probe_kind::Notice, 0)});
         }
@@ -802,26 +813,27 @@
     return out;
 }
 
-std::vector<outgoing> notice(membership &state, std::uint64_t version)
+std::vector<outgoing_datagram> announceVersion(membership &state, std::uint64_t version)
 {
     state.configVersion = std::max(state.configVersion, version);
     state.self.configVersion = state.configVersion;
-    return noticesTo(state, state.tuning.noticeFanout);
+    return noticesToRandomPeers(state, state.tuning.announceFanout);
 }
 
-std::vector<outgoing> leave(membership &state)
+std::vector<outgoing_datagram> announceLeaving(membership &state)
 {
     state.selfLeaving = true;
     state.self.state = peer_state::Leaving;
     state.changed = true;
-    return noticesTo(state, static_cast<std::size_t>(state.tuning.noticeFanout) * leaveFanoutFactor);
+    return noticesToRandomPeers(
+        state, static_cast<std::size_t>(state.tuning.announceFanout) * leaveFanoutFactor);
 }
 
 std::vector<member> membersOf(const membership &state)
 {
     std::vector<member> members{state.self};
     for (const auto &[name, entry] : state.peers) {
-        members.push_back(entry.who);
+        members.push_back(entry.info);
     }
     std::sort(members.begin(), members.end(), [](const member &a, const member &b) {
         return a.name < b.name;
--- a/packages/coordination/membership.h
+++ b/packages/coordination/membership.h
@@ -14,126 +14,132 @@
 
 namespace briarhead {
 
-/// Tunables of failure detection. One probe per interval and daemon, whatever the fleet's size.
+/// Parameters of failure detection. Each daemon sends one probe per interval, whatever the fleet's size.
 struct membership_tuning
 {
     millis probeInterval{500};
-    millis probeTimeout{200}; ///< then two peers are asked to probe for us
-    std::uint32_t indirectProbes = 2;
+    millis probeTimeout{200}; ///< after this, other peers are asked to probe the target
+    std::uint32_t indirectProbes = 2; ///< how many peers are asked
     std::uint32_t suspectIntervals =
-        3; ///< a suspect not heard of for this many intervals (times log10 of the size) is dead
-    std::uint32_t noticeFanout = 4; ///< peers told at once of a new configuration version
-    std::uint32_t factRepeats = 4; ///< each fact rides on this many datagrams (times log2 of the size)
-    std::uint32_t domainMembers = 8; ///< domains with fewer live members are judged member by member
-    std::uint32_t domainSuspectFailures = 3; ///< failed probes into a silent failure domain: suspect it whole
-    std::uint32_t domainDeadFailures = 9; ///< further ones, with nobody heard from there: it is dead
-    std::uint32_t deadProbeEvery = 8; ///< one probe in so many goes to a dead peer, to find healed partitions
-    std::uint32_t joinProbes = 3; ///< first probes of a process, which ask who isn't alive
-    millis introduceFor{60'000}; ///< a new process introduces itself for this long, and until it is listed
-    millis forgetAfter{60'000}; ///< a dead peer that is off the list is forgotten after this
+        3; ///< a suspect that has not refuted within this many intervals (times log10 of the size) is dead
+    std::uint32_t announceFanout = 4; ///< peers notified at once of a new configuration version
+    std::uint32_t factRepeats = 4; ///< each fact is sent in this many datagrams (times log2 of the size)
+    std::uint32_t minDomainMembers = 8; ///< domains with fewer live members are only judged member by member
+    std::uint32_t domainSuspectFailures =
+        3; ///< failed probes, with no datagram from the domain since, that make the whole domain suspect
+    std::uint32_t domainDeadFailures = 9; ///< further failed probes that make a suspect domain dead
+    std::uint32_t deadProbeEvery = 8; ///< every n-th probe goes to a dead peer, to detect healed partitions
+    std::uint32_t joinProbes = 3; ///< the first probes of a process also request the peers that aren't alive
+    millis introducePeriod{60'000}; ///< a new process introduces itself for this long, and until it is listed
+    millis deadPeerRetention{60'000}; ///< a dead peer that is off the list is removed after this time
 };
 
-/// Bytes of a datagram that facts and introductions may fill together. It bounds what membership costs,
-/// whatever the fleet's size and the names' lengths: see the test of its cost.
+/// Bytes of a datagram that facts and introductions may fill together. Bounds the network cost of membership
+/// whatever the fleet's size and the names' lengths; tested by membership.staysWithinItsByteBudget.
 constexpr std::size_t gossipBudgetBytes = 120;
 
 /// A peer as this daemon sees it.
 struct peer_entry
 {
-    member who;
+    member info;
     millis suspectSince;
-    std::uint64_t listedRevision = 0; ///< of the list that last held it, 0: never listed
+    std::uint64_t listedRevision = 0; ///< of the last live list that contained the peer; 0: never listed
     bool listed = false;
-    bool listLeaving = false; ///< as the list says now
+    bool listLeaving = false; ///< the current live list shows it as leaving
     peer_address listedAddress;
-    /// What was probed or told of it: Alive, Suspect or Dead. `who.state` joins this with the next two.
+    /// Result of probes and gossip: Alive, Suspect or Dead. `info.state` combines it with the next two
+    /// members.
     peer_state health = peer_state::Alive;
-    bool leaving = false; ///< the peer said so; final for an incarnation
-    peer_state domainHealth = peer_state::Alive; ///< concluded from its domain's silence, told to nobody
+    bool leaving = false; ///< the peer announced that it is leaving; final for an incarnation
+    peer_state domainHealth = peer_state::Alive; ///< inferred for the whole failure domain; never gossiped
     std::uint32_t refutation = 0; ///< orders facts of one incarnation
-    millis heardAt; ///< last sign of life, 0: none yet
-    millis failedSentAt; ///< when the last probe that it left unanswered was sent
+    millis lastSeenAt; ///< last datagram or relayed ack from it; 0: none yet
+    millis failedProbeSentAt; ///< send time of the last probe that it left unanswered
     millis deadSince;
 };
 
-/// The evidence on a failure domain that is suspected, or held to be lost, as a whole.
+/// The evidence on a failure domain that is suspect or dead as a whole.
 struct domain_evidence
 {
-    std::uint32_t failed = 0; ///< probes to its members that failed
-    std::uint32_t heard = 0; ///< members that spoke after it was held to be lost
+    std::uint32_t failedProbes = 0; ///< probes to its members that failed
+    std::uint32_t membersSeen = 0; ///< members that sent a datagram after the domain was considered dead
 };
 
 /// A datagram to send.
-struct outgoing
+struct outgoing_datagram
 {
     peer_address to;
     peer_datagram datagram;
 };
 
-/// The membership of one daemon: pure state, driven by ticks and datagrams, SWIM-like. The live list is the
-/// base (who may exist and where), probes correct it (who answers), incarnations end a process's old
-/// identity.
+/// The membership view of one daemon, in the manner of SWIM: pure state, driven by ticks and datagrams. The
+/// platform's live list says which daemons may exist and where, probes say which of them respond, and a
+/// higher incarnation replaces an earlier process of the same name.
 struct membership
 {
     member self;
     membership_tuning tuning;
-    std::uint64_t configVersion = 0;
-    std::map<std::string, peer_entry> peers; ///< without self
+    std::uint64_t configVersion = 0; ///< highest version in force here
+    std::map<std::string, peer_entry> peers; ///< by name, without self
     std::vector<std::string> probeOrder; ///< shuffled; each peer once per round
-    std::size_t probeNext = 0;
-    std::uint64_t sequence = 0;
+    std::size_t probeNext = 0; ///< index into probeOrder
+    std::uint64_t sequence = 0; ///< of the last probe sent
     struct probe
     {
         std::string target;
         millis sentAt;
-        bool indirect = false;
-        std::string requester; ///< set when probing for another
+        bool indirect = false; ///< other peers were asked to probe the target too
+        std::string
+            requester; ///< the peer on whose behalf the probe was sent; empty: this daemon's own probe
         std::uint64_t requesterSequence = 0;
     };
-    std::map<std::uint64_t, probe> probes; ///< by sequence
-    struct fact_out
+    std::map<std::uint64_t, probe> probes; ///< open probes by sequence
+    struct queued_fact
     {
         peer_fact fact;
-        std::uint32_t left = 0;
+        std::uint32_t sendsLeft = 0;
     };
-    std::vector<fact_out> facts;
-    struct introduction_out
+    std::vector<queued_fact> facts;
+    struct queued_introduction
     {
         peer_introduction introduction;
-        std::uint32_t left = 0;
+        std::uint32_t sendsLeft = 0;
     };
-    std::vector<introduction_out> introductions; ///< of peers that no list has shown yet
+    std::vector<queued_introduction> introductions; ///< of peers that have not been on a live list yet
     std::mt19937_64 random;
-    bool changed = false; ///< members differ since last taken
+    bool changed = false; ///< members differ from those last posted; cleared by the caller
     std::uint32_t refutation = 0; ///< of self
     bool selfListed = false;
-    bool selfLeaving = false; ///< by leave(); final
-    millis startedAt; ///< first tick, 0: none yet
+    bool selfLeaving = false; ///< set by announceLeaving(); final
+    millis startedAt; ///< first tick; 0: none yet
     millis lastTick;
     millis nextProbe;
     std::uint64_t probesSent = 0;
-    std::map<std::string, domain_evidence> silentDomains;
+    std::map<std::string, domain_evidence> domainEvidence; ///< by failure domain, where suspect or dead
 };
 
-/// The probe interval for a fleet of `members`: the tuned one up to a few hundred, then growing with the
-/// logarithm, so that the bytes a second stay within the budget while facts are plenty.
+/// The probe interval for a fleet of `members`: the configured one up to a few hundred, then growing with the
+/// logarithm of the size, so that the bytes per second stay within the budget even when many facts are
+/// queued.
 millis probeIntervalFor(const membership_tuning &tuning, std::size_t members);
-/// How long a suspect has to refute: long enough for the suspicion to reach it by gossip and come back.
-millis suspicionFor(const membership_tuning &tuning, std::size_t members);
+/// How long a suspect has to refute: long enough for the suspicion to reach it by gossip and for its
+/// refutation to come back.
+millis suspicionTimeoutFor(const membership_tuning &tuning, std::size_t members);
 
-/// Takes the platform's list: adds new entries, probes vanished ones next and forgets those that don't
-/// answer, marks leaving ones.
+/// Applies the platform's live list: adds new peers, marks leaving ones, and schedules peers that have
+/// disappeared from it for the next probes (those that don't answer are then removed).
 void applyLiveList(membership &state, const live_view &view);
-/// Sends probes, times out old ones; called every probeInterval / 5 or so.
-std::vector<outgoing> tick(membership &state, millis now);
-/// Handles one datagram. `heard` gets a configuration version above ours, with its holder.
-std::vector<outgoing> handle(membership &state, const peer_address &from, const peer_datagram &datagram,
-    millis now, std::optional<peer_version_seen> &heard);
-/// Datagrams that tell a few random peers of a new version now.
-std::vector<outgoing> notice(membership &state, std::uint64_t version);
-/// Says to peers that this daemon is leaving.
-std::vector<outgoing> leave(membership &state);
-/// The members with self, in name order.
+/// Sends due probes and expires open ones; to be called about every probeInterval / 5.
+std::vector<outgoing_datagram> tick(membership &state, millis now);
+/// Handles one datagram and returns the responses. `newerVersion` is set where the sender holds a
+/// configuration version above this daemon's.
+std::vector<outgoing_datagram> handleDatagram(membership &state, const peer_address &from,
+    const peer_datagram &datagram, millis now, std::optional<peer_version_seen> &newerVersion);
+/// Records that this version is in force here and returns datagrams that notify a few random peers of it.
+std::vector<outgoing_datagram> announceVersion(membership &state, std::uint64_t version);
+/// Marks this daemon as leaving and returns datagrams that notify some peers of it.
+std::vector<outgoing_datagram> announceLeaving(membership &state);
+/// All members including self, sorted by name.
 std::vector<member> membersOf(const membership &state);
 
 }
--- a/packages/coordination/membership_gossip.cpp
+++ b/packages/coordination/membership_gossip.cpp
@@ -26,42 +26,44 @@
     return wireBytes(fact.name) + wireBytes(fact.incarnation) + 1 + wireBytes(fact.refutation);
 }
 
-std::size_t wireBytes(const peer_introduction &of)
+std::size_t wireBytes(const peer_introduction &introduction)
 {
-    return wireBytes(of.name) + wireBytes(of.incarnation) + wireBytes(of.failureDomain) + wireBytes(of.ip)
-        + wireBytes(of.port) + wireBytes(of.callerPort);
+    return wireBytes(introduction.name) + wireBytes(introduction.incarnation)
+        + wireBytes(introduction.failureDomain) + wireBytes(introduction.ip) + wireBytes(introduction.port)
+        + wireBytes(introduction.callerPort);
 }
 
-std::uint32_t repeatsOf(const membership &state)
+std::uint32_t gossipSendsFor(const membership &state)
 {
     const double rounds = std::ceil(std::log2(static_cast<double>(state.peers.size()) + 2));
     return state.tuning.factRepeats * static_cast<std::uint32_t>(rounds);
 }
 
-std::vector<membership::fact_out>::iterator queuedFact(membership &state, const std::string &name)
+std::vector<membership::queued_fact>::iterator findQueuedFact(membership &state, const std::string &name)
 {
-    return std::find_if(state.facts.begin(), state.facts.end(), [&name](const membership::fact_out &each) {
-        return each.fact.name == name;
-    });
+    return std::find_if(
+        state.facts.begin(), state.facts.end(), [&name](const membership::queued_fact &queued) {
+            return queued.fact.name == name;
+        });
 }
 
-/// Fills a datagram within the budget.
-struct gossip_room
+/// Adds facts and introductions to a datagram as long as they fit into gossipBudgetBytes.
+struct gossip_writer
 {
     peer_datagram &datagram;
-    std::size_t left = gossipBudgetBytes;
+    std::size_t bytesLeft = gossipBudgetBytes;
 
     bool add(const peer_fact &fact)
     {
         const std::size_t size = wireBytes(fact);
-        const bool named =
-            std::any_of(datagram.facts.begin(), datagram.facts.end(), [&fact](const auto &has) {
-                return has.name == fact.name;
+        const bool present =
+            std::any_of(datagram.facts.begin(), datagram.facts.end(), [&fact](const auto &other) {
+                return other.name == fact.name;
             });
-        if (named || size > left || datagram.facts.size() >= maxFactsPerDatagram) {
+        if (present || size > bytesLeft || datagram.facts.size() >= maxFactsPerDatagram) {
             return false;
         }
-        left -= size;
+        bytesLeft -= size;
         datagram.facts.push_back(fact);
         return true;
     }
@@ -69,37 +71,37 @@
     bool add(const peer_introduction &introduction)
     {
         const std::size_t size = wireBytes(introduction);
-        if (size > left || datagram.introductions.size() >= maxIntroductionsPerDatagram) {
+        if (size > bytesLeft || datagram.introductions.size() >= maxIntroductionsPerDatagram) {
             return false;
         }
-        left -= size;
+        bytesLeft -= size;
         datagram.introductions.push_back(introduction);
         return true;
     }
 };
 
-/// Adds from a queue what has been sent least, and drops what has been sent often enough.
+/// Adds the items of a queue that have the most sends left, and removes those without any.
 template <class queue_type, class item>
-void addLeastSent(gossip_room &room, queue_type &queue, item content)
+void addLeastSent(gossip_writer &writer, queue_type &queue, item content)
 {
     std::stable_sort(queue.begin(), queue.end(), [](const auto &a, const auto &b) {
-        return a.left > b.left;
+        return a.sendsLeft > b.sendsLeft;
     });
-    for (auto &each : queue) {
-        if (room.add(each.*content)) {
-            --each.left;
+    for (auto &queued : queue) {
+        if (writer.add(queued.*content)) {
+            --queued.sendsLeft;
         }
     }
-    std::erase_if(queue, [](const auto &each) {
-        return each.left == 0;
+    std::erase_if(queue, [](const auto &queued) {
+        return queued.sendsLeft == 0;
     });
 }
 
-// A new process is known to nobody, and the list lags: until it is listed, and for a while after, since
-// other daemons may see an older list, it tells where it is.
+// A new process is unknown to its peers, and the live list lags. So it introduces itself until it is listed,
+// and during introducePeriod, since other daemons may still see an older list.
 bool introducesItself(const membership &state)
 {
-    return !state.selfListed || state.lastTick - state.startedAt < state.tuning.introduceFor;
+    return !state.selfListed || state.lastTick - state.startedAt < state.tuning.introducePeriod;
 }
 
 peer_introduction ownIntroduction(const member &self)
@@ -124,7 +126,7 @@
 
 peer_fact factOf(const peer_entry &entry)
 {
-    peer_fact fact{entry.who.name, entry.who.incarnation, entry.health, entry.refutation};
+    peer_fact fact{entry.info.name, entry.info.incarnation, entry.health, entry.refutation};
     if (entry.leaving && entry.health != peer_state::Dead) {
         fact.state = peer_state::Leaving;
     }
@@ -137,20 +139,20 @@
     if (worst == peer_state::Alive) {
         return std::nullopt;
     }
-    return peer_fact{entry.who.name, entry.who.incarnation, worst, entry.refutation};
+    return peer_fact{entry.info.name, entry.info.incarnation, worst, entry.refutation};
 }
 
-void spread(membership &state, const peer_fact &fact)
+void queueFact(membership &state, const peer_fact &fact)
 {
-    std::erase_if(state.facts, [&fact](const membership::fact_out &each) {
-        return each.fact.name == fact.name;
+    std::erase_if(state.facts, [&fact](const membership::queued_fact &queued) {
+        return queued.fact.name == fact.name;
     });
-    state.facts.push_back({fact, repeatsOf(state)});
+    state.facts.push_back({fact, gossipSendsFor(state)});
 }
 
-void spreadDeath(membership &state, const peer_fact &fact)
+void queueDeath(membership &state, const peer_fact &fact)
 {
-    const auto queued = queuedFact(state, fact.name);
+    const auto queued = findQueuedFact(state, fact.name);
     if (queued == state.facts.end()) {
         state.facts.push_back({fact, state.tuning.factRepeats});
     } else {
@@ -158,23 +160,23 @@
     }
 }
 
-void spreadAgain(membership &state, const peer_fact &fact)
+void queueFactIfAbsent(membership &state, const peer_fact &fact)
 {
-    if (queuedFact(state, fact.name) == state.facts.end()) {
-        spread(state, fact);
+    if (findQueuedFact(state, fact.name) == state.facts.end()) {
+        queueFact(state, fact);
     }
 }
 
-void spreadIntroduction(membership &state, const peer_introduction &introduction)
+void queueIntroduction(membership &state, const peer_introduction &introduction)
 {
-    endIntroduction(state, introduction.name);
-    state.introductions.push_back({introduction, repeatsOf(state)});
+    removeIntroduction(state, introduction.name);
+    state.introductions.push_back({introduction, gossipSendsFor(state)});
 }
 
-void endIntroduction(membership &state, const std::string &name)
+void removeIntroduction(membership &state, const std::string &name)
 {
-    std::erase_if(state.introductions, [&name](const membership::introduction_out &each) {
-        return each.introduction.name == name;
+    std::erase_if(state.introductions, [&name](const membership::queued_introduction &queued) {
+        return queued.introduction.name == name;
     });
 }
 
@@ -183,18 +185,18 @@
 {
     peer_datagram datagram = emptyDatagram(state, kind, sequence);
     datagram.target = target;
-    gossip_room room{datagram};
+    gossip_writer writer{datagram};
     if (first) {
-        room.add(*first);
+        writer.add(*first);
     }
     if (state.selfLeaving) {
-        room.add(peer_fact{state.self.name, state.self.incarnation, peer_state::Leaving, state.refutation});
+        writer.add(peer_fact{state.self.name, state.self.incarnation, peer_state::Leaving, state.refutation});
     }
     if (introducesItself(state)) {
-        room.add(ownIntroduction(state.self));
+        writer.add(ownIntroduction(state.self));
     }
-    addLeastSent(room, state.introductions, &membership::introduction_out::introduction);
-    addLeastSent(room, state.facts, &membership::fact_out::fact);
+    addLeastSent(writer, state.introductions, &membership::queued_introduction::introduction);
+    addLeastSent(writer, state.facts, &membership::queued_fact::fact);
     return datagram;
 }
 
@@ -212,9 +214,9 @@
     std::size_t next = 0;
     while (next < facts.size() && notices.size() < maxJoinNotices) {
         notices.push_back(emptyDatagram(state, probe_kind::Notice, 0));
-        gossip_room room{notices.back()};
-        // The first always fits: names are bounded by the codec, and a longer one is just left out.
-        for (room.add(facts[next++]); next < facts.size() && room.add(facts[next]); ++next) {
+        gossip_writer writer{notices.back()};
+        // The first fact always fits: the codec bounds names, and one with a longer name is left out.
+        for (writer.add(facts[next++]); next < facts.size() && writer.add(facts[next]); ++next) {
         }
     }
     return notices;
--- a/packages/coordination/membership_gossip.h
+++ b/packages/coordination/membership_gossip.h
@@ -5,30 +5,34 @@
 #include <optional>
 #include <string>
 
-// What membership says to peers: the queues of facts and introductions, and the datagrams they ride on.
+// The gossip of the membership protocol: the queues of facts and introductions, and the datagrams that carry
+// them.
 namespace briarhead::detail {
 
-/// What is told of a peer. A conclusion from its domain's silence isn't: each daemon draws its own.
+/// The fact to gossip about a peer. Leaves out domainHealth: each daemon infers that by itself.
 peer_fact factOf(const peer_entry &entry);
-/// The suspicion against a peer, for itself to refute; nothing where there is none.
+/// The suspicion against a peer, to be sent to it so that it can refute; nothing if it is considered alive.
 std::optional<peer_fact> suspicionOf(const peer_entry &entry);
 
-/// Queues a fact for gossip in place of an earlier one on the same peer.
-void spread(membership &state, const peer_fact &fact);
-/// Queues the death of a suspect whose time ran out. It runs out for everybody who heard of the suspicion, so
-/// this fact takes the suspicion's place in the queue instead of a new one.
-void spreadDeath(membership &state, const peer_fact &fact);
-/// Queues it unless the peer has a fact in the queue already.
-void spreadAgain(membership &state, const peer_fact &fact);
-void spreadIntroduction(membership &state, const peer_introduction &introduction);
-/// Ends the gossip of a peer's introduction: it is listed, or dead.
-void endIntroduction(membership &state, const std::string &name);
-
-/// A datagram with `first`, this daemon's own news, then the facts sent least so far.
+/// Queues a fact for gossip; replaces a queued fact about the same peer.
+void queueFact(membership &state, const peer_fact &fact);
+/// Queues the death of a suspect whose time to refute has expired. It expires on every daemon that received
+/// the suspicion, so the fact takes over the suspicion's queue entry and its remaining sends.
+void queueDeath(membership &state, const peer_fact &fact);
+/// Queues a fact unless one about the same peer is queued already.
+void queueFactIfAbsent(membership &state, const peer_fact &fact);
+/// Queues an introduction; replaces a queued one of the same peer.
+void queueIntroduction(membership &state, const peer_introduction &introduction);
+/// Removes a peer's introduction from the queue: the peer is listed now, or dead.
+void removeIntroduction(membership &state, const std::string &name);
+
+/// A datagram with `first`, then facts about this daemon itself, then the queued items with the most sends
+/// left, as far as gossipBudgetBytes allow.
 peer_datagram makeDatagram(membership &state, probe_kind kind, std::uint64_t sequence,
     const std::string &target = {}, const std::optional<peer_fact> &first = {});
 
-/// Notices for a new process: a few of the peers that aren't alive, which its list may show as if they were.
+/// Notices for a new process that name some of the peers that aren't alive, which its live list may still
+/// show as alive.
 std::vector<peer_datagram> joinNotices(membership &state);
 
 }
--- a/packages/coordination/membership_task.cpp
+++ b/packages/coordination/membership_task.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::int64_t ticksPerInterval = 5;
+constexpr std::int64_t ticksPerProbeInterval = 5;
 
 }
 
@@ -20,17 +20,17 @@
     , m_list(list)
     , m_state(std::move(initial))
 {
-    // Daemons that start together with the same seed would all probe the same peer at the same time.
+    // With equal seeds, daemons that start together would all probe the same peer at the same time.
     m_state.random.seed(std::random_device{}());
-    m_bus.on<announce_version>([this](const announce_version &news) {
-        send(notice(m_state, news.version));
+    m_bus.on<announce_version>([this](const announce_version &update) {
+        send(announceVersion(m_state, update.version));
     });
     m_bus.on<drain_began>([this](const drain_began &) {
-        spdlog::info("members: this instance is leaving.");
-        send(leave(m_state));
+        spdlog::info("members: this instance is leaving; notifying peers.");
+        send(announceLeaving(m_state));
         postChanges();
     });
-    const millis tickInterval{m_state.tuning.probeInterval.count / ticksPerInterval};
+    const millis tickInterval{m_state.tuning.probeInterval.count / ticksPerProbeInterval};
     m_tickTimer = eventLoop.timer({}, tickInterval, [this] {
         onTick();
     });
@@ -41,10 +41,10 @@
 
 void membership_task::onDatagram(const peer_address &from, const peer_datagram &datagram)
 {
-    std::optional<peer_version_seen> heard;
-    send(handle(m_state, from, datagram, bootNow(), heard));
-    if (heard) {
-        m_bus.post(*heard);
+    std::optional<peer_version_seen> newerVersion;
+    send(handleDatagram(m_state, from, datagram, bootNow(), newerVersion));
+    if (newerVersion) {
+        m_bus.post(*newerVersion);
     }
 }
 
@@ -56,7 +56,7 @@
 
 void membership_task::pollList()
 {
-    // One poll at a time: two answers out of order would show an old list after a new one.
+    // One poll at a time: two responses out of order would replace a newer list by an older one.
     if (m_polling) {
         return;
     }
@@ -72,34 +72,34 @@
     if (ok == m_listDown) {
         m_listDown = !ok;
         if (ok) {
-            spdlog::info("members: the live list answers again.");
+            spdlog::info("members: the live list responds again.");
         } else {
-            spdlog::warn("members: the live list doesn't answer. Peers are followed by probes alone.");
+            spdlog::warn("members: the live list does not respond; tracking peers by probes alone.");
         }
     }
-    if (!ok || (m_listHeard && view.revision == m_listRevision)) {
+    if (!ok || (m_listReceived && view.revision == m_listRevision)) {
         return;
     }
-    m_listHeard = true;
+    m_listReceived = true;
     m_listRevision = view.revision;
     applyLiveList(m_state, view);
     m_bus.post(live_list_changed{view});
     postChanges();
 }
 
-void membership_task::send(const std::vector<outgoing> &datagrams)
+void membership_task::send(const std::vector<outgoing_datagram> &datagrams)
 {
-    for (const outgoing &each : datagrams) {
-        m_link.datagram(each.to, each.datagram);
+    for (const outgoing_datagram &outgoing : datagrams) {
+        m_link.datagram(outgoing.to, outgoing.datagram);
     }
 }
 
 void membership_task::postChanges()
 {
-    if (m_everPosted && !m_state.changed) {
+    if (m_hasPosted && !m_state.changed) {
         return;
     }
-    m_everPosted = true;
+    m_hasPosted = true;
     m_state.changed = false;
     std::vector<member> members = membersOf(m_state);
     logChanges(members);
@@ -108,24 +108,24 @@
 
 void membership_task::logChanges(const std::vector<member> &members)
 {
-    std::map<std::string, member> now;
-    for (const member &each : members) {
-        const auto before = m_logged.find(each.name);
-        if (before == m_logged.end()) {
-            spdlog::info("members: {} is new, {}.", each.name, nameOf(each.state));
-        } else if (before->second.state != each.state) {
-            spdlog::info("members: {} is {}.", each.name, nameOf(each.state));
-        } else if (before->second.incarnation != 0 && before->second.incarnation != each.incarnation) {
-            spdlog::info("members: {} has a new process.", each.name);
+    std::map<std::string, member> current;
+    for (const member &peer : members) {
+        const auto previous = m_logged.find(peer.name);
+        if (previous == m_logged.end()) {
+            spdlog::info("members: {} is new; state {}.", peer.name, nameOf(peer.state));
+        } else if (previous->second.state != peer.state) {
+            spdlog::info("members: {} is {}.", peer.name, nameOf(peer.state));
+        } else if (previous->second.incarnation != 0 && previous->second.incarnation != peer.incarnation) {
+            spdlog::info("members: {} has been restarted.", peer.name);
         }
-        now.emplace(each.name, each);
+        current.emplace(peer.name, peer);
     }
-    for (const auto &[name, gone] : m_logged) {
-        if (!now.contains(name)) {
-            spdlog::info("members: {} is forgotten.", name);
+    for (const auto &[name, loggedPeer] : m_logged) {
+        if (!current.contains(name)) {
+            spdlog::info("members: {} is dead and off the live list; removed.", name);
         }
     }
-    m_logged = std::move(now);
+    m_logged = std::move(current);
 }
 
 }
--- a/tests/unit/membership_task_test.cpp
+++ b/tests/unit/membership_task_test.cpp
@@ -8,7 +8,7 @@
 namespace briarhead {
 namespace {
 
-/// One daemon's membership on real sockets.
+/// One daemon's membership task on real sockets.
 struct task_daemon
 {
     bus messages;
@@ -25,21 +25,21 @@
         , http(events)
         , list(events, http, "http://127.0.0.1:" + std::to_string(listPort), "x")
     {
-        messages.on<members_changed>([this](const members_changed &news) {
-            members.push_back(news);
+        messages.on<members_changed>([this](const members_changed &change) {
+            members.push_back(change);
         });
-        messages.on<live_list_changed>([this](const live_list_changed &news) {
-            lists.push_back(news);
+        messages.on<live_list_changed>([this](const live_list_changed &change) {
+            lists.push_back(change);
         });
-        messages.on<peer_version_seen>([this](const peer_version_seen &news) {
-            versions.push_back(news);
+        messages.on<peer_version_seen>([this](const peer_version_seen &update) {
+            versions.push_back(update);
         });
         error why;
-        peer_link::handlers calls;
-        calls.onDatagram = [this](const peer_address &from, const peer_datagram &datagram) {
+        peer_link::handlers handlers;
+        handlers.onDatagram = [this](const peer_address &from, const peer_datagram &datagram) {
             task->onDatagram(from, datagram);
         };
-        link = peer_link::open(events, name, 1, {"127.0.0.1", 0}, std::string(64, 'a'), calls, why);
+        link = peer_link::open(events, name, 1, {"127.0.0.1", 0}, std::string(64, 'a'), handlers, why);
         EXPECT_TRUE(link) << message(why);
         membership initial;
         initial.self = {name, "domain", {"127.0.0.1", link->port()}, 80, 1};
@@ -57,7 +57,9 @@
     }
 };
 
-TEST(membership_task, followsListAndPeersAndTellsTheOthers)
+// Two daemons on real sockets: changes of the live list, an announced configuration version and the start of
+// a drain at one of them must be posted at the other.
+TEST(membership_task, postsMembersVersionsAndDrainsOfPeers)
 {
     loop events;
     live_list_standin service(events, millis{0});
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -15,19 +15,19 @@
 constexpr millis tickInterval{100};
 constexpr std::uint64_t firstIncarnation = 1'790'000'000'000;
 
-/// Daemons that exchange datagrams within this process, on a clock of their own.
+/// Simulated daemons that exchange datagrams within this process, on a simulated clock.
 struct test_fleet
 {
     struct node
     {
         membership state;
         bool runs = true;
-        bool cutOff = false; ///< of the cut-off nodes, which hear only each other
+        bool partitioned = false; ///< partitioned nodes exchange datagrams only with each other
     };
     struct in_flight
     {
         std::uint16_t from;
-        outgoing what;
+        outgoing_datagram datagram;
     };
 
     std::vector<node> nodes;
@@ -84,9 +84,9 @@
         nodes[index].runs = true;
     }
 
-    void post(std::size_t from, const std::vector<outgoing> &datagrams)
+    void post(std::size_t from, const std::vector<outgoing_datagram> &datagrams)
     {
-        for (const outgoing &each : datagrams) {
+        for (const outgoing_datagram &each : datagrams) {
             if (std::uniform_real_distribution<>(0, 1)(random) >= loss) {
                 wire.push_back({static_cast<std::uint16_t>(from), each});
             }
@@ -96,21 +96,21 @@
     void deliver()
     {
         while (!wire.empty()) {
-            const auto [from, what] = wire.front();
+            const auto [from, sent] = wire.front();
             wire.pop_front();
-            const std::size_t to = what.to.port - 1U;
+            const std::size_t to = sent.to.port - 1U;
             if (to >= nodes.size()) {
                 continue;
             }
             node &receiver = nodes[to];
-            if (!receiver.runs || receiver.cutOff != nodes[from].cutOff) {
+            if (!receiver.runs || receiver.partitioned != nodes[from].partitioned) {
                 continue;
             }
-            std::optional<peer_version_seen> heard;
+            std::optional<peer_version_seen> newerVersion;
             const peer_address source = nodes[from].state.self.address;
-            post(to, handle(receiver.state, source, what.datagram, now, heard));
-            if (heard) {
-                post(to, notice(receiver.state, heard->version));
+            post(to, handleDatagram(receiver.state, source, sent.datagram, now, newerVersion));
+            if (newerVersion) {
+                post(to, announceVersion(receiver.state, newerVersion->version));
             }
         }
     }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Runs until the condition holds; the time it took, or nothing if it took longer than `bound`.
+    /// Runs until the condition holds; returns the time it took, or nothing if it took longer than `bound`.
     std::optional<millis> runUntil(millis bound, const std::function<bool()> &condition)
     {
         const millis start = now;
@@ -148,10 +148,10 @@
 
     const member &seen(std::size_t by, std::size_t whom) const
     {
-        return nodes[by].state.peers.at(nameAt(whom)).who;
+        return nodes[by].state.peers.at(nameAt(whom)).info;
     }
 
-    /// Whether all running nodes but itself see a node in a state.
+    /// Whether all other running nodes see a node in this state.
     bool allSee(std::size_t whom, peer_state state) const
     {
         for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -173,37 +173,37 @@
     }
 };
 
-constexpr millis patience{60'000};
+constexpr millis maxWait{60'000};
 
-// An entry dies and others go on forwarding requests to it. Everybody must see it dead within seconds,
-// also while the network loses datagrams and the list still shows it; and nobody else may be condemned.
-TEST(membership, everyoneNoticesADeath)
+// Guards against requests that are still forwarded to a dead daemon: all others must see it dead within
+// seconds, also while datagrams get lost and the live list still shows it. No other daemon may be seen dead.
+TEST(membership, deadDaemonIsSeenDeadByAllOthers)
 {
     test_fleet fleet(30, 3);
     fleet.loss = 0.05;
     fleet.run({10'000});
-    // Losses make a suspect now and then, which refutes.
-    EXPECT_TRUE(fleet.runUntil(patience, [&] {
+    // Lost datagrams occasionally make a live daemon suspect, until it refutes.
+    EXPECT_TRUE(fleet.runUntil(maxWait, [&] {
         return fleet.allSeeAll(peer_state::Alive);
     }));
     fleet.nodes[7].runs = false;
-    const auto took = fleet.runUntil(patience, [&] {
+    const auto took = fleet.runUntil(maxWait, [&] {
         return fleet.allSee(7, peer_state::Dead);
     });
     ASSERT_TRUE(took);
-    std::cout << "a death among 30 is known to all after " << took->count << " ms\n";
-    // Condemned is only the dead one.
+    std::cout << "a death among 30 daemons is seen by all after " << took->count << " ms\n";
+    // Only the dead one is seen dead.
     for (std::size_t i = 0; i < 30; ++i) {
         for (std::size_t by = 0; by < 30; ++by) {
-            const bool judged = i != 7 && by != 7 && by != i;
-            EXPECT_FALSE(judged && fleet.seen(by, i).state == peer_state::Dead) << by << " of " << i;
+            const bool mustBeAlive = i != 7 && by != 7 && by != i;
+            EXPECT_FALSE(mustBeAlive && fleet.seen(by, i).state == peer_state::Dead) << by << " of " << i;
         }
     }
-    // A list that lags, or is read again, still shows it: it must not come back.
+    // Another poll of a lagging list still shows it: it must stay dead.
     fleet.showList();
     fleet.run({20'000});
     EXPECT_TRUE(fleet.allSee(7, peer_state::Dead));
-    // Off the list at last, it is forgotten.
+    // Once it is off the list, it is removed.
     fleet.list.instances.erase(test_fleet::nameAt(7));
     fleet.showList();
     EXPECT_TRUE(fleet.runUntil({120'000}, [&] {
@@ -211,16 +211,16 @@
     }));
 }
 
-// A process is paused, is suspected or even declared dead, and wakes up. It is the same process and
-// must be taken back by all; and on waking it must not condemn those whose answers it slept through.
-TEST(membership, aPausedPeerIsTakenBack)
+// A process is paused, becomes suspect or dead, and resumes. It is the same process, so all others must see
+// it alive again; and it must not declare peers dead whose answers arrived during its pause.
+TEST(membership, resumedPeerIsAliveAgainWithItsIncarnation)
 {
     for (const millis pause : {millis{3'000}, millis{30'000}}) {
         test_fleet fleet(12, 3);
         fleet.run({5'000});
-        // Node 9 is a suspect in its eyes as it is paused, and comes back meanwhile.
+        // Node 4 is paused while it suspects node 9, which resumes meanwhile.
         fleet.nodes[9].runs = false;
-        ASSERT_TRUE(fleet.runUntil(patience, [&] {
+        ASSERT_TRUE(fleet.runUntil(maxWait, [&] {
             return fleet.seen(4, 9).state == peer_state::Suspect;
         }));
         fleet.nodes[4].runs = false;
@@ -232,7 +232,7 @@
         for (std::size_t i = 0; i < 12; ++i) {
             EXPECT_TRUE(i == 4 || fleet.seen(4, i).state != peer_state::Dead);
         }
-        EXPECT_TRUE(fleet.runUntil(patience, [&] {
+        EXPECT_TRUE(fleet.runUntil(maxWait, [&] {
             return fleet.allSeeAll(peer_state::Alive);
         }));
         EXPECT_EQ(fleet.seen(0, 4).incarnation, firstIncarnation);
@@ -240,13 +240,13 @@
     }
 }
 
-// An instance restarts. Its new process must replace the old one everywhere, and the old one, paused
-// through all of it, must not speak for the name when it wakes up.
-TEST(membership, aRestartedProcessReplacesItsOldIdentity)
+// An instance is restarted while its old process is only paused. The new process must replace the old one
+// everywhere, and datagrams that the old one sends after it resumes must be ignored.
+TEST(membership, restartedProcessReplacesTheOldIncarnation)
 {
     test_fleet fleet(12, 3);
     fleet.run({5'000});
-    const membership old = fleet.nodes[4].state;
+    const membership oldProcess = fleet.nodes[4].state;
     fleet.restart(4);
     const auto replaced = [&] {
         bool all = true;
@@ -255,26 +255,27 @@
         }
         return all && fleet.allSee(4, peer_state::Alive);
     };
-    EXPECT_TRUE(fleet.runUntil(patience, replaced));
-    membership woken = old;
-    const std::vector<outgoing> late = tick(woken, fleet.now);
+    EXPECT_TRUE(fleet.runUntil(maxWait, replaced));
+    membership resumed = oldProcess;
+    const std::vector<outgoing_datagram> late = tick(resumed, fleet.now);
     ASSERT_FALSE(late.empty());
-    std::optional<peer_version_seen> heard;
+    std::optional<peer_version_seen> newerVersion;
     EXPECT_TRUE(
-        handle(fleet.nodes[0].state, {"127.0.0.1", 5}, late.front().datagram, fleet.now, heard).empty());
-    fleet.post(4, leave(woken));
+        handleDatagram(fleet.nodes[0].state, {"127.0.0.1", 5}, late.front().datagram, fleet.now, newerVersion)
+            .empty());
+    fleet.post(4, announceLeaving(resumed));
     fleet.deliver();
     fleet.run({5'000});
     EXPECT_TRUE(replaced());
 }
 
-// A daemon drains. It still answers probes, and refutes when it is suspected; for new work it must count
-// as leaving all the same, and when it is gone it must be seen dead. So it must when only the list says it.
-TEST(membership, leavingWins)
+// A draining daemon still answers probes and refutes suspicions, but must be seen as leaving, and as dead
+// once it has exited. The same holds when only the live list shows it as leaving.
+TEST(membership, leavingDaemonStaysLeavingUntilItExits)
 {
     test_fleet fleet(12, 3);
     fleet.run({5'000});
-    fleet.post(4, leave(fleet.nodes[4].state));
+    fleet.post(4, announceLeaving(fleet.nodes[4].state));
     fleet.list.instances[test_fleet::nameAt(5)].leaving = true;
     fleet.showList();
     EXPECT_TRUE(fleet.runUntil({5'000}, [&] {
@@ -290,37 +291,37 @@
     fleet.run({20'000});
     EXPECT_TRUE(fleet.allSee(4, peer_state::Leaving) && fleet.allSee(5, peer_state::Leaving));
     fleet.nodes[4].runs = false;
-    EXPECT_TRUE(fleet.runUntil(patience, [&] {
+    EXPECT_TRUE(fleet.runUntil(maxWait, [&] {
         return fleet.allSee(4, peer_state::Dead);
     }));
-    // The next process of that name begins anew.
+    // The next process of that name starts as alive.
     fleet.restart(4);
-    EXPECT_TRUE(fleet.runUntil(patience, [&] {
+    EXPECT_TRUE(fleet.runUntil(maxWait, [&] {
         return fleet.allSee(4, peer_state::Alive);
     }));
 }
 
-// An operator's patch is in force on some entries and not on others: a version must reach all of a fleet
-// within seconds, though each daemon tells only a few peers and datagrams get lost.
-TEST(membership, aVersionReachesAllOfFifty)
+// Guards against an operator's patch that stays in force on only some daemons: a version must reach the whole
+// fleet within seconds, though each daemon notifies only a few peers and datagrams get lost.
+TEST(membership, announcedVersionReachesAllOfFiftyDaemons)
 {
     test_fleet fleet(50, 4);
     fleet.loss = 0.1;
     fleet.run({5'000});
-    fleet.post(0, notice(fleet.nodes[0].state, 42));
+    fleet.post(0, announceVersion(fleet.nodes[0].state, 42));
     EXPECT_TRUE(fleet.runUntil({5'000}, [&] {
-        return std::all_of(fleet.nodes.begin(), fleet.nodes.end(), [](const test_fleet::node &each) {
-            return each.state.configVersion == 42;
+        return std::all_of(fleet.nodes.begin(), fleet.nodes.end(), [](const test_fleet::node &node) {
+            return node.state.configVersion == 42;
         });
     }));
-    EXPECT_TRUE(fleet.runUntil(patience, [&] {
+    EXPECT_TRUE(fleet.runUntil(maxWait, [&] {
         return fleet.seen(1, 0).configVersion == 42;
     }));
 }
 
-// A new daemon takes a server over before the lagging list shows it. Entries must learn where it is, and
-// it must learn who is dead though the list shows them. It stays while it answers, and then goes.
-TEST(membership, aNewDaemonIsKnownBeforeTheListShowsIt)
+// A new daemon takes over a server before the lagging live list shows it. The others must learn its address,
+// and it must learn which listed daemons are dead. It stays a member as long as it answers.
+TEST(membership, newDaemonIsAMemberBeforeTheListShowsIt)
 {
     test_fleet fleet(20, 4);
     fleet.nodes[3].runs = false;
@@ -343,9 +344,9 @@
     EXPECT_EQ(seen.callerPort, 80);
     fleet.run({120'000});
     EXPECT_TRUE(fleet.allSee(20, peer_state::Alive));
-    // The next new daemon has to learn of it as well, though its introduction has long gone round.
+    // The next new daemon must learn of it as well, though the gossip of its introduction has ended long ago.
     applyLiveList(fleet.add("domain-new", false).state, fleet.list);
-    EXPECT_TRUE(fleet.runUntil(patience, [&] {
+    EXPECT_TRUE(fleet.runUntil(maxWait, [&] {
         return fleet.nodes[21].state.peers.contains(test_fleet::nameAt(20));
     }));
     fleet.nodes[20].runs = false;
@@ -354,9 +355,9 @@
     }));
 }
 
-// A failure domain loses power. Telling of each of its many daemons by gossip would take minutes at fleet
-// sizes; everybody must see all of them dead about as fast as a single one, and nobody else.
-TEST(membership, aLostFailureDomainIsNoticedAtOnce)
+// A failure domain loses power. Gossiping the death of each of its daemons would take minutes in a large
+// fleet; the others must see all of them dead about as fast as a single one, and no other daemon.
+TEST(membership, lostFailureDomainIsSeenDeadWithinSeconds)
 {
     test_fleet fleet(120, 4);
     fleet.run({20'000});
@@ -366,7 +367,7 @@
     for (std::size_t i = 0; i < fleet.nodes.size(); ++i) {
         fleet.nodes[i].runs = !lost(i);
     }
-    const auto took = fleet.runUntil(patience, [&] {
+    const auto took = fleet.runUntil(maxWait, [&] {
         for (std::size_t i = 0; i < fleet.nodes.size(); ++i) {
             if (lost(i) && !fleet.allSee(i, peer_state::Dead)) {
                 return false;
@@ -376,33 +377,33 @@
     });
     ASSERT_TRUE(took);
     EXPECT_LE(took->count, 15'000);
-    std::cout << "the loss of 30 among 120 is known to all after " << took->count << " ms\n";
+    std::cout << "the loss of 30 among 120 daemons is seen by all after " << took->count << " ms\n";
     for (std::size_t i = 0; i < fleet.nodes.size(); ++i) {
         EXPECT_TRUE(lost(i) || fleet.allSee(i, peer_state::Alive)) << i;
     }
-    // One of them starts again: that tells nothing of the others.
+    // One of them restarts: the others must stay dead.
     fleet.restart(1);
-    EXPECT_TRUE(fleet.runUntil(patience, [&] {
+    EXPECT_TRUE(fleet.runUntil(maxWait, [&] {
         return fleet.allSee(1, peer_state::Alive);
     }));
     fleet.run({10'000});
     EXPECT_TRUE(fleet.allSee(5, peer_state::Dead));
 }
 
-// The network between one failure domain and the rest is cut for a minute. Each side holds the other for
-// dead; when the cut is mended both must find each other again without a restart.
-TEST(membership, aHealedPartitionIsOneFleetAgain)
+// One failure domain is partitioned from the rest for a minute, and each side considers the other dead. After
+// the partition has healed, both must see each other alive again without a restart.
+TEST(membership, bothSidesOfAHealedPartitionAreAliveAgain)
 {
     test_fleet fleet(24, 4);
     fleet.run({10'000});
     for (std::size_t i = 1; i < fleet.nodes.size(); i += 4) {
-        fleet.nodes[i].cutOff = true;
+        fleet.nodes[i].partitioned = true;
     }
     fleet.run({60'000});
     EXPECT_EQ(fleet.seen(0, 1).state, peer_state::Dead);
     EXPECT_EQ(fleet.seen(1, 0).state, peer_state::Dead);
     for (test_fleet::node &each : fleet.nodes) {
-        each.cutOff = false;
+        each.partitioned = false;
     }
     const auto took = fleet.runUntil({120'000}, [&] {
         return fleet.allSeeAll(peer_state::Alive);
@@ -411,12 +412,12 @@
     std::cout << "a healed partition of 24 is one fleet again after " << took->count << " ms\n";
 }
 
-// Control traffic has 2 KB a second for each daemon. This is what membership takes of it among 1,200, in and
-// out together, quiet and with every datagram as full of news as it may be.
-TEST(membership, staysWithinItsBytes)
+// Control traffic may use 2 KB/s per daemon. Measures the part used by membership among 1,200 daemons, sent
+// and received, with no facts to gossip and with every datagram filled to the gossip budget.
+TEST(membership, staysWithinItsByteBudget)
 {
     constexpr std::size_t size = 1'200;
-    constexpr std::size_t packetHeadBytes = 28; // IP and UDP
+    constexpr std::size_t ipUdpHeaderBytes = 28;
     constexpr double datagramsPerInterval = 4; // a ping and its ack, out and in
     test_fleet fleet(1, 1);
     membership &state = fleet.nodes[0].state;
@@ -426,33 +427,33 @@
             name, instance_kind::Entry, "", "domain-0", "127.0.0.1", 9, 80, "", false};
     }
     fleet.showList();
-    // Past the time in which it introduces itself.
+    // Past introducePeriod, so that the daemon no longer introduces itself.
     tick(state, fleet.now);
     fleet.now = fleet.now + millis{61'000};
     tick(state, fleet.now);
     const seal_keys keys{};
     const auto bytesOf = [&](std::uint64_t sequence) {
-        std::optional<peer_version_seen> heard;
+        std::optional<peer_version_seen> newerVersion;
         peer_datagram ping{probe_kind::Ping, test_fleet::nameAt(1), firstIncarnation, sequence};
-        const auto acks = handle(state, {"127.0.0.1", 9}, ping, fleet.now, heard);
-        return sealDatagram(keys, encode(acks.front().datagram)).size() + packetHeadBytes;
+        const auto acks = handleDatagram(state, {"127.0.0.1", 9}, ping, fleet.now, newerVersion);
+        return sealDatagram(keys, encode(acks.front().datagram)).size() + ipUdpHeaderBytes;
     };
     state.facts.clear();
-    const std::size_t quiet = bytesOf(1'000'000);
+    const std::size_t idle = bytesOf(1'000'000);
     std::size_t full = 0;
     for (std::uint64_t i = 2; i < 500; ++i) {
-        const peer_datagram news{probe_kind::Notice, test_fleet::nameAt(1), firstIncarnation, 0, "", 0,
+        const peer_datagram notice{probe_kind::Notice, test_fleet::nameAt(1), firstIncarnation, 0, "", 0,
             {{test_fleet::nameAt(i), firstIncarnation + i, peer_state::Suspect, 3}}};
-        std::optional<peer_version_seen> heard;
-        handle(state, {"127.0.0.1", 9}, news, fleet.now, heard);
+        std::optional<peer_version_seen> newerVersion;
+        handleDatagram(state, {"127.0.0.1", 9}, notice, fleet.now, newerVersion);
         full = std::max(full, bytesOf(1'000'000 + i));
     }
     const double perSecond =
         datagramsPerInterval * 1000 / static_cast<double>(probeIntervalFor(state.tuning, size).count);
-    std::cout << "membership among " << size << ": " << quiet << " to " << full << " bytes a datagram, "
-              << static_cast<double>(quiet) * perSecond << " to " << static_cast<double>(full) * perSecond
+    std::cout << "membership among " << size << ": " << idle << " to " << full << " bytes a datagram, "
+              << static_cast<double>(idle) * perSecond << " to " << static_cast<double>(full) * perSecond
               << " bytes a second\n";
-    EXPECT_GT(full, quiet + gossipBudgetBytes - 30);
+    EXPECT_GT(full, idle + gossipBudgetBytes - 30);
     EXPECT_LT(static_cast<double>(full) * perSecond, 1'200);
 }
 
