--- a/packages/coordination/budget_task.cpp
+++ b/packages/coordination/budget_task.cpp
@@ -13,25 +13,25 @@
 budget_task::budget_task(bus &messages, loop &eventLoop)
     : m_bus(messages)
 {
-    m_bus.on<config_changed>([this](const config_changed &news) {
-        m_config = news.current;
+    m_bus.on<config_changed>([this](const config_changed &change) {
+        m_config = change.current;
     });
-    m_bus.on<received<load_ask>>([this](const received<load_ask> &news) {
-        askBudget(m_budget, {news.from, news.body.ticket, news.body.urgency, bootNow()});
-        give();
+    m_bus.on<received<load_ask>>([this](const received<load_ask> &request) {
+        askBudget(m_budget, {request.from, request.body.ticket, request.body.urgency, bootNow()});
+        grantWaiting();
     });
-    m_bus.on<received<load_release>>([this](const received<load_release> &news) {
-        releaseBudget(m_budget, news.from, news.body.ticket);
-        give();
+    m_bus.on<received<load_release>>([this](const received<load_release> &release) {
+        releaseBudget(m_budget, release.from, release.body.ticket);
+        grantWaiting();
     });
     m_timer = eventLoop.timer({tickMs}, {tickMs}, [this] {
         if (!m_budget.waiting.empty() || !m_budget.running.empty()) {
-            give();
+            grantWaiting();
         }
     });
 }
 
-void budget_task::give()
+void budget_task::grantWaiting()
 {
     const policy_config policy = m_config ? m_config->policy : policy_config{};
     for (const auto &grant :
--- a/packages/coordination/budget_task.h
+++ b/packages/coordination/budget_task.h
@@ -8,16 +8,17 @@
 
 namespace briarhead {
 
-/// The task that brokers the weight store's shared rate when this daemon is the first by rendezvous hash for
-/// it. Every daemon runs it; a wrong belief about who brokers costs rate (the store is asked twice as fast
-/// for a while and slows down), never safety, so no lease is needed.
+/// The task that brokers the weight store's shared load budget while this daemon is the first by rendezvous
+/// hash for it: it queues the daemons' load requests and grants them within the configured rate and
+/// concurrency. Every daemon runs it. While daemons disagree on who the broker is, the store may be loaded at
+/// twice its rate and slows down; safety is not affected, so the broker needs no lease.
 class budget_task
 {
 public:
     budget_task(bus &messages, loop &eventLoop);
 
 private:
-    void give();
+    void grantWaiting();
 
     bus &m_bus;
     load_budget m_budget;
--- a/packages/coordination/events.h
+++ b/packages/coordination/events.h
@@ -20,10 +20,10 @@
     std::string name;
     std::string failureDomain;
     peer_address address;
-    std::uint16_t callerPort = 0;
-    std::uint64_t incarnation = 0; ///< 0: not heard yet
+    std::uint16_t callerPort = 0; ///< serves callers
+    std::uint64_t incarnation = 0; ///< 0: unknown, nothing received from it yet
     peer_state state = peer_state::Alive;
-    std::uint64_t configVersion = 0; ///< highest heard from it
+    std::uint64_t configVersion = 0; ///< highest version received from it
 };
 
 /// Membership -> all: the daemons of this region as seen now, self included.
@@ -32,37 +32,38 @@
     std::vector<member> members;
 };
 
-/// Membership -> all: the platform's list changed (backend servers; leaving is final for an incarnation).
+/// Membership -> all: the platform's live list changed. It also lists the backend servers; a leaving flag is
+/// final for an incarnation.
 struct live_list_changed
 {
     live_view view;
 };
 
-/// Config task -> all: a higher version is in force here.
+/// Config task -> all: a higher configuration version is in force here.
 struct config_changed
 {
     config_ptr current;
 };
 
-/// Membership -> config task: a peer holds this version.
+/// Membership -> config task: a peer holds this configuration version, which is above this daemon's.
 struct peer_version_seen
 {
     std::string peer;
     std::uint64_t version = 0;
 };
 
-/// Config task -> membership: tell a few peers now.
+/// Config task -> membership: notify a few peers of this configuration version now.
 struct announce_version
 {
     std::uint64_t version = 0;
 };
 
-/// Peer link -> the task it concerns: a frame from a peer. `from` may be this instance itself.
+/// Peer link -> the subscribed task: a frame from a peer. `from` may be this instance itself.
 template <class message>
 struct received
 {
     std::string from;
-    std::uint64_t incarnation = 0;
+    std::uint64_t incarnation = 0; ///< of the sender's process
     message body;
 };
 
@@ -73,60 +74,61 @@
     peer_message body;
 };
 
-/// Peer link -> all: the link broke, or a send was impossible.
+/// Peer link -> all: the link to a peer broke, or a frame to it could not be sent.
 struct peer_unreachable
 {
     std::string peer;
 };
 
-/// Ownership task -> owner task: this daemon owns the server from now on, with this fencing number.
+/// Ownership task -> owner task: this daemon owns the server from now on, with this fencing token.
 struct server_gained
 {
     live_instance server;
     std::uint64_t fencingToken = 0;
-    bool checksFencing = false;
-    millis earliestRunAt; ///< when the old owner's last unload can no longer arrive
+    bool checksFencing = false; ///< the engine refuses orders with an outdated fencing token
+    millis earliestRunAt; ///< from then on the previous owner's last unload can no longer arrive
     millis
-        earliestEvictAt; ///< on an engine that doesn't check fencing: when the old tenure has ended for sure
-    std::vector<adapter_ref>
-        pinned; ///< still serving the old owner's streams, until earliestEvictAt at the latest
+        earliestEvictAt; ///< where !checksFencing: from then on nothing that the previous owner admitted runs
+    std::vector<adapter_ref> pinned; ///< adapters that still serve the previous owner's streams, until
+                                     ///< earliestEvictAt at the latest
 };
 
-/// Ownership task -> owner task: no orders or new requests to it any more.
+/// Ownership task -> owner task: this daemon no longer owns the server; send it no more orders or requests.
 struct server_lost
 {
     std::string server;
 };
 
-/// Ownership task -> owner task: the lease stands until `until` (own clock); past it only what
-/// `mayOrder` of coordination/ownership.h allows.
+/// Ownership task -> owner task: the session lease is valid until `until` (own clock); after that only what
+/// isOrderAllowed() of coordination/ownership.h permits.
 struct lease_confirmed
 {
     millis until;
 };
 
-/// Owner task -> ownership task: the engine refused our number; another owner holds `fencing`.
+/// Owner task -> ownership task: the engine refused this daemon's fencing token; another owner holds
+/// `fencingToken`.
 struct fencing_refused
 {
     std::string server;
     std::uint64_t fencingToken = 0;
 };
 
-/// Ownership task -> owner task: the old owner's process is known to be gone, so evictions on an engine that
-/// does not check fencing may begin at `earliestEvictAt` already.
+/// Ownership task -> owner task: the previous owner's process has certainly ended, so evictions on an engine
+/// that does not check fencing may begin earlier, at `earliestEvictAt`.
 struct predecessor_exited
 {
     std::string server;
     millis earliestEvictAt;
 };
 
-/// Ownership task -> owner task: stop admitting to this server and say what still runs.
+/// Ownership task -> owner task: stop admitting requests to this server and report what still runs.
 struct release_server
 {
     std::string server;
 };
 
-/// Owner task -> ownership task: the answer to release_server; streams in progress go on to their end.
+/// Owner task -> ownership task: the response to release_server; streams in progress run to their end.
 struct server_released
 {
     std::string server;
@@ -134,21 +136,21 @@
     std::vector<adapter_ref> running;
 };
 
-/// Ownership task -> owner task: who holds a server that is not ours, to redirect entries.
+/// Ownership task -> owner task: which daemon owns a server that this one does not own, to redirect entries.
 struct owner_known
 {
     std::string server;
     std::string owner;
 };
 
-/// Owner task -> ownership task: the engine came up cold. It has forgotten its fencing number, so ours has to
-/// be put there again before anything is run on it.
+/// Owner task -> ownership task: the engine was restarted and has lost its fencing token, so this daemon's
+/// token must be installed again before anything is run on it.
 struct engine_restarted
 {
     std::string server;
 };
 
-/// Owner task -> main: nothing runs or waits here any more, after drain_began.
+/// Owner task -> main: after drain_began, no request runs or waits here any more.
 struct owner_drained
 {
 };
--- a/packages/coordination/key_journal.cpp
+++ b/packages/coordination/key_journal.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// What a record takes besides its texts, and an entry of byExpiry besides its key, roughly.
+/// Estimated memory of a record without its strings, and of an entry of byExpiry without its key.
 constexpr std::size_t recordBytes = sizeof(key_record) + 64;
 constexpr std::size_t expiryBytes = sizeof(std::pair<millis, std::string>);
 
 std::size_t bytesOf(const std::string &key, const key_record &record)
 {
-    return recordBytes + key.size() + record.contentType.size() + record.answer.size();
+    return recordBytes + key.size() + record.contentType.size() + record.responseBody.size();
 }
 
 std::size_t bytesOfExpiry(const std::string &key)
@@ -21,95 +21,97 @@
     return expiryBytes + key.size();
 }
 
-using record_at = std::map<std::string, key_record, std::less<>>::iterator;
+using record_iterator = std::map<std::string, key_record, std::less<>>::iterator;
 
-void eraseRecord(key_journal &journal, record_at at)
+void eraseRecord(key_journal &journal, record_iterator record)
 {
-    journal.bytes -= bytesOf(at->first, at->second);
-    journal.records.erase(at);
+    journal.bytes -= bytesOf(record->first, record->second);
+    journal.records.erase(record);
 }
 
-/// Whether an attempt may run, by its number alone. Guards against a key with two homes: the first attempt
-/// runs at a home that an entry reached while it took this one for dead, the repeat comes here, where no
-/// record is. It shows as one order placed twice. The number is the caller's own word on what came before; a
-/// home's view of the members can't stand in for it, since the entry's view may have been another. An attempt
-/// without a number is not the first.
-bool mayRun(const key_record *record, std::uint32_t number)
+/// Whether an attempt may run, judged by its number and the record. Guards against a request that is executed
+/// twice because its key had two homes: an entry considers this daemon dead and runs the first attempt
+/// through another home, then the repeated request arrives here, where there is no record. Only the caller's
+/// attempt number says that there was an earlier attempt; this home's view of the members does not, since the
+/// entry's view may have differed. An attempt without a number (0) does not count as the first.
+bool mayRun(const key_record *record, std::uint32_t attemptNumber)
 {
-    return record == nullptr ? number == 1 : record->notRun && number == record->number + 1;
+    return record == nullptr ? attemptNumber == 1
+                             : record->notRun && attemptNumber == record->attemptNumber + 1;
 }
 
-/// Records the attempt as started; false when the journal has no room.
-bool recordStarted(key_journal &journal, const key_begin &ask, millis now)
+/// Records the attempt as started; returns false if the journal is full.
+bool recordStarted(key_journal &journal, const key_begin &request, millis now)
 {
     key_record record;
-    record.attempt = ask.id;
-    record.number = ask.attempt;
-    record.expires = now + millis{ask.retentionMs};
-    const std::size_t added = bytesOf(ask.key, record) + bytesOfExpiry(ask.key);
+    record.attemptId = request.id;
+    record.attemptNumber = request.attempt;
+    record.expiresAt = now + millis{request.retentionMs};
+    const std::size_t added = bytesOf(request.key, record) + bytesOfExpiry(request.key);
     if (journal.bytes + added > maxJournalBytes) {
         return false;
     }
     journal.bytes += added;
-    journal.byExpiry.emplace_back(record.expires, ask.key);
-    journal.records.emplace(ask.key, std::move(record));
+    journal.byExpiry.emplace_back(record.expiresAt, request.key);
+    journal.records.emplace(request.key, std::move(record));
     return true;
 }
 
-/// Keeps the answer if it fits. Without it the record stays Started: a repeat is told that the outcome is
-/// unknown, rather than done with an answer that can't be given.
-void keepAnswer(key_journal &journal, record_at at, const key_finish &end)
+/// Stores the response if it fits. If it doesn't, the record stays Started, so that a repeated request gets
+/// an unknown outcome rather than Finished without the response.
+void storeResponse(key_journal &journal, record_iterator found, const key_finish &report)
 {
-    const std::size_t added = end.answer.size() + end.contentType.size();
-    if (end.answer.size() > maxStoredResponseBytes || journal.bytes + added > maxJournalBytes) {
+    const std::size_t added = report.answer.size() + report.contentType.size();
+    if (report.answer.size() > maxStoredResponseBytes || journal.bytes + added > maxJournalBytes) {
         return;
     }
     journal.bytes += added;
-    key_record &record = at->second;
+    key_record &record = found->second;
     record.state = key_state::Finished;
-    record.status = end.status;
-    record.contentType = end.contentType;
-    record.answer = end.answer;
+    record.status = report.status;
+    record.contentType = report.contentType;
+    record.responseBody = report.answer;
 }
 
 }
 
-key_verdict beginKey(key_journal &journal, const key_begin &ask, millis now)
+key_verdict beginKey(key_journal &journal, const key_begin &request, millis now)
 {
     expireKeys(journal, now);
-    auto at = journal.records.find(ask.key);
-    if (at != journal.records.end() && at->second.expires <= now) {
-        eraseRecord(journal, at);
-        at = journal.records.end();
+    auto found = journal.records.find(request.key);
+    if (found != journal.records.end() && found->second.expiresAt <= now) {
+        eraseRecord(journal, found);
+        found = journal.records.end();
     }
-    const key_record *record = at == journal.records.end() ? nullptr : &at->second;
+    const key_record *record = found == journal.records.end() ? nullptr : &found->second;
     if (record != nullptr && !record->notRun) {
-        // Guards against an attempt that runs twice, seen as one order placed twice: also the attempt that
-        // is recorded itself gets no second Fresh, as its first one may have been acted on.
-        return {ask.id, record->state, record->status, record->contentType, record->answer};
+        // Guards against an attempt that runs twice: even the recorded attempt itself doesn't get a second
+        // Fresh, since it may have run after its first one.
+        return {request.id, record->state, record->status, record->contentType, record->responseBody};
     }
-    if (!mayRun(record, ask.attempt)) {
-        return {ask.id, key_state::CantKnow};
+    if (!mayRun(record, request.attempt)) {
+        return {request.id, key_state::CantKnow};
     }
     if (record != nullptr) {
-        eraseRecord(journal, at);
+        eraseRecord(journal, found);
     }
-    // A full journal can't promise that a later repeat will be known, so the attempt must not start.
-    return {ask.id, recordStarted(journal, ask, now) ? key_state::Fresh : key_state::CantKnow};
+    // With a full journal a repeated request would not be recognised later, so the attempt must not start.
+    return {request.id, recordStarted(journal, request, now) ? key_state::Fresh : key_state::CantKnow};
 }
 
-void finishKey(key_journal &journal, const key_finish &end, millis now)
+void finishKey(key_journal &journal, const key_finish &report, millis now)
 {
-    const auto at = journal.records.find(end.key);
-    // Guards against a late end of an earlier attempt that frees or finishes the key of a later one.
-    if (at == journal.records.end() || at->second.attempt != end.id || at->second.expires <= now
-        || at->second.state != key_state::Started || at->second.notRun) {
+    const auto found = journal.records.find(report.key);
+    // Guards against a late report on an earlier attempt that releases or finishes the key of a later one.
+    if (found == journal.records.end() || found->second.attemptId != report.id
+        || found->second.expiresAt <= now || found->second.state != key_state::Started
+        || found->second.notRun) {
         return;
     }
-    if (end.result == outcome::NotRun) {
-        at->second.notRun = true;
-    } else if (end.result == outcome::Done) {
-        keepAnswer(journal, at, end);
+    if (report.result == outcome::NotRun) {
+        found->second.notRun = true;
+    } else if (report.result == outcome::Done) {
+        storeResponse(journal, found, report);
     }
 }
 
@@ -119,10 +121,10 @@
         const std::string key = std::move(journal.byExpiry.front().second);
         journal.byExpiry.pop_front();
         journal.bytes -= bytesOfExpiry(key);
-        // A key that was freed and begun again has a later end of its own.
-        const auto at = journal.records.find(key);
-        if (at != journal.records.end() && at->second.expires <= now) {
-            eraseRecord(journal, at);
+        // A key that was released and started again has a later expiry of its own.
+        const auto found = journal.records.find(key);
+        if (found != journal.records.end() && found->second.expiresAt <= now) {
+            eraseRecord(journal, found);
         }
     }
 }
--- a/packages/coordination/key_journal.h
+++ b/packages/coordination/key_journal.h
@@ -11,37 +11,40 @@
 
 namespace briarhead {
 
-/// What the home daemon of an idempotency key remembers.
+/// What the home of an idempotency key stores about it.
 struct key_record
 {
     key_state state = key_state::Started;
-    std::uint32_t number = 1; ///< of the attempt, as the caller counts
-    bool notRun = false; ///< the attempt certainly did not run; the next number may
-    request_id attempt;
-    millis expires;
-    int status = 0;
+    std::uint32_t attemptNumber = 1; ///< as counted by the caller, from 1
+    bool notRun = false; ///< the attempt certainly did not run, so the next number may
+    request_id attemptId;
+    millis expiresAt;
+    int status = 0; ///< HTTP status of the response, once Finished
     std::string contentType;
-    std::string answer;
+    std::string responseBody;
 };
 
+/// A larger response isn't stored: the key's outcome stays unknown to repeated requests.
 constexpr std::size_t maxStoredResponseBytes = 64 * 1024;
+/// A full journal lets no new attempt start.
 constexpr std::size_t maxJournalBytes = 64 * 1024 * 1024;
 
-/// The journal of one home.
+/// The records of all keys whose home is this daemon.
 struct key_journal
 {
-    std::map<std::string, key_record, std::less<>> records;
-    std::deque<std::pair<millis, std::string>> byExpiry;
-    std::size_t bytes = 0;
+    std::map<std::string, key_record, std::less<>> records; ///< by key
+    std::deque<std::pair<millis, std::string>> byExpiry; ///< expiry time and key, oldest first
+    std::size_t bytes = 0; ///< estimated memory of both
 };
 
-/// Asks to run an attempt. Fresh records it as started, and is given only to attempt 1 of a key without a
-/// record, or to the attempt after one that is recorded as not run. That no record is here proves nothing:
-/// another daemon may have been home, or have been taken for it by an entry with another view of the members.
-key_verdict beginKey(key_journal &journal, const key_begin &ask, millis now);
-/// Ends an attempt: Done keeps the answer, NotRun lets the next attempt run, Unknown keeps it started.
-void finishKey(key_journal &journal, const key_finish &end, millis now);
-/// Forgets what has expired.
+/// Requests to run an attempt. Returns Fresh, and records the attempt as started, only for attempt 1 of a key
+/// without a record, or for the attempt after one that is recorded as not run. A missing record alone isn't
+/// enough: another daemon may have been home before, or an entry with another view of the members may have
+/// considered another daemon the home.
+key_verdict beginKey(key_journal &journal, const key_begin &request, millis now);
+/// Ends an attempt: Done stores the response, NotRun lets the next attempt run, Unknown leaves it started.
+void finishKey(key_journal &journal, const key_finish &report, millis now);
+/// Removes expired records.
 void expireKeys(key_journal &journal, millis now);
 
 }
--- a/packages/coordination/key_task.h
+++ b/packages/coordination/key_task.h
@@ -10,8 +10,8 @@
 
 namespace briarhead {
 
-/// The task that answers for idempotency keys whose home this daemon is (first by rendezvous hash over the
-/// live daemons).
+/// The task that serves the idempotency keys whose home is this daemon, that is, the first by rendezvous hash
+/// over the daemons of keyHomeCandidates(). Other daemons' requests for a key get the state NotHome.
 class key_task
 {
 public:
@@ -21,11 +21,11 @@
     bus &m_bus;
     std::string m_self;
     key_journal m_journal;
-    std::vector<std::string> m_homes;
+    std::vector<std::string> m_candidates;
     std::shared_ptr<void> m_timer;
 };
 
-/// The daemons that may be home of a key: alive or suspect, not leaving.
+/// The names of the daemons that may be home of a key: alive or suspect, not leaving.
 std::vector<std::string> keyHomeCandidates(const std::vector<member> &members);
 
 }
--- a/packages/coordination/rendezvous.cpp
+++ b/packages/coordination/rendezvous.cpp
@@ -48,7 +48,7 @@
 
 bool ranksBefore(const ranked_node &a, const ranked_node &b)
 {
-    // Equal scores fall back to the name, so that every daemon gets one order whatever its list's order.
+    // Equal scores are ordered by name, so that the order doesn't depend on that of the input list.
     return a.score != b.score ? a.score > b.score : a.name < b.name;
 }
 
--- a/tests/unit/key_journal_test.cpp
+++ b/tests/unit/key_journal_test.cpp
@@ -17,46 +17,46 @@
 }
 
 key_finish finish(
-    std::uint64_t sequence, outcome result, const std::string &answer = "text", const std::string &key = "k")
+    std::uint64_t sequence, outcome result, const std::string &body = "text", const std::string &key = "k")
 {
-    return {{"i", 1, sequence}, key, result, 200, "text/plain", answer};
+    return {{"i", 1, sequence}, key, result, 200, "text/plain", body};
 }
 
 }
 
-// Any order of attempts, ends and expiries, with late and stray ends among them: a key is let run once, and
-// again only by the next number after an attempt that certainly did not run.
+// Random sequences of attempts, reports and expiries, including late reports and reports on other attempts: a
+// key gets Fresh once, and again only for the next number after an attempt that certainly did not run.
 RC_GTEST_PROP(KeyJournal, AtMostOneFreshPerKeyWithinTheRetentionUnlessItDidNotRun, ())
 {
     key_journal journal;
     std::optional<millis> startedAt;
-    std::uint64_t starter = 0;
+    std::uint64_t startedSequence = 0;
     std::uint32_t startedNumber = 0;
-    bool freed = false;
+    bool released = false;
     std::uint64_t sequence = 0;
     millis now{5'000};
     for (const int step : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 500))) {
         now = now + millis{step % 250};
-        const std::uint64_t asked = ++sequence;
-        const bool held = startedAt && now - *startedAt < millis{retentionMs};
+        const std::uint64_t attempt = ++sequence;
+        const bool retained = startedAt && now - *startedAt < millis{retentionMs};
         if (step % 5 < 3) {
             const auto number = static_cast<std::uint32_t>(step % 4);
-            const auto verdict = beginKey(journal, begin(asked, number), now);
+            const auto verdict = beginKey(journal, begin(attempt, number), now);
             if (verdict.state == key_state::Fresh) {
-                RC_ASSERT((held ? freed && number == startedNumber + 1 : number == 1U));
+                RC_ASSERT((retained ? released && number == startedNumber + 1 : number == 1U));
                 startedAt = now;
-                starter = asked;
+                startedSequence = attempt;
                 startedNumber = number;
-                freed = false;
+                released = false;
             }
         } else if (step % 5 == 3) {
-            const auto ending =
-                *rc::gen::inRange<std::uint64_t>(1, asked + 1); // now and then a stranger's or a late one
+            const auto reported =
+                *rc::gen::inRange<std::uint64_t>(1, attempt + 1); // may be another or an earlier attempt
             const auto result = *rc::gen::element(outcome::Done, outcome::NotRun, outcome::Unknown);
-            freed = freed
-                || (held && ending == starter && result == outcome::NotRun
+            released = released
+                || (retained && reported == startedSequence && result == outcome::NotRun
                     && journal.records["k"].state == key_state::Started);
-            finishKey(journal, finish(ending, result), now);
+            finishKey(journal, finish(reported, result), now);
         } else {
             expireKeys(journal, now);
         }
@@ -67,7 +67,7 @@
     RC_ASSERT(journal.bytes == 0U);
 }
 
-TEST(KeyJournal, ARepeatGetsTheKeptAnswer)
+TEST(KeyJournal, ARepeatedRequestGetsTheStoredResponse)
 {
     key_journal journal;
     EXPECT_EQ(beginKey(journal, begin(1), {5'000}).state, key_state::Fresh);
@@ -80,17 +80,17 @@
     EXPECT_EQ(beginKey(journal, begin(4), {5'000 + retentionMs}).state, key_state::Fresh);
 }
 
-// The first attempt ran at another home: an entry took this one for dead. The caller repeats it, and this
-// home has never heard of the key. Taking that for "never ran" would place the order twice.
-TEST(KeyJournal, AHomeRunsOnlyWhatTheCallerCallsItsFirstAttempt)
+// The first attempt ran through another home, because an entry considered this one dead. The caller repeats
+// it here, where the key has no record. Treating that as "never ran" would execute the request twice.
+TEST(KeyJournal, WithoutARecordOnlyAttemptOneIsFresh)
 {
     key_journal journal;
     EXPECT_EQ(beginKey(journal, begin(1, 2, "repeat"), {5'999}).state, key_state::CantKnow);
-    EXPECT_EQ(beginKey(journal, begin(2, 0, "unsaid"), {5'999}).state, key_state::CantKnow);
+    EXPECT_EQ(beginKey(journal, begin(2, 0, "unnumbered"), {5'999}).state, key_state::CantKnow);
     EXPECT_EQ(beginKey(journal, begin(3, 1, "first"), {5'999}).state, key_state::Fresh);
 }
 
-TEST(KeyJournal, AfterAnAttemptThatDidNotRunTheNextNumberMay)
+TEST(KeyJournal, AfterAnAttemptThatDidNotRunOnlyTheNextNumberIsFresh)
 {
     key_journal journal;
     beginKey(journal, begin(1), {5'000});
@@ -100,7 +100,7 @@
     EXPECT_EQ(beginKey(journal, begin(4, 2), {5'004}).state, key_state::Fresh);
 }
 
-TEST(KeyJournal, AnAnswerTooLargeToKeepLeavesTheOutcomeUnknown)
+TEST(KeyJournal, AResponseTooLargeToStoreLeavesTheOutcomeUnknown)
 {
     key_journal journal;
     beginKey(journal, begin(1), {5'000});
@@ -108,7 +108,7 @@
     EXPECT_EQ(beginKey(journal, begin(2, 2), {5'002}).state, key_state::Started);
 }
 
-TEST(KeyJournal, AFullJournalStartsNothingItCouldNotRemember)
+TEST(KeyJournal, AFullJournalStartsNoAttempt)
 {
     key_journal journal;
     journal.bytes = maxJournalBytes;
--- a/tests/unit/rendezvous_test.cpp
+++ b/tests/unit/rendezvous_test.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-std::vector<std::string> numbered(const std::string &stem, int count)
+std::vector<std::string> numbered(const std::string &prefix, int count)
 {
     std::vector<std::string> names;
     names.reserve(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i) {
-        names.push_back(stem + std::to_string(i));
+        names.push_back(prefix + std::to_string(i));
     }
     return names;
 }
@@ -38,7 +38,7 @@
     }
 }
 
-RC_GTEST_PROP(Rendezvous, TheOrderIsByScoreWhateverTheListsOrder,
+RC_GTEST_PROP(Rendezvous, TheOrderIsByScoreForAnyOrderOfTheInput,
     (const std::string &key, const std::set<std::string> &names))
 {
     std::vector<std::string> nodes(names.begin(), names.end());
@@ -50,8 +50,9 @@
     std::reverse(nodes.begin(), nodes.end());
     RC_ASSERT(rendezvousOrder(key, nodes, 0) == order);
     const auto count = *rc::gen::inRange<std::size_t>(1, 8);
-    const auto few = rendezvousOrder(key, nodes, count);
-    RC_ASSERT(few == std::vector<std::string>(order.begin(), order.begin() + std::min(count, order.size())));
+    const auto first = rendezvousOrder(key, nodes, count);
+    RC_ASSERT(
+        first == std::vector<std::string>(order.begin(), order.begin() + std::min(count, order.size())));
 }
 
 TEST(Rendezvous, KeysSpreadEvenlyOverNodes)
