--- a/packages/coordination/ownership.cpp
+++ b/packages/coordination/ownership.cpp
@@ -17,14 +17,14 @@
     "keep", "take_over", "claim_on_engine", "release", "wait"};
 static_assert(stepNames.size() == static_cast<std::size_t>(ownership_step::Wait) + 1);
 
-/// Renewals that may fail in a row before the lease is lost.
+/// Renewals in a row that must fail before the lease is lost.
 constexpr std::int64_t renewalsPerLease = 3;
 
 constexpr std::uint64_t hashBits = 16;
 constexpr std::uint64_t hashMask = (1U << hashBits) - 1;
 constexpr std::uint64_t roundMask = 0xff;
 
-/// Clocks of two instances may run apart by this part of the time they measure.
+/// Upper bound of the drift between the clocks of two instances.
 constexpr std::int64_t clockDriftPerThousand = 1;
 
 std::optional<json> parseObject(std::string_view text, const char *where, error &why)
@@ -82,32 +82,36 @@
     return true;
 }
 
-/// What the holder of a server does about it.
-ownership_step holdersStep(const ownership_view &view)
+/// The next step of the daemon that owns the server by the record.
+ownership_step ownersStep(const ownership_view &view)
 {
-    // A release is a write to the record, so it waits for the service; meanwhile the server is served.
-    if (!view.serviceUp) {
+    // A release writes the record, so it waits until the service is reachable; meanwhile this daemon goes on
+    // serving the server.
+    if (!view.serviceReachable) {
         return ownership_step::Keep;
     }
-    if (view.holderSessionGone && !view.selfLeaving) {
-        // Guards against two owners after a lapse: a new session doesn't bring the old tenure back, since
-        // another daemon may have seen the old one gone and be writing its own name. Only the swap decides.
-        return view.selfLeased ? ownership_step::TakeOver : ownership_step::Wait;
+    if (view.ownerSessionEnded && !view.selfLeaving) {
+        // Guards against two owners after the lease has expired: a new session doesn't restore the ownership,
+        // since another daemon may have seen the old session end and be writing its own name. Only the
+        // compare-and-swap decides.
+        return view.selfHasLease ? ownership_step::TakeOver : ownership_step::Wait;
     }
-    // Not settled: a release would tell the next owner that no unload is on its way, and one of the owner
-    // before may be.
-    const bool spare = view.proposed != view.self && !view.proposed.empty() && view.owned > view.fairShare;
-    return (view.selfLeaving || spare) && view.settled ? ownership_step::Release : ownership_step::Keep;
+    // A release states that no unload is in flight, so it must wait until those of the predecessor can no
+    // longer arrive.
+    const bool aboveFairShare =
+        view.preferredOwner != view.self && !view.preferredOwner.empty() && view.ownedCount > view.fairShare;
+    return (view.selfLeaving || aboveFairShare) && view.predecessorUnloadsDone ? ownership_step::Release
+                                                                               : ownership_step::Keep;
 }
 
-/// Whether nobody can give orders by the record's present tenure, as far as that must be excluded.
+/// Whether the server can be taken over as far as its recorded owner is concerned.
 ///
-/// An engine that checks fencing refuses the old owner from the new one's first order on, so there a dead
-/// holder's lease need not be waited for. On any other engine a holder that looks dead may be paused and
-/// wake up, which would show as an adapter unloaded under a request; there only the service's word counts.
-bool orphaned(const ownership_view &view)
+/// An engine that checks fencing refuses the old owner from the new owner's first order on, so a dead owner's
+/// lease need not expire first. On any other engine, an owner that looks dead may only be paused and resume
+/// later, and would then unload an adapter while a request runs on it; so its session must have ended.
+bool hasNoOwner(const ownership_view &view)
 {
-    return view.holder.empty() || view.holderSessionGone || (view.holderDead && view.checksFencing);
+    return view.owner.empty() || view.ownerSessionEnded || (view.ownerDead && view.checksFencing);
 }
 
 }
@@ -183,36 +187,36 @@
     return fencingTokenOf(epochOf(seen)) | (round << hashBits) | hash;
 }
 
-millis pacedPause(std::size_t members)
+millis fleetCallInterval(std::size_t members)
 {
-    return {static_cast<std::int64_t>(static_cast<double>(members) * 1000.0 / renewalsPerSecond)};
+    return {static_cast<std::int64_t>(static_cast<double>(members) * 1000.0 / maxFleetCallsPerSecond)};
 }
 
-millis renewInterval(millis leaseTtl, std::size_t members)
+millis renewIntervalFor(millis leaseTtl, std::size_t members)
 {
-    return {std::max(leaseTtl.count / renewalsPerLease, pacedPause(members).count)};
+    return {std::max(leaseTtl.count / renewalsPerLease, fleetCallInterval(members).count)};
 }
 
-millis leaseLength(millis leaseTtl, std::size_t members)
+millis leaseTtlFor(millis leaseTtl, std::size_t members)
 {
-    return {std::max(leaseTtl.count, renewInterval(leaseTtl, members).count * renewalsPerLease)};
+    return {std::max(leaseTtl.count, renewIntervalFor(leaseTtl, members).count * renewalsPerLease)};
 }
 
 ownership_step decideOwnership(const ownership_view &view)
 {
-    if (view.holderMine) {
-        return holdersStep(view);
+    if (view.ownedBySelf) {
+        return ownersStep(view);
     }
-    if (view.selfLeaving || view.proposed != view.self) {
+    if (view.selfLeaving || view.preferredOwner != view.self) {
         return ownership_step::Keep;
     }
-    if (!orphaned(view)) {
-        return view.holderDead ? ownership_step::Wait : ownership_step::Keep;
+    if (!hasNoOwner(view)) {
+        return view.ownerDead ? ownership_step::Wait : ownership_step::Keep;
     }
-    if (!view.serviceUp) {
+    if (!view.serviceReachable) {
         return view.checksFencing ? ownership_step::ClaimOnEngine : ownership_step::Wait;
     }
-    return view.selfLeased ? ownership_step::TakeOver : ownership_step::Wait;
+    return view.selfHasLease ? ownership_step::TakeOver : ownership_step::Wait;
 }
 
 bool isOrderAllowed(order_kind kind, bool checksFencing, millis leaseUntil, millis now)
@@ -220,38 +224,40 @@
     if (checksFencing) {
         return true;
     }
-    // Guards against an old owner that unloads what its successor serves: it would show as a stream broken in
-    // its middle. An unload or a change of role ends with the lease; a run or a load into a free slot takes
-    // nothing from a successor, which leaves the slots alone until earliestEvictionTime.
+    // Guards against an old owner that unloads an adapter on which its successor runs a request, which breaks
+    // the stream. Unloads and role changes end with the lease. A run or a load into a free slot can't harm
+    // the successor, which evicts nothing before its earliestEvictionTime.
     const bool harmless = kind == order_kind::Run || kind == order_kind::LoadFree;
     return now < (harmless ? leaseUntil + millis{leaseExpiryGraceMs} : leaseUntil);
 }
 
-millis earliestRunTime(millis takenAt, bool checksFencing, bool oldReleasedInOrder)
+millis earliestRunTime(millis takeoverAt, bool checksFencing, bool predecessorReleased)
 {
     // On an engine that doesn't check fencing, an unload sent at the very end of the old lease may still be
-    // on its way. A run admitted before it lands would be served by an adapter that is about to go.
-    return checksFencing || oldReleasedInOrder ? takenAt : takenAt + millis{maxOrderLatencyMs};
+    // in flight. A run admitted before it arrives would lose its adapter.
+    return checksFencing || predecessorReleased ? takeoverAt : takeoverAt + millis{maxOrderLatencyMs};
 }
 
-millis earliestEvictionTime(millis takenAt, millis maxDeadline, bool oldReleasedInOrder, millis releasedDrain)
+millis earliestEvictionTime(
+    millis takeoverAt, millis maxDeadline, bool predecessorReleased, millis releasedDrain)
 {
-    if (oldReleasedInOrder) {
-        return takenAt + releasedDrain;
+    if (predecessorReleased) {
+        return takeoverAt + releasedDrain;
     }
-    // The old owner may be unaware that its tenure has ended. By mayOrder it admits runs for
-    // leaseExpiryGraceMs after its lease's end, which the service saw no later than `takenAt`; the last of
-    // these reaches the engine within maxOrderLatencyMs and ends by its deadline, at most maxDeadline later.
-    // Its clock may be slower than ours, so the sum is stretched. Only then can no adapter be in use that we
-    // don't know of.
-    const std::int64_t tenureMs = leaseExpiryGraceMs + maxOrderLatencyMs + maxDeadline.count;
-    return takenAt + millis{tenureMs + tenureMs * clockDriftPerThousand / 1000};
+    // The previous owner may not know that its ownership has ended. By isOrderAllowed() it admits runs until
+    // leaseExpiryGraceMs after its lease's end, which was no later than `takeoverAt`; the last of these
+    // reaches the engine within maxOrderLatencyMs and ends by its deadline, at most maxDeadline later. Its
+    // clock may be slower than this daemon's, so the sum is extended by the clock drift. Before then an
+    // adapter may be in use without this daemon's knowledge.
+    const std::int64_t remainingUseMs = leaseExpiryGraceMs + maxOrderLatencyMs + maxDeadline.count;
+    return takeoverAt + millis{remainingUseMs + remainingUseMs * clockDriftPerThousand / 1000};
 }
 
 millis drainAtRelease(millis now, millis streamsEnd, millis earliestEvictAt)
 {
-    // Guards against a chain: a paused owner, its successor, and a third that takes the successor's release
-    // for the end of all earlier work and unloads what the first, awake again within its grace, runs on.
+    // Guards against a chain of three owners: the first is paused, the second releases the server, and the
+    // third takes that release for the end of all earlier requests and unloads an adapter on which the first,
+    // resumed within its grace period, still runs requests.
     return std::max(std::max(streamsEnd, earliestEvictAt), now) - now;
 }
 
--- a/packages/coordination/ownership_task.h
+++ b/packages/coordination/ownership_task.h
@@ -18,9 +18,10 @@
 
 namespace briarhead {
 
-/// The task that decides which backend servers this daemon owns. It holds the daemon's one session lease,
-/// reads and swaps owner records, puts fencing numbers on engines, and tells the owner task what it gained
-/// or lost. It reads only records of servers that it is proposed for, so its calls don't grow with the fleet.
+/// The task that decides which backend servers this daemon owns. It keeps the daemon's session lease, reads
+/// and swaps owner records, installs fencing tokens on engines, and notifies the owner task of servers gained
+/// and lost. It reads only the records of servers for which this daemon is the preferred owner, so the number
+/// of its calls doesn't grow with the fleet.
 class ownership_task
 {
 public:
@@ -28,72 +29,73 @@
     {
         std::string self;
         std::uint64_t incarnation = 0;
-        millis leaseTtl{10'000};
+        millis leaseTtl{10'000}; ///< for small fleets; see leaseTtlFor()
     };
 
     ownership_task(
         bus &messages, loop &eventLoop, kv_client &kv, http_client &orders, fence &guard, options given);
 
 private:
-    /// One engine of the region, as this task knows it.
-    struct tracked
+    /// One backend server (engine) of the region, as this task sees it.
+    struct tracked_server
     {
-        live_instance where;
-        std::string proposed;
-        owner_record record;
-        std::int64_t revision = -1; ///< -1: the record was not read yet
-        millis readAt;
-        bool reread = false; ///< the old owner has released it
-        bool holderSessionGone = false;
+        live_instance instance;
+        std::string preferredOwner; ///< first by rendezvous hash over m_candidates
+        owner_record record; ///< as last read
+        std::int64_t revision = -1; ///< of the record; -1: must be read before the next write
+        millis readAt; ///< when the record was last read
+        bool rereadRequested = false; ///< a peer reported that it has released the server
+        bool ownerSessionEnded = false;
         millis sessionReadAt;
-        std::optional<engine_state> engine;
+        std::optional<engine_state> engine; ///< nothing before the engine has responded
         millis engineReadAt;
-        bool busy = false; ///< a call that ends in a change of this entry is under way
-        bool active = false; ///< the owner task has it
-        bool retake = false; ///< ours, but the epoch must rise before orders go on
-        bool refence = false; ///< the engine restarted: our number has to be put there again
+        bool callPending = false; ///< a call that ends in a change of this entry is in flight
+        bool active = false; ///< handed to the owner task by server_gained
+        bool epochRaiseNeeded =
+            false; ///< the session was lost: take over again before the lease is confirmed
+        bool fencingNeeded = false; ///< the engine was restarted: its fencing token must be installed again
         bool releasing = false;
-        std::uint64_t fencingToken = 0; ///< the number we hold while active
-        bool outageClaim = false; ///< held by the engine's word only
-        std::uint64_t lostTo = 0; ///< a higher number that the engine refused ours for
-        owner_record previous; ///< whose tenure ours followed
-        bool previousOpen = false; ///< it may still have something running
+        std::uint64_t fencingToken = 0; ///< held while active
+        bool outageClaim = false; ///< claimed on the engine only, not by a record
+        std::uint64_t supersededBy = 0; ///< the higher token for which the engine refused this daemon's
+        owner_record predecessor; ///< the record before this daemon took over
+        bool predecessorMayRun = false; ///< the predecessor's process may still be running
         millis earliestRunAt;
         millis earliestEvictAt;
     };
 
-    void onMembers(const members_changed &news);
-    void onLiveList(const live_list_changed &news);
-    void onReleased(const server_released &answer);
-    void propose();
+    void onMembers(const members_changed &change);
+    void onLiveList(const live_list_changed &change);
+    void onReleased(const server_released &released);
+    void updatePreferredOwners();
 
     void tick();
     void renew();
     void openSession();
-    void leaseConfirmed(millis sentAt);
-    void leaseLost();
-    millis retryPause();
-    void serviceAnswered(kv_status status);
+    void onLeaseConfirmed(millis sentAt);
+    void onLeaseLost();
+    millis retryDelay();
+    void onServiceStatus(kv_status status);
 
-    void look(tracked &server);
-    void readRecord(tracked &server);
-    void readSession(tracked &server);
+    void reconcile(tracked_server &server);
+    void readRecord(tracked_server &server);
+    void readSession(tracked_server &server);
     void writeSession(std::int64_t lease, millis ttl, millis sentAt);
-    millis longestDeadline() const;
-    void readEngine(tracked &server);
-    void takeOver(tracked &server);
-    void claimOnEngine(tracked &server);
-    void putFence(tracked &server, std::uint64_t fencingToken);
-    void gained(tracked &server, std::uint64_t fencingToken);
-    void lose(tracked &server);
-    void release(tracked &server);
-    void watchOldTenure(tracked &server);
+    millis maxDeadline() const;
+    void readEngine(tracked_server &server);
+    void takeOver(tracked_server &server);
+    void claimOnEngine(tracked_server &server);
+    void installFencingToken(tracked_server &server, std::uint64_t fencingToken);
+    void onAcquired(tracked_server &server, std::uint64_t fencingToken);
+    void dropServer(tracked_server &server);
+    void release(tracked_server &server);
+    void checkPredecessor(tracked_server &server);
 
-    bool mine(const owner_record &record) const;
-    ownership_view viewOf(const tracked &server) const;
-    const member *memberNamed(const std::string &name) const;
-    tracked *find(const std::string &name);
-    tracked *answered(const std::string &name);
+    bool isOwn(const owner_record &record) const;
+    ownership_view viewOf(const tracked_server &server) const;
+    const member *findMember(const std::string &name) const;
+    tracked_server *find(const std::string &name);
+    tracked_server *finishCall(const std::string &name);
 
     bus &m_bus;
     loop &m_loop;
@@ -101,22 +103,22 @@
     http_client &m_orders;
     fence &m_fence;
     options m_options;
-    std::map<std::string, tracked> m_servers;
-    std::map<std::string, member> m_members;
-    std::vector<std::string> m_candidates; ///< live daemons that may own
+    std::map<std::string, tracked_server> m_servers; ///< by name
+    std::map<std::string, member> m_members; ///< by name
+    std::vector<std::string> m_candidates; ///< names of the live daemons that may own servers
     config_ptr m_config;
-    std::int64_t m_lease = 0;
+    std::int64_t m_lease = 0; ///< the session's lease id; 0: none
     std::int64_t m_sessionRevision = 0;
-    millis m_leaseUntil;
+    millis m_leaseUntil; ///< end of the lease as last confirmed
     millis m_renewAt;
     millis m_ttl; ///< of the lease as granted
-    millis m_claimAt; ///< not before: claims of a whole fleet are spread over time
-    bool m_sessionBusy = false;
+    millis m_claimAt; ///< earliest time of the next claim, by fleetCallInterval()
+    bool m_sessionCallPending = false;
     bool m_hadLease = false;
-    bool m_serviceUp = true;
-    int m_serviceFailures = 0;
+    bool m_serviceReachable = true;
+    int m_serviceFailures = 0; ///< failed calls in a row
     bool m_leaving = false;
-    std::uint32_t m_owned = 0;
+    std::uint32_t m_ownedCount = 0;
     std::mt19937_64 m_random;
     std::shared_ptr<void> m_timer;
 };
