--- a/packages/coordination/owner_engine.cpp
+++ b/packages/coordination/owner_engine.cpp
@@ -113,7 +113,7 @@
     }
     // An engine that has just started has no base model: order it to load the one that the live list names.
     if (state.baseModel.empty() && state.role != "loading" && !server.baseLoadOrdered && acceptsWork(server)
-        && mayOrder(order_kind::Role, server.checksFencing, m_leaseUntil, now)) {
+        && isOrderAllowed(order_kind::Role, server.checksFencing, m_leaseUntil, now)) {
         server.baseLoadOrdered = true;
         spdlog::info(
             "owner: ordering {} to load its base model {}.", server.instance.name, server.instance.service);
@@ -137,7 +137,7 @@
             }
             // Only a report made after our own claim shows which requests of the previous owner are still
             // running. An earlier one may miss a request that the previous owner sent later.
-            if (!found->checksFencing || report->fencing < found->fencingToken) {
+            if (!found->checksFencing || report->fencingToken < found->fencingToken) {
                 return;
             }
             std::set<adapter_ref> running;
--- a/packages/coordination/owner_loads.cpp
+++ b/packages/coordination/owner_loads.cpp
@@ -145,7 +145,7 @@
         return;
     }
     const adapter_ref adapter = demands[*next].adapter;
-    if (!mayOrder(order_kind::LoadFree, server.checksFencing, m_leaseUntil, now)) {
+    if (!isOrderAllowed(order_kind::LoadFree, server.checksFencing, m_leaseUntil, now)) {
         return;
     }
     if (usedSlots(server) < server.slots) {
@@ -170,7 +170,7 @@
 {
     const bool isPresent = wanted != nullptr && (wanted->resident || wanted->loading);
     const bool mustWait = !isPresent && !server.checksFencing && usedSlots(server) >= server.slots;
-    return mustWait ? server.mayEvictAt : now;
+    return mustWait ? server.earliestEvictAt : now;
 }
 
 /// The adapter to evict for `wanted`, or nothing if every slot is in use, awaited by requests, or hotter.
@@ -178,8 +178,8 @@
     const owned_server &server, const adapter_ref &wanted) const
 {
     const millis now = bootNow();
-    const bool mayEvict = mayOrder(order_kind::Evict, server.checksFencing, m_leaseUntil, now)
-        && (server.checksFencing || now >= server.mayEvictAt);
+    const bool mayEvict = isOrderAllowed(order_kind::Evict, server.checksFencing, m_leaseUntil, now)
+        && (server.checksFencing || now >= server.earliestEvictAt);
     if (!mayEvict) {
         return std::nullopt;
     }
@@ -192,7 +192,7 @@
         view.adapter = ref;
         view.inFlight = slot.inFlight;
         view.waiting = static_cast<std::uint32_t>(slot.waiting.size());
-        view.pinned = slot.pinned && now < server.mayEvictAt;
+        view.pinned = slot.pinned && now < server.earliestEvictAt;
         view.loading = slot.loading || slot.unloading;
         view.rate = decayed(slot.arrivals, now).slow;
         view.loadedAt = slot.loadedAt;
@@ -234,7 +234,7 @@
                 found->polledAt = {};
             }
             if (response.why.kind == error_kind::StaleFencing) {
-                m_bus.post(fencing_refused{name, std::max(response.fencing, found->fencingToken + 1)});
+                m_bus.post(fencing_refused{name, std::max(response.fencingToken, found->fencingToken + 1)});
                 return;
             }
             dispatchWaiting(*found);
@@ -244,7 +244,7 @@
 void owner_task::releaseUnloadLater(const std::string &name, const adapter_ref &adapter)
 {
     const std::uint64_t id = ++m_lastUncertainUnload;
-    m_uncertainUnloads[id] = m_loop.timer({orderLifeMs}, {}, [this, id, name, adapter] {
+    m_uncertainUnloads[id] = m_loop.timer({maxOrderLatencyMs}, {}, [this, id, name, adapter] {
         m_uncertainUnloads.erase(id);
         if (owned_server *found = find(name); found != nullptr) {
             found->adapters[adapter].unloading = false;
@@ -291,7 +291,7 @@
     server.polledAt = {};
     if (response.why.kind == error_kind::StaleFencing) {
         m_bus.post(
-            fencing_refused{server.instance.name, std::max(response.fencing, server.fencingToken + 1)});
+            fencing_refused{server.instance.name, std::max(response.fencingToken, server.fencingToken + 1)});
         return;
     }
     ++slot.failures;
--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -75,12 +75,13 @@
         return;
     }
     const millis now = bootNow();
-    if (!server->stateKnown || server->role != "serving" || server->claimLost || now < server->mayRunAt) {
+    if (!server->stateKnown || server->role != "serving" || server->claimLost
+        || now < server->earliestRunAt) {
         refuse(from, request, error_kind::NoServer, "the server is starting",
-            std::max(millis{startingPollMs}, server->mayRunAt - now));
+            std::max(millis{startingPollMs}, server->earliestRunAt - now));
         return;
     }
-    if (!mayOrder(order_kind::Run, server->checksFencing, m_leaseUntil, now)) {
+    if (!isOrderAllowed(order_kind::Run, server->checksFencing, m_leaseUntil, now)) {
         refuse(from, request, error_kind::NotOwner, "the lease has lapsed", {startingPollMs});
         return;
     }
@@ -217,7 +218,7 @@
     run.path = job.request.path;
     run.body = job.request.body;
     run.id = job.request.id;
-    run.fencing = server.fencingToken;
+    run.fencingToken = server.fencingToken;
     run.rank = job.request.rank;
     run.idempotent = job.request.idempotent;
     run.deadline = job.deadline - now;
--- a/packages/coordination/owner_task.cpp
+++ b/packages/coordination/owner_task.cpp
@@ -63,9 +63,9 @@
     m_bus.on<release_server>([this](const release_server &event) {
         onRelease(event.server);
     });
-    m_bus.on<tenure_ended>([this](const tenure_ended &event) {
+    m_bus.on<predecessor_exited>([this](const predecessor_exited &event) {
         if (owned_server *server = find(event.server); server != nullptr) {
-            server->mayEvictAt = event.mayEvictAt;
+            server->earliestEvictAt = event.earliestEvictAt;
         }
     });
     m_bus.on<lease_confirmed>([this](const lease_confirmed &event) {
@@ -89,7 +89,7 @@
         }
         m_liveDaemons = static_cast<std::uint32_t>(std::max<std::size_t>(1, m_brokers.size()));
     });
-    m_bus.on<link_broken>([this](const link_broken &event) {
+    m_bus.on<peer_unreachable>([this](const peer_unreachable &event) {
         // An unreachable broker is skipped at once, before membership notices its death.
         m_brokers.erase(std::remove(m_brokers.begin(), m_brokers.end(), event.peer), m_brokers.end());
         for (auto &entry : m_servers) {
@@ -162,11 +162,11 @@
     server.instance = event.server;
     server.releasing = false;
     server.releaseRequested = false;
-    server.fencingToken = event.fencing;
+    server.fencingToken = event.fencingToken;
     server.claimLost = false;
     server.checksFencing = event.checksFencing;
-    server.mayRunAt = event.mayRunAt;
-    server.mayEvictAt = event.mayEvictAt;
+    server.earliestRunAt = event.earliestRunAt;
+    server.earliestEvictAt = event.earliestEvictAt;
     if (server.isOwned) {
         return; // the same tenure under a higher fencing token
     }
@@ -246,7 +246,7 @@
             released.running.push_back(ref);
         }
     }
-    released.drain = releaseDrain(now, streamsEndAt, server.mayEvictAt);
+    released.drain = drainAtRelease(now, streamsEndAt, server.earliestEvictAt);
     m_bus.post(released);
 }
 
--- a/packages/coordination/owner_task.h
+++ b/packages/coordination/owner_task.h
@@ -92,8 +92,8 @@
         bool draining = false; ///< drained by an operator
         std::uint64_t fencingToken = 0;
         bool checksFencing = false;
-        millis mayRunAt; ///< see server_gained
-        millis mayEvictAt; ///< see server_gained
+        millis earliestRunAt; ///< see server_gained
+        millis earliestEvictAt; ///< see server_gained
         bool claimLost = false; ///< the engine restarted and does not know our fencing token yet
         bool pinsKnown =
             true; ///< a report made under our own fencing token shows which pinned adapters are free
