--- a/packages/serving/serving_config.cpp
+++ b/packages/serving/serving_config.cpp
@@ -8,14 +8,14 @@
 
 namespace briarhead {
 
-std::string_view nameOf(repeat_kind value)
+std::string_view nameOf(route_kind value)
 {
     switch (value) {
-    case repeat_kind::Idempotent:
+    case route_kind::Idempotent:
         return "idempotent";
-    case repeat_kind::Once:
+    case route_kind::Once:
         return "once";
-    case repeat_kind::Stream:
+    case route_kind::Stream:
         return "stream";
     }
     return "unknown";
@@ -53,22 +53,22 @@
     return nullptr;
 }
 
-const std::string &pickService(const route &of, std::string_view requestId)
+const std::string &pickService(const route &from, std::string_view requestId)
 {
     double total = 0;
-    for (const service_share &share : of.services) {
+    for (const service_share &share : from.services) {
         total += share.weight;
     }
-    const double unit = static_cast<double>(rendezvousScore(requestId, of.name))
+    const double unit = static_cast<double>(rendezvousScore(requestId, from.name))
         / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-    double left = unit * total;
-    for (const service_share &share : of.services) {
-        left -= share.weight;
-        if (left < 0) {
+    double remaining = unit * total;
+    for (const service_share &share : from.services) {
+        remaining -= share.weight;
+        if (remaining < 0) {
             return share.service;
         }
     }
-    return of.services.back().service;
+    return from.services.back().service;
 }
 
 const engine_spec *engineOf(const serving_config &config, const std::string &service)
--- a/packages/serving/serving_config.h
+++ b/packages/serving/serving_config.h
@@ -17,14 +17,14 @@
 namespace briarhead {
 
 /// What may be repeated.
-enum class repeat_kind : std::uint8_t
+enum class route_kind : std::uint8_t
 {
     Idempotent, ///< may run more than once
     Once, ///< may run at most once a caller's attempt
     Stream, ///< a series of events; as Once unless the route is resumable
 };
 
-std::string_view nameOf(repeat_kind value);
+std::string_view nameOf(route_kind value);
 
 struct service_share
 {
@@ -37,13 +37,13 @@
     std::string name;
     std::string host; ///< lower case
     std::string prefix; ///< begins and ends with a slash
-    repeat_kind kind = repeat_kind::Once;
+    route_kind kind = route_kind::Once;
     millis timeout{10'000}; ///< the longest a caller is kept waiting for the end of its answer
     millis target{1'000}; ///< to the answer, or to the first event of a stream
     int rank = 0; ///< 0 is the most urgent
     int maxServers = 1; ///< on which one attempt may be tried
     bool resumable = false;
-    bool open = false; ///< callers need no key
+    bool allowAnonymous = false; ///< callers need no key
     std::vector<service_share> services; ///< at least one
 };
 
@@ -61,7 +61,7 @@
     int slots = 1; ///< requests at once
     std::int64_t memoryTokens = 0;
     double weightsMb = 0; ///< for models and adapters together
-    int adapterPlaces = 0;
+    int adapterSlots = 0;
     double loadsPerSecond = 0; ///< from the weight store, over all servers
     std::vector<model_spec> models;
 };
@@ -80,7 +80,7 @@
     std::optional<int> rank; ///< of all its requests, in place of their routes'
     quota_limit limit;
     bool countsTokens = false; ///< else each request is one unit
-    std::int64_t plainTokens = 1; ///< of a request that doesn't say how many
+    std::int64_t defaultTokens = 1; ///< of a request that doesn't say how many
 };
 
 struct serving_config
@@ -92,7 +92,7 @@
     std::vector<client_account> accounts; ///< none: callers need no keys
     std::unordered_map<std::string, std::size_t> accountOfKey; ///< index into `accounts` by keyHash()
     std::unordered_map<std::uint64_t, std::size_t> accountOfHash; ///< by accountHash(); see indexAccounts()
-    std::vector<std::string> remarks; ///< what an operator should mend, though it can be read
+    std::vector<std::string> warnings; ///< what an operator should mend, though it can be read
 
     /// Indices into `routes` by host, longest prefix first; filled by indexRoutes().
     std::unordered_map<std::string, std::vector<std::size_t>> byHost;
@@ -105,7 +105,7 @@
 const route *findRoute(const serving_config &config, std::string_view host, std::string_view target);
 
 /// The service a request goes to: by weight, the same one whenever asked for the same id.
-const std::string &pickService(const route &of, std::string_view requestId);
+const std::string &pickService(const route &from, std::string_view requestId);
 
 /// The engine of a service, or null for plain services and unknown ones.
 const engine_spec *engineOf(const serving_config &config, const std::string &service);
--- a/packages/serving/store_take.cpp
+++ b/packages/serving/store_take.cpp
@@ -141,7 +141,7 @@
         .add("revision", item.revision)
         .add("routes", static_cast<std::int64_t>(m_view.config->routes.size()))
         .add("accounts", static_cast<std::int64_t>(m_view.config->accounts.size()));
-    for (const std::string &remark : m_view.config->remarks) {
+    for (const std::string &remark : m_view.config->warnings) {
         m_log.important("config.remark").add("version", m_view.config->version).add("what", remark);
     }
 }
@@ -187,8 +187,8 @@
         return true;
     }
     m_unreadable.erase(item.key);
-    const bool again = known != m_view.servers.end() && server->born != known->second.born;
-    if (again && server->born < known->second.born) {
+    const bool again = known != m_view.servers.end() && server->startedAtMs != known->second.startedAtMs;
+    if (again && server->startedAtMs < known->second.startedAtMs) {
         return false; // of an earlier start: what it says is over
     }
     if (again) {
@@ -200,12 +200,12 @@
     }
     const bool wasMissing = m_missing.erase(id) > 0;
     const bool isNew = known == m_view.servers.end();
-    const bool news = isNew || wasMissing || !sameForDaemons(known->second, *server);
+    const bool news = isNew || wasMissing || !equalIgnoringModels(known->second, *server);
     if (isNew || known->second.draining != server->draining) {
         m_log.important(server->draining ? "server.draining" : "server.ready")
             .add("server", id)
             .add("service", server->service)
-            .add("born", server->born)
+            .add("born", server->startedAtMs)
             .add("revision", item.revision);
     }
     m_view.servers[id] = std::move(*server);
--- a/packages/serving/store_task.cpp
+++ b/packages/serving/store_task.cpp
@@ -29,7 +29,7 @@
 /// A little less than the looks, which come late now and then.
 millis renewalEvery(const node_settings &settings)
 {
-    const std::int64_t looks = settings.serversCheckTokens ? longLeaseLooks : 1;
+    const std::int64_t looks = settings.serversCheckFencingTokens ? longLeaseLooks : 1;
     return millis{looks * keepEvery.count - keepEvery.count / 2};
 }
 
@@ -57,7 +57,7 @@
 
 millis leaseLength(const node_settings &settings)
 {
-    return std::max(settings.serversCheckTokens ? longLease : leaseTime, settings.leaseMin);
+    return std::max(settings.serversCheckFencingTokens ? longLease : leaseTime, settings.minLease);
 }
 
 store_task::store_task(loop &eventLoop, bus &messages, metadata_store &store, const record_codec &codec,
@@ -254,7 +254,7 @@
                 proveQuotaHomes();
             }
             // Whether the records still stand; servers that check tokens tell themselves.
-            if (m_proof.doubted && !m_reading && !m_settings.serversCheckTokens) {
+            if (m_proof.doubted && !m_reading && !m_settings.serversCheckFencingTokens) {
                 readAll();
             }
         } else if (status == store_status::Missing) {
--- a/tests/load_model/load_model.cpp
+++ b/tests/load_model/load_model.cpp
@@ -1,7 +1,7 @@
 #include "load_model/load_model.h"
 
 #include "serving/choose_server.h"
-#include "serving/heard_server.h"
+#include "serving/observed_server.h"
 #include "serving/place_desk.h"
 
 #include <algorithm>
@@ -68,7 +68,7 @@
     std::string id;
     std::size_t domain = 0;
     place_desk desk;
-    load_pace pace; ///< of its orderer
+    load_estimate pace; ///< of its orderer
     engine_model engine;
     std::set<std::string> resident;
     std::map<std::string, coming_adapter> coming;
@@ -105,7 +105,7 @@
     void refuse(request &one);
     void onEvents(std::size_t server);
     void pump(std::size_t server);
-    order_answer carryOut(model_server &server, const server_order &order);
+    order_result carryOut(model_server &server, const server_order &order);
     void goOnLoading();
     void tellLoads();
     void beats();
@@ -125,8 +125,8 @@
     std::vector<model_spec> m_models;
     std::int64_t m_nowMs = startMs;
     std::vector<model_server> m_servers;
-    std::vector<std::vector<heard_server>> m_heard; ///< by entry, then server
-    std::vector<answer_mix> m_answers; ///< by entry
+    std::vector<std::vector<observed_server>> m_heard; ///< by entry, then server
+    std::vector<response_mix> m_answers; ///< by entry
     std::vector<arrival> m_arrivals;
     std::multimap<std::int64_t, arrival> m_returns;
     std::map<std::string, request> m_requests;
@@ -158,7 +158,7 @@
         server.desk.queue.memoryTokens = plan.engine.memoryTokens;
         m_servers.push_back(std::move(server));
     }
-    m_heard.resize(plan.entries, std::vector<heard_server>(plan.servers));
+    m_heard.resize(plan.entries, std::vector<observed_server>(plan.servers));
     m_answers.resize(plan.entries);
     makeArrivals(seed);
 }
@@ -311,34 +311,34 @@
     std::vector<std::string_view> names;
     std::vector<std::size_t> loads;
     for (std::size_t i = 0; i < m_servers.size(); ++i) {
-        const heard_server &heard = m_heard[what.entry][i];
+        const observed_server &heard = m_heard[what.entry][i];
         model_candidate candidate = candidateOf(heard, key, !what.adapter.empty(), now());
         candidate.excluded = candidate.excluded || m_servers[i].lost || one.excluded.count(i) != 0;
         candidate.sameDomain = m_servers[i].domain == what.entry % m_plan.domains;
         candidates.push_back(candidate);
         names.push_back(m_servers[i].id);
-        loads.push_back(heard.beat.running);
+        loads.push_back(heard.heartbeat.running);
     }
     rankByHash(candidates, names, key);
-    answer_mix &answers = m_answers[what.entry];
+    response_mix &answers = m_answers[what.entry];
     const std::int64_t announced = announcedTokens(m_plan.kinds[what.kind]);
     if (one.tried == 0) {
-        noteAnswer(answers, announced);
+        recordOutputLength(answers, announced);
     }
     prompt_shape prompt = shapeOf(answers, what.promptTokens, announced);
-    prompt.copyShare = copyShareOf(candidates);
+    prompt.copyCostShare = copyCostShareOf(candidates);
     const auto chosen = choose(candidates, loads, prompt);
-    if (!chosen || one.tried >= placesAsked) {
+    if (!chosen || one.tried >= maxServersTried) {
         refuse(one);
         return;
     }
     ++one.tried;
     one.server = chosen;
     model_server &server = m_servers[*chosen];
-    countAsk(m_heard[what.entry][*chosen], what.promptTokens, candidates[*chosen].adapter);
+    countSlotRequest(m_heard[what.entry][*chosen], what.promptTokens, candidates[*chosen].adapter);
     const request_kind &kind = m_plan.kinds[what.kind];
     const millis waited{m_nowMs - one.arrivedMs};
-    const millis wait = patienceOf(millis{m_plan.targetMs}) - waited;
+    const millis wait = maxSlotWait(millis{m_plan.targetMs}) - waited;
     const place_ask ask{one.id, server.id, baseModel, what.adapter, what.promptTokens, announced, kind.rank,
         std::max<std::int64_t>(wait.count, 0), what.atMs + kind.deadlineMs - m_nowMs,
         m_plan.targetMs - waited.count};
@@ -482,7 +482,7 @@
     }
 }
 
-order_answer day::carryOut(model_server &server, const server_order &order)
+order_result day::carryOut(model_server &server, const server_order &order)
 {
     const std::string key = adapterKey(order.model, order.adapter);
     if (order.kind == order_kind::Unload) {
@@ -492,13 +492,13 @@
             server.remembered.pop_back();
         }
         ++server.sequence;
-        return order_answer::Holds;
+        return order_result::Holds;
     }
     if (server.resident.count(key) != 0) {
-        return order_answer::Holds;
+        return order_result::Holds;
     }
     if (server.coming.count(key) != 0) {
-        return order_answer::Accepted;
+        return order_result::Accepted;
     }
     const bool known =
         std::find(server.remembered.begin(), server.remembered.end(), key) != server.remembered.end();
@@ -507,7 +507,7 @@
     ++server.sequence;
     const auto used = static_cast<int>(server.resident.size() + server.coming.size());
     m_result.places = std::max(m_result.places, used);
-    return order_answer::Accepted;
+    return order_result::Accepted;
 }
 
 void day::pump(std::size_t index)
@@ -540,9 +540,9 @@
         underWay += loadsUnderWay(server.desk.ledger);
     }
     for (model_server &server : m_servers) {
-        server.pace.crowd = underWay;
+        server.pace.concurrentLoads = underWay;
         for (const model_server &other : m_servers) {
-            noteHeard(server.pace, &other == &server ? 0 : toPassOn(other.pace, now()));
+            applyPeerEstimate(server.pace, &other == &server ? 0 : estimateToShare(other.pace, now()));
         }
     }
 }
@@ -554,8 +554,8 @@
         const server_beat beat = beatOf(m_servers[i].desk, true, now());
         for (std::size_t entry = 0; entry < m_heard.size(); ++entry) {
             const bool near = m_servers[i].domain == entry % m_plan.domains;
-            if (near || m_nowMs % farBeatEveryMs == 0 || m_heard[entry][i].at.count == 0) {
-                takeBeat(m_heard[entry][i], beat, "", now());
+            if (near || m_nowMs % farBeatEveryMs == 0 || m_heard[entry][i].receivedAt.count == 0) {
+                applyHeartbeat(m_heard[entry][i], beat, "", now());
             }
         }
     }
--- a/tests/load_model/load_model.h
+++ b/tests/load_model/load_model.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 // A day's load on model servers, played in seconds against the decisions that serve callers: the same
-// place_desk, heard_server and choose_server, with engines, weight store, network and callers reduced to
+// place_desk, observed_server and choose_server, with engines, weight store, network and callers reduced to
 // arithmetic. For comparing policies; what it leaves out stands in docs/MEASUREMENTS.md.
 namespace briarhead::load_model {
 
--- a/tests/serving/account_test.cpp
+++ b/tests/serving/account_test.cpp
@@ -32,7 +32,7 @@
 class account_test : public edge_test
 {
 protected:
-    void expectServersSawNoAccount() const
+    void expectNoAccountSent() const
     {
         for (const auto &server : m_plain) {
             for (const front_request &each : server->ran) {
@@ -42,11 +42,11 @@
         }
     }
     /// Asks until the answer has a status, with pauses; the answers that it had before.
-    std::size_t triesUntil(const std::string &path, const std::string &status)
+    std::size_t requestsUntil(const std::string &path, const std::string &status)
     {
         constexpr std::size_t most = 200;
         for (std::size_t tries = 0; tries < most; ++tries) {
-            if (statusOf(answerTo(path)) == status) {
+            if (statusOf(responseTo(path)) == status) {
                 return tries;
             }
             runRounds(50);
@@ -63,18 +63,18 @@
     m_accounts = json::array({account("ana", {"k1", "k2"})});
     m_key = "k2";
     start();
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
 }
 
 TEST_F(account_test, AMissingOrUnknownKeyIsRefusedAtOnceAndRunsNowhere)
 {
     m_accounts = json::array({account("ana", {"k1"})});
     start();
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "401");
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "401");
     m_key = "k1x";
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "401");
-    EXPECT_EQ(statusOf(answerTo("/gen/x", "a1")), "401");
-    EXPECT_EQ(ranOn(m_plain) + ranOn(m_models), 0U);
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "401");
+    EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "401");
+    EXPECT_EQ(requestsRunOn(m_plain) + requestsRunOn(m_models), 0U);
 }
 
 // A caller's key is passed on to a server, or the caller names another account than its own: whoever reads
@@ -86,9 +86,9 @@
     m_key = "k1";
     m_fields = {{"x-briarhead-tenant", "eva"}, {"Connection", "X-Briarhead-Tenant"}};
     start();
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "200");
-    EXPECT_EQ(statusOf(answerTo("/gen/x", "a1")), "200");
-    EXPECT_EQ(statusOf(answerTo("/open/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
+    EXPECT_EQ(statusOf(responseTo("/open/x")), "200");
     for (const auto *servers : {&m_plain, &m_models}) {
         for (const auto &server : *servers) {
             for (const front_request &each : server->ran) {
@@ -104,10 +104,10 @@
     m_accounts = json::array({account("ana", {"k1"})});
     m_fields = {{"X-Briarhead-Tenant", "ana"}};
     start();
-    EXPECT_EQ(statusOf(answerTo("/open/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/open/x")), "200");
     m_key = "nobody's";
-    EXPECT_EQ(statusOf(answerTo("/open/x")), "200");
-    expectServersSawNoAccount();
+    EXPECT_EQ(statusOf(responseTo("/open/x")), "200");
+    expectNoAccountSent();
 }
 
 TEST_F(account_test, AConfigurationWithoutAccountsAsksForNoKeyAndPassesNoneOn)
@@ -115,8 +115,8 @@
     m_key = "k1";
     m_fields = {{"X-Briarhead-Tenant", "ana"}};
     start();
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "200");
-    expectServersSawNoAccount();
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
+    expectNoAccountSent();
 }
 
 // An operator takes a key away. The daemon hears of it as of any change, and from then on the key opens
@@ -126,12 +126,12 @@
     m_accounts = json::array({account("ana", {"k1", "k2"})});
     m_key = "k1";
     start();
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
     m_accounts = json::array({account("ana", {"k2"})});
     putConfig(2);
-    triesUntil("/once/x", "401");
+    requestsUntil("/once/x", "401");
     m_key = "k2";
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
 }
 
 // The store's item with the configuration is kept and passed on to other daemons. They get hashes: nothing
@@ -162,15 +162,15 @@
 {
     m_accounts = json::array({account("ana", {"k1"})});
     m_key = "k1";
-    m_settings.strictWithdrawal = true;
-    m_settings.withdrawnKnown = millis{3'000};
+    m_settings.strictRevocation = true;
+    m_settings.maxRevocationDelay = millis{3'000};
     start();
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
     m_client.trouble = store_trouble::Refuses;
-    triesUntil("/once/x", "503");
-    EXPECT_EQ(statusOf(answerTo("/open/x")), "200");
+    requestsUntil("/once/x", "503");
+    EXPECT_EQ(statusOf(responseTo("/open/x")), "200");
     m_client.trouble = store_trouble::None;
-    triesUntil("/once/x", "200");
+    requestsUntil("/once/x", "200");
 }
 
 // An account has used up its limit. Its next request is told so at once, with when to come back, and runs
@@ -184,31 +184,31 @@
     m_settings.quota = {millis{8'000}, 0, 0};
     m_key = "k1";
     start();
-    triesUntil("/once/x", "429");
-    const std::string last = answerTo("/once/x");
+    requestsUntil("/once/x", "429");
+    const std::string last = responseTo("/once/x");
     EXPECT_EQ(statusOf(last), "429");
     EXPECT_NE(last.find("Retry-After: "), std::string::npos);
-    EXPECT_LE(ranOn(m_plain), 1U); // its burst
+    EXPECT_LE(requestsRunOn(m_plain), 1U); // its burst
     m_key = "k2";
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
 }
 
 TEST(Accounts, AnAccountsRankGoesBeforeItsRoutes)
 {
-    route way;
-    way.rank = 2;
+    route matchedRoute;
+    matchedRoute.rank = 2;
     client_account ana;
-    EXPECT_EQ(rankOf(way, nullptr), 2);
-    EXPECT_EQ(rankOf(way, &ana), 2);
+    EXPECT_EQ(rankOf(matchedRoute, nullptr), 2);
+    EXPECT_EQ(rankOf(matchedRoute, &ana), 2);
     ana.rank = 0;
-    EXPECT_EQ(rankOf(way, &ana), 0);
+    EXPECT_EQ(rankOf(matchedRoute, &ana), 0);
 }
 
 // Tokens are counted as announced; a request that announces none counts as a plain one, and one of whose
 // numbers one can't be read counts by the other.
 TEST(Accounts, ARequestCountsWhatItAnnounces)
 {
-    const auto costWith = [](const std::vector<http_field> &tokens) {
+    const auto unitsWith = [](const std::vector<http_field> &tokens) {
         front_request raw;
         raw.head.method = "POST";
         raw.head.target = "/r/x";
@@ -216,19 +216,19 @@
         raw.head.fields.insert(raw.head.fields.end(), tokens.begin(), tokens.end());
         client_account ana;
         ana.countsTokens = true;
-        ana.plainTokens = 200;
+        ana.defaultTokens = 200;
         error why;
-        return costOf(ana, *platform::requestCodec().readRequest(raw, why));
+        return unitsOf(ana, *platform::requestCodec().readRequest(raw, why));
     };
-    EXPECT_EQ(costWith({}), 200);
-    EXPECT_EQ(costWith({{"X-Briarhead-Token-Count", "1460,80"}}), 1'540);
-    EXPECT_EQ(costWith({{"X-Briarhead-Token-Count", "1460"}}), 1'460);
-    EXPECT_EQ(costWith({{"X-Briarhead-Token-Count", "x,80"}}), 80);
-    EXPECT_EQ(costWith({{"X-Briarhead-Token-Count", "x,y"}}), 200);
-    EXPECT_EQ(costWith({{"X-Briarhead-Token-Count", "-5,80"}}), 80);
-    EXPECT_LE(costWith({{"X-Briarhead-Token-Count", "99999999999999999999,1"}}), 1'000'000'001);
+    EXPECT_EQ(unitsWith({}), 200);
+    EXPECT_EQ(unitsWith({{"X-Briarhead-Token-Count", "1460,80"}}), 1'540);
+    EXPECT_EQ(unitsWith({{"X-Briarhead-Token-Count", "1460"}}), 1'460);
+    EXPECT_EQ(unitsWith({{"X-Briarhead-Token-Count", "x,80"}}), 80);
+    EXPECT_EQ(unitsWith({{"X-Briarhead-Token-Count", "x,y"}}), 200);
+    EXPECT_EQ(unitsWith({{"X-Briarhead-Token-Count", "-5,80"}}), 80);
+    EXPECT_LE(unitsWith({{"X-Briarhead-Token-Count", "99999999999999999999,1"}}), 1'000'000'001);
     client_account byRequests;
-    EXPECT_EQ(costOf(byRequests, {}), 1);
+    EXPECT_EQ(unitsOf(byRequests, {}), 1);
 }
 
 TEST(Accounts, TwoKeysInOneRequestAreRefusedWithTheRemedy)
@@ -273,9 +273,9 @@
     const auto config = configWith(json::array({account("ana", {"k"}), account("eva", {"k", "e"})}), why);
     ASSERT_TRUE(config);
     EXPECT_EQ(config->accounts[config->accountOfKey.at(keyHash("k"))].name, "ana");
-    ASSERT_EQ(config->remarks.size(), 1U);
-    EXPECT_NE(config->remarks[0].find("eva"), std::string::npos);
-    EXPECT_EQ(config->remarks[0].find("\"k\""), std::string::npos);
+    ASSERT_EQ(config->warnings.size(), 1U);
+    EXPECT_NE(config->warnings[0].find("eva"), std::string::npos);
+    EXPECT_EQ(config->warnings[0].find("\"k\""), std::string::npos);
 }
 
 // Whatever bytes stand in the key's field, or in the accounts of a configuration: nothing crashes, and no key
@@ -292,8 +292,8 @@
     RC_ASSERT(request.has_value());
     RC_ASSERT(findField(request->head, "x-briarhead-credential") == nullptr);
     const auto config = configWith(json::array({account("ana", {"the-key"})}), why);
-    const caller_standing standing = standingOf(*config, config->routes[0], request->keyHash);
-    RC_ASSERT((standing.verdict == caller_verdict::Accepted) == (bytes == "the-key"));
+    const auth_result caller = authenticate(*config, config->routes[0], request->keyHash);
+    RC_ASSERT((caller.status == auth_status::Accepted) == (bytes == "the-key"));
     const json odd{{"name", bytes.empty() ? "x" : "n"},
         {"apiKeys", json::array({1, nullptr, json::array({"k"})})}, {"ratePerS", nullptr}};
     (void)configWith(json::array({odd, 7}), why);
--- a/tests/serving/backend_standin.cpp
+++ b/tests/serving/backend_standin.cpp
@@ -12,7 +12,7 @@
 
 constexpr int streamEvents = 4;
 /// From the start of a run that ends the server to that end.
-constexpr millis fatalAfter{60};
+constexpr millis fatalRunTime{60};
 
 std::string valueOf(const front_request &request, const char *name)
 {
@@ -45,13 +45,13 @@
     json object{{"service", m_service},
         {"address", "127.0.0.1:" + std::to_string(advertised == 0 ? port : advertised)}, {"zone", "z"},
         {"slots", 4}, {"state", state}, {"models", json::array()}};
-    if (born != 0) {
-        object["born"] = born;
+    if (startedAtMs != 0) {
+        object["born"] = startedAtMs;
     }
     return object.dump();
 }
 
-void backend_standin::nameLimit(std::optional<double> perSecond)
+void backend_standin::setLimit(std::optional<double> perSecond)
 {
     const millis at = bootNow();
     if (!limits.empty() && limits.back().until.count == 0) {
@@ -68,16 +68,16 @@
 {
     std::vector<millis> times;
     times.reserve(arrivals.size());
-    for (const server_arrival &each : arrivals) {
+    for (const received_request &each : arrivals) {
         if (!each.id.starts_with(excused)) {
             times.push_back(each.at);
         }
     }
-    return briarhead::overLimit(limits, times, bootNow());
+    return briarhead::findLimitViolation(limits, times, bootNow());
 }
 
 /// Fields of an answer, with what the server says of itself.
-std::vector<http_field> backend_standin::withWords(
+std::vector<http_field> backend_standin::withNotices(
     std::vector<http_field> fields, const std::string &requestId)
 {
     if (!limitText.empty()) {
@@ -85,20 +85,20 @@
     }
     if (leaving) {
         fields.push_back({"Server-Leaving", "1"});
-        said.push_back({requestId, bootNow(), true, {}});
+        sentNotices.push_back({requestId, bootNow(), true, {}});
     }
     return fields;
 }
 
-void backend_standin::turnAway(const std::string &requestId, front_reply &reply)
+void backend_standin::reject(const std::string &requestId, front_reply &reply)
 {
-    ++turnedAway;
+    ++rejected;
     auto fields =
-        withWords({{"X-Briarhead-Not-Executed", "1"}, {"X-Briarhead-Request-Id", requestId}}, requestId);
+        withNotices({{"X-Briarhead-Not-Executed", "1"}, {"X-Briarhead-Request-Id", requestId}}, requestId);
     if (now == mood::Sheds && !pauseText.empty()) {
         fields.push_back({"Retry-After", pauseText});
         const double seconds = std::strtod(pauseText.c_str(), nullptr);
-        said.push_back({requestId, bootNow(), false, {static_cast<std::int64_t>(seconds * 1'000)}});
+        sentNotices.push_back({requestId, bootNow(), false, {static_cast<std::int64_t>(seconds * 1'000)}});
     }
     reply.respond(now == mood::Sheds ? 503 : 429, fields, "");
 }
@@ -113,19 +113,19 @@
     } else if (request.head.target == "/v1/report") {
         ++reports;
         arrivals.push_back({"", bootNow()});
-        if (m_modelHeldFrom && bootNow() >= *m_modelHeldFrom) {
+        if (m_modelLoadedAt && bootNow() >= *m_modelLoadedAt) {
             holdsModel = true;
-            m_modelHeldFrom.reset();
+            m_modelLoadedAt.reset();
         }
         json models = json::array();
         if (holdsModel) {
             models.push_back({{"name", "m0"}, {"version", 1}, {"adapters", adapters}});
         }
-        json report{{"seq", sequence}, {"busy", m_modelHeldFrom.has_value()}, {"models", models}};
-        if (born != 0) {
-            report["born"] = born;
+        json report{{"seq", sequence}, {"busy", m_modelLoadedAt.has_value()}, {"models", models}};
+        if (startedAtMs != 0) {
+            report["born"] = startedAtMs;
         }
-        reply->respond(200, withWords({}), report.dump());
+        reply->respond(200, withNotices({}), report.dump());
     } else {
         run(request, reply);
     }
@@ -135,7 +135,7 @@
 {
     const json order = json::parse(request.body);
     orders.push_back(order);
-    const int status = carryOut(order);
+    const int status = applyOrder(order);
     if (orderTime == millis{}) {
         reply->respond(status, {}, "");
         return;
@@ -146,7 +146,7 @@
 }
 
 /// The status of its answer.
-int backend_standin::carryOut(const json &order)
+int backend_standin::applyOrder(const json &order)
 {
     if (order.at("fenceToken").get<std::uint64_t>() < fence) {
         return 412;
@@ -161,19 +161,19 @@
     }
     ++sequence;
     if (adapter.empty() && order.at("opcode") == "load") {
-        m_modelHeldFrom = bootNow() + modelLoadTime;
+        m_modelLoadedAt = bootNow() + modelLoadTime;
         return 202;
     }
     if (order.at("opcode") == "load") {
         adapters.insert(adapter);
-        mostAdapters = std::max(mostAdapters, adapters.size());
+        maxAdapters = std::max(maxAdapters, adapters.size());
         return 202;
     }
     adapters.erase(adapter);
     return 200;
 }
 
-void backend_standin::answerHeld(const std::string &body)
+void backend_standin::respondToHeld(const std::string &body)
 {
     for (const auto &[requestId, reply] : m_held) {
         reply->respond(
@@ -182,12 +182,12 @@
     m_held.clear();
 }
 
-void backend_standin::answerStream(
+void backend_standin::respondWithStream(
     const std::shared_ptr<front_reply> &reply, const std::string &requestId, int from, int to)
 {
     reply->begin(200,
-        withWords({{"X-Briarhead-Request-Id", requestId}, {"X-Briarhead-Server-Stamp", "by-" + id},
-                      {"Content-Type", "text/event-stream"}},
+        withNotices({{"X-Briarhead-Request-Id", requestId}, {"X-Briarhead-Server-Stamp", "by-" + id},
+                        {"Content-Type", "text/event-stream"}},
             requestId));
     for (int i = from; i <= to; ++i) {
         reply->write("id: " + std::to_string(i) + "\ndata: " + id + "\n\n");
@@ -204,24 +204,24 @@
     const std::vector<http_field> signedFields{
         {"X-Briarhead-Request-Id", requestId}, {"X-Briarhead-Server-Stamp", "by-" + id}};
     if (!held) {
-        reply->respond(421, withWords(signedFields), "");
+        reply->respond(421, withNotices(signedFields), "");
         return;
     }
     if (now == mood::Sheds || now == mood::Busy) {
-        turnAway(requestId, *reply);
+        reject(requestId, *reply);
         return;
     }
     ran.push_back(request);
     ranAt.push_back(bootNow());
     if (!fatalBody.empty() && request.body == fatalBody) {
-        runFatal(requestId, reply, !model.empty());
+        runFatalRequest(requestId, reply, !model.empty());
         return;
     }
     const std::string after = valueOf(request, "last-event-id");
     const int first = after.empty() ? 1 : std::stoi(after) + 1;
     switch (now) {
     case mood::Fails:
-        reply->respond(500, withWords(signedFields, requestId), "broken");
+        reply->respond(500, withNotices(signedFields, requestId), "broken");
         return;
     case mood::Unsigned:
         reply->respond(200, {{"X-Briarhead-Request-Id", requestId}}, "not signed");
@@ -236,38 +236,38 @@
         return;
     case mood::Silent:
         reply->onGone([this] {
-            ++left;
+            ++callersGone;
         });
         m_held.emplace_back(requestId, reply);
         return;
     case mood::Slow:
         m_timers.push_back(m_loop.timer(slowness, {}, [this, reply, model, requestId, first] {
-            answerWhole(reply, requestId, model.empty() ? 0 : first);
+            respond(reply, requestId, model.empty() ? 0 : first);
         }));
         return;
     case mood::HoldsStream:
-        answerStream(reply, requestId, first, first + 1);
+        respondWithStream(reply, requestId, first, first + 1);
         m_held.emplace_back(requestId, reply);
         return;
     case mood::CutsStream:
-        answerStream(reply, requestId, first, first + 1);
+        respondWithStream(reply, requestId, first, first + 1);
         reply->write("id: 99\ndata: ha");
         reply->abort();
         return;
     default:
         break;
     }
-    answerWhole(reply, requestId, model.empty() ? 0 : first);
+    respond(reply, requestId, model.empty() ? 0 : first);
 }
 
-void backend_standin::runFatal(
+void backend_standin::runFatalRequest(
     const std::string &requestId, const std::shared_ptr<front_reply> &reply, bool stream)
 {
     if (stream) {
-        answerStream(reply, requestId, 1, 0); // the head alone
+        respondWithStream(reply, requestId, 1, 0); // the head alone
     }
     m_held.emplace_back(requestId, reply);
-    m_timers.push_back(m_loop.timer(fatalAfter, {}, [this, requestId] {
+    m_timers.push_back(m_loop.timer(fatalRunTime, {}, [this, requestId] {
         // Posted, since the call ends this stand-in and with it this timer.
         m_loop.post([call = onFatal, requestId] {
             call(requestId);
@@ -275,17 +275,17 @@
     }));
 }
 
-void backend_standin::answerWhole(
+void backend_standin::respond(
     const std::shared_ptr<front_reply> &reply, const std::string &requestId, int firstEvent)
 {
     if (firstEvent == 0) {
         reply->respond(200,
-            withWords(
+            withNotices(
                 {{"X-Briarhead-Request-Id", requestId}, {"X-Briarhead-Server-Stamp", "by-" + id}}, requestId),
             "served by " + id);
         return;
     }
-    answerStream(reply, requestId, firstEvent, streamEvents);
+    respondWithStream(reply, requestId, firstEvent, streamEvents);
     reply->end();
 }
 
--- a/tests/serving/backend_standin.h
+++ b/tests/serving/backend_standin.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "serving/word_watch.h"
+#include "serving/notice_check.h"
 #include "transport/front_server.h"
 
 #include <nlohmann/json.hpp>
@@ -24,17 +24,17 @@
 
     /// Its entry in the store.
     std::string entry(const std::string &state = "ready") const;
-    void answerStream(
+    void respondWithStream(
         const std::shared_ptr<front_reply> &reply, const std::string &requestId, int from, int to);
 
     /// Names a limit in its answers from now on, or none.
-    void nameLimit(std::optional<double> perSecond);
+    void setLimit(std::optional<double> perSecond);
     /// Whether it got more than its limits allow, all daemons taken together; in words. Requests whose ids
     /// begin as `excused` don't count.
     std::optional<std::string> overLimit(const std::string &excused = "-") const;
 
     /// Answers the requests that were held while Silent.
-    void answerHeld(const std::string &body);
+    void respondToHeld(const std::string &body);
 
     enum class mood : std::uint8_t
     {
@@ -52,7 +52,7 @@
     };
     mood now = mood::Serves;
     std::string id;
-    std::int64_t born = 0; ///< told where it isn't 0
+    std::int64_t startedAtMs = 0; ///< told where it isn't 0
     std::set<std::string> adapters; ///< held
     bool holdsModel = true;
     millis modelLoadTime; ///< a load of the base model is under way for so long
@@ -62,19 +62,19 @@
     std::vector<front_request> ran;
     std::vector<millis> ranAt; ///< when each of those began
     std::vector<nlohmann::json> orders;
-    std::vector<server_arrival> arrivals; ///< requests and reports asked for, also those turned away
-    std::vector<limit_spell> limits; ///< that it named
+    std::vector<received_request> arrivals; ///< requests and reports asked for, also those turned away
+    std::vector<limit_period> limits; ///< that it named
     std::string limitText; ///< named in answers; empty: none
     bool leaving = false; ///< says so in its answers
     std::string pauseText; ///< asked for in answers that turn a request away with 503; empty: none
-    std::vector<said_word> said; ///< that it leaves, or a pause
-    std::size_t left = 0; ///< callers that went away
-    std::size_t turnedAway = 0; ///< requests that it did not take, Busy or Sheds
+    std::vector<sent_notice> sentNotices; ///< that it leaves, or a pause
+    std::size_t callersGone = 0; ///< callers that went away
+    std::size_t rejected = 0; ///< requests that it did not take, Busy or Sheds
     millis slowness{700};
     millis orderTime; ///< from an order, which is carried out at once, to its answer
     std::uint16_t port = 0;
     std::uint16_t advertised = 0; ///< in its entry, where daemons reach it by another port
-    std::size_t mostAdapters = 0; ///< held at a time
+    std::size_t maxAdapters = 0; ///< held at a time
     std::string fatalBody; ///< a request with this body ends the server once it runs; empty: none does
     /// Told of such a run, by the request's id, a moment after it began; whoever set it ends the stand-in.
     std::function<void(const std::string &requestId)> onFatal;
@@ -82,16 +82,17 @@
 private:
     void onRequest(const front_request &request, const std::shared_ptr<front_reply> &reply);
     void onOrder(const front_request &request, const std::shared_ptr<front_reply> &reply);
-    int carryOut(const nlohmann::json &order);
-    std::vector<http_field> withWords(std::vector<http_field> fields, const std::string &requestId = "");
-    void turnAway(const std::string &requestId, front_reply &reply);
+    int applyOrder(const nlohmann::json &order);
+    std::vector<http_field> withNotices(std::vector<http_field> fields, const std::string &requestId = "");
+    void reject(const std::string &requestId, front_reply &reply);
     void run(const front_request &request, const std::shared_ptr<front_reply> &reply);
-    void runFatal(const std::string &requestId, const std::shared_ptr<front_reply> &reply, bool stream);
+    void runFatalRequest(
+        const std::string &requestId, const std::shared_ptr<front_reply> &reply, bool stream);
     /// A stream from `firstEvent` on; 0: a plain answer.
-    void answerWhole(const std::shared_ptr<front_reply> &reply, const std::string &requestId, int firstEvent);
+    void respond(const std::shared_ptr<front_reply> &reply, const std::string &requestId, int firstEvent);
 
     loop &m_loop;
-    std::optional<millis> m_modelHeldFrom; ///< a load of the base model ends then
+    std::optional<millis> m_modelLoadedAt; ///< a load of the base model ends then
     std::string m_service;
     std::unique_ptr<front_server> m_server;
     std::vector<std::pair<std::string, std::shared_ptr<front_reply>>> m_held; ///< by request id
--- a/tests/serving/decisions_test.cpp
+++ b/tests/serving/decisions_test.cpp
@@ -1,9 +1,9 @@
 #include "serving/choose_server.h"
 #include "serving/event_stream.h"
-#include "serving/heard_server.h"
+#include "serving/observed_server.h"
 #include "serving/place_queue.h"
-#include "serving/repeat_budget.h"
 #include "serving/server_ledger.h"
+#include "serving/service_retry_budget.h"
 #include "serving/serving_config.h"
 
 #include <gtest/gtest.h>
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr millis start{50'000};
-constexpr prompt_shape shortAnswer{2'400, false, 1};
-constexpr prompt_shape longAnswer{1'500, true, 1};
+constexpr prompt_shape shortResponse{2'400, false, 1};
+constexpr prompt_shape longResponse{1'500, true, 1};
 
 waiting_prompt prompt(const std::string &id, std::int64_t tokens, millis arrived, int rank = 0)
 {
@@ -222,15 +222,15 @@
 TEST(ChooseServer, ACopyIsMadeOnlyForALongWait)
 {
     model_candidate home;
-    home.adapter = residence::Resident;
+    home.adapter = adapter_residency::Resident;
     home.sameDomain = true;
     home.backlogMs = 500;
     model_candidate idle;
     idle.sameDomain = true;
-    idle.openPlaces = 2;
-    EXPECT_EQ(chooseModelServer({home, idle}, shortAnswer), 0U);
+    idle.availableSlots = 2;
+    EXPECT_EQ(chooseModelServer({home, idle}, shortResponse), 0U);
     home.backlogMs = 1'500;
-    EXPECT_EQ(chooseModelServer({home, idle}, shortAnswer), 1U);
+    EXPECT_EQ(chooseModelServer({home, idle}, shortResponse), 1U);
 }
 
 // Demand for one adapter grows until its server is late. Its users would wait there, while a copy that all of
@@ -238,18 +238,18 @@
 TEST(ChooseServer, AnAdapterThatIsMuchAskedForIsCopiedSooner)
 {
     model_candidate home;
-    home.adapter = residence::Resident;
+    home.adapter = adapter_residency::Resident;
     home.sameDomain = true;
     home.backlogMs = 700;
     model_candidate idle;
     idle.sameDomain = true;
-    idle.openPlaces = 2;
-    prompt_shape prompt = shortAnswer;
-    home.uses = 2;
-    prompt.copyShare = copyShareOf({home, idle});
+    idle.availableSlots = 2;
+    prompt_shape prompt = shortResponse;
+    home.recentUses = 2;
+    prompt.copyCostShare = copyCostShareOf({home, idle});
     EXPECT_EQ(chooseModelServer({home, idle}, prompt), 0U) << "two uses of late";
-    home.uses = 60;
-    prompt.copyShare = copyShareOf({home, idle});
+    home.recentUses = 60;
+    prompt.copyCostShare = copyCostShareOf({home, idle});
     EXPECT_EQ(chooseModelServer({home, idle}, prompt), 1U) << "sixty";
     home.backlogMs = 200;
     EXPECT_EQ(chooseModelServer({home, idle}, prompt), 0U) << "its own load takes longer than the wait";
@@ -260,14 +260,14 @@
 TEST(ChooseServer, AColdAdapterGoesToItsFirstServerWithAnOpenPlace)
 {
     model_candidate second;
-    second.openPlaces = 1;
+    second.availableSlots = 1;
     second.hashRank = 1;
     model_candidate first;
-    first.openPlaces = 1;
+    first.availableSlots = 1;
     first.hashRank = 0;
-    EXPECT_EQ(chooseModelServer({second, first}, shortAnswer), 1U);
-    first.openPlaces = 0;
-    EXPECT_EQ(chooseModelServer({second, first}, shortAnswer), 0U);
+    EXPECT_EQ(chooseModelServer({second, first}, shortResponse), 1U);
+    first.availableSlots = 0;
+    EXPECT_EQ(chooseModelServer({second, first}, shortResponse), 0U);
 }
 
 // Long answers run beside many short ones. A user who waits for a long answer would see it stutter each time
@@ -276,16 +276,16 @@
 TEST(ChooseServer, ShortAnswersKeepAwayFromLongOnesWhichGather)
 {
     model_candidate withLong;
-    withLong.adapter = residence::Resident;
-    withLong.longAnswers = 4;
+    withLong.adapter = adapter_residency::Resident;
+    withLong.longResponses = 4;
     model_candidate without;
-    without.adapter = residence::Resident;
+    without.adapter = adapter_residency::Resident;
     without.backlogMs = 300;
-    EXPECT_EQ(chooseModelServer({withLong, without}, longAnswer), 0U);
-    EXPECT_EQ(chooseModelServer({withLong, without}, shortAnswer), 1U);
+    EXPECT_EQ(chooseModelServer({withLong, without}, longResponse), 0U);
+    EXPECT_EQ(chooseModelServer({withLong, without}, shortResponse), 1U);
     EXPECT_EQ(chooseModelServer({withLong, without}, {500, false, 1}), 0U)
         << "a small prompt hardly disturbs";
-    EXPECT_GT(*costOf(withLong, {6'000, false, 1}), *costOf(withLong, shortAnswer));
+    EXPECT_GT(*costOf(withLong, {6'000, false, 1}), *costOf(withLong, shortResponse));
 }
 
 // Long answers hold their adapters' places for seconds. A user of a rare adapter who asks for one more would
@@ -293,13 +293,13 @@
 TEST(ChooseServer, ALongAnswerDoesNotGatherWhereNoPlaceIsOpen)
 {
     model_candidate full;
-    full.longAnswers = 8;
-    full.openPlaces = 0;
+    full.longResponses = 8;
+    full.availableSlots = 0;
     model_candidate open;
-    open.openPlaces = 1;
-    EXPECT_EQ(chooseModelServer({full, open}, longAnswer), 1U);
-    full.openPlaces = 1;
-    EXPECT_EQ(chooseModelServer({full, open}, longAnswer), 0U);
+    open.availableSlots = 1;
+    EXPECT_EQ(chooseModelServer({full, open}, longResponse), 1U);
+    full.availableSlots = 1;
+    EXPECT_EQ(chooseModelServer({full, open}, longResponse), 0U);
 }
 
 // A rare adapter yielded its place a moment ago and is asked for again. Fetched by another server it would
@@ -307,31 +307,32 @@
 // unless its queue is long.
 TEST(ChooseServer, AServerThatRemembersTheAdapterGoesBeforeOneThatFetchesIt)
 {
-    heard_server lately;
+    observed_server observed;
     server_beat beat;
     beat.server = "s1";
     beat.held = true;
     beat.openPlaces = 1;
     beat.adapters = {{adapterHash("m/a1"), false}, {adapterHash("m/a2"), true}};
-    takeBeat(lately, beat, "n1", start);
+    applyHeartbeat(observed, beat, "n1", start);
     beat.adapters = {{adapterHash("m/a3"), false}};
-    takeBeat(lately, beat, "n1", start);
-    const model_candidate knows = candidateOf(lately, "m/a1", true, lately.at);
-    EXPECT_EQ(knows.adapter, residence::Remembered);
-    EXPECT_EQ(candidateOf(lately, "m/a2", true, lately.at).adapter, residence::Absent)
+    applyHeartbeat(observed, beat, "n1", start);
+    const model_candidate knows = candidateOf(observed, "m/a1", true, observed.receivedAt);
+    EXPECT_EQ(knows.adapter, adapter_residency::Remembered);
+    EXPECT_EQ(candidateOf(observed, "m/a2", true, observed.receivedAt).adapter, adapter_residency::Absent)
         << "never seen resident";
     model_candidate fetches;
-    fetches.openPlaces = 1;
-    EXPECT_EQ(chooseModelServer({fetches, knows}, shortAnswer), 1U);
+    fetches.availableSlots = 1;
+    EXPECT_EQ(chooseModelServer({fetches, knows}, shortResponse), 1U);
     model_candidate busy = knows;
     busy.backlogMs = 1'000;
-    EXPECT_EQ(chooseModelServer({fetches, busy}, shortAnswer), 0U);
+    EXPECT_EQ(chooseModelServer({fetches, busy}, shortResponse), 0U);
     for (int i = 0; i < 100; ++i) {
         beat.adapters = {{adapterHash("m/b" + std::to_string(i)), false}};
-        takeBeat(lately, beat, "n1", start);
+        applyHeartbeat(observed, beat, "n1", start);
     }
-    EXPECT_EQ(candidateOf(lately, "m/a1", true, lately.at).adapter, residence::Absent) << "forgotten by now";
-    EXPECT_LE(lately.lately.size(), rememberedAdapters);
+    EXPECT_EQ(candidateOf(observed, "m/a1", true, observed.receivedAt).adapter, adapter_residency::Absent)
+        << "forgotten by now";
+    EXPECT_LE(observed.recentAdapters.size(), rememberedAdapters);
 }
 
 // What is long differs by deployment: one announces 90 and 522 tokens, another 205 and 955. With a limit
@@ -340,38 +341,39 @@
 TEST(ChooseServer, WhatIsALongAnswerGoesByWhatIsAskedFor)
 {
     const auto mixOf = [](std::int64_t few, std::int64_t many, int manyOfTen) {
-        answer_mix mix;
+        response_mix mix;
         for (int i = 0; i < 400; ++i) {
-            noteAnswer(mix, i * 7 % 10 < manyOfTen ? many : few);
+            recordOutputLength(mix, i * 7 % 10 < manyOfTen ? many : few);
         }
         return mix;
     };
-    const answer_mix first = mixOf(90, 522, 2);
-    EXPECT_FALSE(isLongAnswer(first, 90));
-    EXPECT_TRUE(isLongAnswer(first, 522));
-    EXPECT_EQ(shapeOf(first, 2'400, 522).apart, 1);
-    const answer_mix second = mixOf(205, 955, 6);
-    EXPECT_FALSE(isLongAnswer(second, 205));
-    EXPECT_TRUE(isLongAnswer(second, 955));
-    EXPECT_EQ(shapeOf(second, 2'400, 955).apart, 0) << "the most are long: they can't keep to themselves";
-    EXPECT_FALSE(isLongAnswer(mixOf(300, 300, 5), 300)) << "all alike";
+    const response_mix first = mixOf(90, 522, 2);
+    EXPECT_FALSE(isLongResponse(first, 90));
+    EXPECT_TRUE(isLongResponse(first, 522));
+    EXPECT_EQ(shapeOf(first, 2'400, 522).separation, 1);
+    const response_mix second = mixOf(205, 955, 6);
+    EXPECT_FALSE(isLongResponse(second, 205));
+    EXPECT_TRUE(isLongResponse(second, 955));
+    EXPECT_EQ(shapeOf(second, 2'400, 955).separation, 0)
+        << "the most are long: they can't keep to themselves";
+    EXPECT_FALSE(isLongResponse(mixOf(300, 300, 5), 300)) << "all alike";
 }
 
 TEST(ChooseServer, AServerThatFailsIsLeftAloneAndTriedAgainLater)
 {
-    server_record record;
+    server_health health;
     for (int i = 0; i < 10; ++i) {
-        recordAnswer(record, true, start);
+        recordOutcome(health, true, start);
     }
     model_candidate failing;
-    failing.adapter = residence::Resident;
-    failing.failures = failuresNow(record, start);
+    failing.adapter = adapter_residency::Resident;
+    failing.failureRate = currentFailureRate(health, start);
     model_candidate loaded;
-    loaded.adapter = residence::Resident;
+    loaded.adapter = adapter_residency::Resident;
     loaded.backlogMs = 700;
-    EXPECT_EQ(chooseModelServer({failing, loaded}, shortAnswer), 1U);
-    failing.failures = failuresNow(record, start + millis{15'000});
-    EXPECT_EQ(chooseModelServer({failing, loaded}, shortAnswer), 0U);
+    EXPECT_EQ(chooseModelServer({failing, loaded}, shortResponse), 1U);
+    failing.failureRate = currentFailureRate(health, start + millis{15'000});
+    EXPECT_EQ(chooseModelServer({failing, loaded}, shortResponse), 0U);
 }
 
 TEST(ChooseServer, NothingIsChosenThatCannotServe)
@@ -379,8 +381,8 @@
     model_candidate leaving;
     leaving.excluded = true;
     model_candidate empty;
-    empty.held = false;
-    EXPECT_FALSE(chooseModelServer({leaving, empty}, shortAnswer));
+    empty.modelResident = false;
+    EXPECT_FALSE(chooseModelServer({leaving, empty}, shortResponse));
     plain_candidate out;
     out.excluded = true;
     EXPECT_FALSE(choosePlainServer({out}));
@@ -393,9 +395,9 @@
     near.slots = 6;
     plain_candidate far;
     far.slots = 6;
-    near.mine = 2;
+    near.inFlight = 2;
     EXPECT_EQ(choosePlainServer({far, near}), 1U);
-    near.mine = 3;
+    near.inFlight = 3;
     EXPECT_EQ(choosePlainServer({far, near}), 0U);
 }
 
@@ -403,22 +405,22 @@
 // whatever each of them sees.
 RC_GTEST_PROP(RepeatBudget, AllDaemonsTogetherStayUnderTheBound, ())
 {
-    const repeat_limits limits{0.2, 50, {10'000}};
+    const retry_limits limits{0.2, 50, {10'000}};
     const auto daemons = *rc::gen::inRange<std::size_t>(1, 10);
-    std::vector<repeat_budget> budgets(daemons);
+    std::vector<service_retry_budget> budgets(daemons);
     millis now = start;
     std::size_t requests = 0;
-    std::size_t repeats = 0;
+    std::size_t retries = 0;
     for (int i = 0; i < 400; ++i) {
         now = now + millis{*rc::gen::inRange(0, 20)};
-        repeat_budget &one = budgets[*rc::gen::inRange<std::size_t>(0, daemons)];
+        service_retry_budget &one = budgets[*rc::gen::inRange<std::size_t>(0, daemons)];
         countRequest(one, "service", limits, now);
         ++requests;
-        for (int repeat = *rc::gen::inRange(0, 4); repeat > 0; --repeat) {
-            repeats += takeRepeat(one, "service", limits, daemons, now) ? 1 : 0;
+        for (int attempt = *rc::gen::inRange(0, 4); attempt > 0; --attempt) {
+            retries += tryAcquireRetry(one, "service", limits, daemons, now) ? 1 : 0;
         }
     }
-    RC_ASSERT(static_cast<double>(repeats) <= 0.2 * static_cast<double>(requests) + 50);
+    RC_ASSERT(static_cast<double>(retries) <= 0.2 * static_cast<double>(requests) + 50);
 }
 
 // A server dies in the middle of an event. A user would see half an event, or the same one twice, when
@@ -426,9 +428,9 @@
 TEST(EventStream, PassesOnWholeEventsOnly)
 {
     event_stream stream;
-    EXPECT_EQ(takeEvents(stream, "id: 1\ndata: x\n\nid: 2\nda"), "id: 1\ndata: x\n\n");
+    EXPECT_EQ(extractEvents(stream, "id: 1\ndata: x\n\nid: 2\nda"), "id: 1\ndata: x\n\n");
     EXPECT_EQ(stream.lastId, "1");
-    EXPECT_EQ(takeEvents(stream, "ta: y\n\n"), "id: 2\ndata: y\n\n");
+    EXPECT_EQ(extractEvents(stream, "ta: y\n\n"), "id: 2\ndata: y\n\n");
     EXPECT_EQ(stream.lastId, "2");
     EXPECT_TRUE(stream.partial.empty());
 }
@@ -445,7 +447,7 @@
     std::string passed;
     for (std::size_t at = 0; at < text.size();) {
         const auto size = *rc::gen::inRange<std::size_t>(1, 12);
-        passed += takeEvents(stream, std::string_view(text).substr(at, size));
+        passed += extractEvents(stream, std::string_view(text).substr(at, size));
         at += size;
     }
     RC_ASSERT(passed == text);
--- a/tests/serving/edge_fixture.h
+++ b/tests/serving/edge_fixture.h
@@ -11,9 +11,9 @@
 
 namespace briarhead {
 
-inline std::string statusOf(const std::string &answer)
+inline std::string statusOf(const std::string &response)
 {
-    return answer.substr(9, 3);
+    return response.substr(9, 3);
 }
 
 /// One daemon in this process, two model servers and two plain ones, and a store in memory.
@@ -24,15 +24,15 @@
     fake_store_client m_client{m_store};
     decision_log m_log{-1, "n1"};
     node_settings m_settings;
-    edge_parts m_parts;
+    edge_dependencies m_dependencies;
     std::vector<std::unique_ptr<backend_standin>> m_models;
     std::vector<std::unique_ptr<backend_standin>> m_plain;
     std::unique_ptr<edge_daemon> m_daemon;
     int m_timeoutMs = 4'000;
-    int m_places = 2;
+    int m_adapterSlots = 2;
     int m_promptTokens = 500;
     int m_lastId = 0;
-    std::map<std::string, std::set<std::string>> m_heldAtStart; ///< adapters, by model server
+    std::map<std::string, std::set<std::string>> m_initialAdapters; ///< adapters, by model server
     nlohmann::json m_accounts; ///< client accounts of the configuration; null: it has none
     std::string m_key; ///< that callers send; empty: none
     std::vector<http_field> m_fields; ///< that callers send besides
@@ -41,7 +41,7 @@
     {
         for (const char *id : {"m-1", "m-2"}) {
             m_models.push_back(std::make_unique<backend_standin>(m_loop, id, "llm"));
-            m_models.back()->adapters = m_heldAtStart[id];
+            m_models.back()->adapters = m_initialAdapters[id];
             m_store.put("servers/" + m_models.back()->id, m_models.back()->entry());
         }
         for (const char *id : {"p-1", "p-2"}) {
@@ -55,13 +55,13 @@
         m_settings.ready = {http_testing::loopback, http_testing::freePort()};
         m_settings.peers = {http_testing::loopback, http_testing::freePort()};
         m_settings.metrics = {http_testing::loopback, http_testing::freePort()};
-        m_parts = {&m_client, platform::recordCodec(), platform::requestCodec(),
+        m_dependencies = {&m_client, platform::recordCodec(), platform::requestCodec(),
             [this](error &) {
                 return std::optional<node_settings>(m_settings);
             },
             {}};
         error why;
-        m_daemon = edge_daemon::start(m_loop, m_settings, m_parts, m_log, why);
+        m_daemon = edge_daemon::start(m_loop, m_settings, m_dependencies, m_log, why);
         ASSERT_TRUE(m_daemon) << message(why);
         ASSERT_TRUE(runUntil([this] {
             return m_store.items.count("briarhead/orderer/m-1") == 1
@@ -77,7 +77,7 @@
                 {"service", service}, {"resumable", resumable}};
         };
         const nlohmann::json engine{{"slots", 4}, {"kvTokens", 10'000}, {"weightsMb", 1'000},
-            {"adapterSlots", m_places}, {"loadsPerS", 5},
+            {"adapterSlots", m_adapterSlots}, {"loadsPerS", 5},
             {"models", {{{"name", "m0"}, {"weightsMb", 900}, {"loadS", 0.1}, {"adapterMb", 1}}}}};
         nlohmann::json config{{"version", version},
             {"routes",
@@ -91,7 +91,8 @@
         }
         m_store.put("op/config", config.dump());
     }
-    std::unique_ptr<http_testing::raw_socket> ask(const std::string &path, const std::string &adapter = "")
+    std::unique_ptr<http_testing::raw_socket> sendRequest(
+        const std::string &path, const std::string &adapter = "")
     {
         auto caller = http_testing::raw_socket::connectTo(m_settings.front.port);
         std::string text = "POST " + path + " HTTP/1.1\r\nHost: h\r\nX-Briarhead-Request-Id: id"
@@ -109,9 +110,9 @@
         caller->send(text + "Connection: close\r\nContent-Length: 2\r\n\r\nhi");
         return caller;
     }
-    std::string answerTo(const std::string &path, const std::string &adapter = "")
+    std::string responseTo(const std::string &path, const std::string &adapter = "")
     {
-        const auto caller = ask(path, adapter);
+        const auto caller = sendRequest(path, adapter);
         std::string seen;
         EXPECT_TRUE(runUntil([&] {
             return !caller->receive(seen);
@@ -128,7 +129,7 @@
         }));
         return seen.substr(9, 3);
     }
-    std::size_t ranOn(const std::vector<std::unique_ptr<backend_standin>> &servers) const
+    std::size_t requestsRunOn(const std::vector<std::unique_ptr<backend_standin>> &servers) const
     {
         std::size_t sum = 0;
         for (const auto &server : servers) {
@@ -136,10 +137,10 @@
         }
         return sum;
     }
-    void setAll(std::vector<std::unique_ptr<backend_standin>> &servers, backend_standin::mood how)
+    void setMood(std::vector<std::unique_ptr<backend_standin>> &servers, backend_standin::mood behavior)
     {
         for (const auto &server : servers) {
-            server->now = how;
+            server->now = behavior;
         }
     }
 };
--- a/tests/serving/edge_limit_test.cpp
+++ b/tests/serving/edge_limit_test.cpp
@@ -11,7 +11,7 @@
 {
 protected:
     /// Leaves p-1 as the one plain server and m-1 as the one model server.
-    void keepOneOfEach()
+    void drainSecondOfEach()
     {
         m_store.put("servers/p-2", m_plain[1]->entry("draining"));
         m_store.put("servers/m-2", m_models[1]->entry("draining"));
@@ -21,7 +21,7 @@
     {
         const millis end = bootNow() + span;
         while (bootNow() < end) {
-            m_callers.push_back(ask(path));
+            m_callers.push_back(sendRequest(path));
             runRounds(20);
         }
     }
@@ -34,8 +34,8 @@
 TEST_F(edge_limit_test, AHolderWhoseLeaseMayHaveEndedGrantsLessThanHalf)
 {
     start();
-    keepOneOfEach();
-    m_plain[0]->nameLimit(20);
+    drainSecondOfEach();
+    m_plain[0]->setLimit(20);
     sendMany("/safe/x", {2'000});
     ASSERT_EQ(m_store.items.count("briarhead/orderer/p-1"), 1U);
     m_client.trouble = store_trouble::Refuses;
@@ -45,7 +45,7 @@
     sendMany("/safe/x", {3'000});
     const double rate = static_cast<double>(m_plain[0]->ran.size() - before) * 1'000
         / static_cast<double>((bootNow() - from).count);
-    EXPECT_LT(rate, 20 * unprovenShare + 2) << "two saved turns, and what is on its way";
+    EXPECT_LT(rate, 20 * unconfirmedShare + 2) << "two saved turns, and what is on its way";
 }
 
 // A daemon that had been replaced granted on until its view of the store told it.
@@ -54,22 +54,22 @@
     start();
     other_daemon successor(m_store, m_loop, m_settings.peers, "n2", "m-2");
     runRounds(500);
-    m_models[0]->nameLimit(50);
-    answerTo("/gen/x", "a1");
+    m_models[0]->setLimit(50);
+    responseTo("/gen/x", "a1");
     runRounds(500);
-    successor.ask("m-1");
+    successor.sendSlotRequest("m-1");
     ASSERT_TRUE(runUntil([&] {
-        return successor.lastAnswer.verdict == place_verdict::Granted;
+        return successor.lastResponse.verdict == place_verdict::Granted;
     }));
-    EXPECT_EQ(successor.lastAnswer.limitMilli, 50'000);
+    EXPECT_EQ(successor.lastResponse.limitMilli, 50'000);
     m_client.trouble = store_trouble::Silent; // its own claim of the record must not answer for it
-    successor.lastAnswer = {};
+    successor.lastResponse = {};
     ASSERT_TRUE(runUntil([&] {
-        successor.beatAsSuccessor("m-1");
-        successor.askAs("y", "m-1");
-        return successor.lastAnswer.verdict == place_verdict::Refused;
+        successor.sendHeartbeatAsSuccessor("m-1");
+        successor.sendSlotRequestAs("y", "m-1");
+        return successor.lastResponse.verdict == place_verdict::Refused;
     }));
-    EXPECT_EQ(successor.lastAnswer.why, refusal::Limited);
+    EXPECT_EQ(successor.lastResponse.why, refusal::Limited);
 }
 
 // A new holder didn't know of a limit that the daemons that asked it had been told of; and an answer's word
@@ -77,20 +77,20 @@
 TEST_F(edge_limit_test, AHolderIsToldByAsksAndAfterAnswers)
 {
     start();
-    other_daemon holder(m_store, m_loop, m_settings.peers, "n2", "p-1");
-    keepOneOfEach();
-    m_plain[0]->nameLimit(4);
-    EXPECT_EQ(statusOf(answerTo("/safe/x")), "200"); // it has no limit yet, as far as anybody knows
+    other_daemon owner(m_store, m_loop, m_settings.peers, "n2", "p-1");
+    drainSecondOfEach();
+    m_plain[0]->setLimit(4);
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "200"); // it has no limit yet, as far as anybody knows
     ASSERT_TRUE(runUntil([&] {
-        return !holder.notesHeard.empty();
+        return !owner.limitReports.empty();
     }));
-    EXPECT_EQ(holder.notesHeard.front().limitMilli, 4'000);
-    m_callers.push_back(ask("/safe/x"));
+    EXPECT_EQ(owner.limitReports.front().limitMilli, 4'000);
+    m_callers.push_back(sendRequest("/safe/x"));
     ASSERT_TRUE(runUntil([&] {
-        return !holder.asksHeard.empty();
+        return !owner.slotRequests.empty();
     }));
-    EXPECT_EQ(holder.asksHeard.front().server, "p-1");
-    EXPECT_EQ(holder.asksHeard.front().limitMilli, 4'000);
+    EXPECT_EQ(owner.slotRequests.front().server, "p-1");
+    EXPECT_EQ(owner.slotRequests.front().limitMilli, 4'000);
     EXPECT_EQ(m_plain[0]->ran.size(), 1U);
 }
 
@@ -99,20 +99,20 @@
 {
     start();
     other_daemon other(m_store, m_loop, m_settings.peers, "n2", "p-1");
-    keepOneOfEach();
-    m_models[0]->nameLimit(4);
-    answerTo("/gen/x", "a1");
+    drainSecondOfEach();
+    m_models[0]->setLimit(4);
+    responseTo("/gen/x", "a1");
     ASSERT_TRUE(runUntil([&] {
-        return !other.limitsHeard.empty();
+        return !other.limitsReceived.empty();
     }));
-    EXPECT_EQ(other.limitsHeard.front().server, "m-1");
-    EXPECT_EQ(other.limitsHeard.front().limitMilli, 4'000);
+    EXPECT_EQ(other.limitsReceived.front().server, "m-1");
+    EXPECT_EQ(other.limitsReceived.front().limitMilli, 4'000);
     other.limits = {{"p-1", 3'000, 0}};
-    other.beat();
+    other.sendHeartbeat();
     runRounds(50);
-    m_callers.push_back(ask("/safe/x"));
+    m_callers.push_back(sendRequest("/safe/x"));
     ASSERT_TRUE(runUntil([&] {
-        return !other.asksHeard.empty();
+        return !other.slotRequests.empty();
     }));
     EXPECT_EQ(m_plain[0]->ran.size(), 0U);
 }
@@ -121,8 +121,8 @@
 // place, from each daemon as many as it had callers.
 TEST_F(edge_limit_test, WithoutItsOrdererALimitedServerGetsNothing)
 {
-    m_settings.serversCheckTokens = false;
-    m_heldAtStart["m-1"] = {"a1"};
+    m_settings.serversCheckFencingTokens = false;
+    m_initialAdapters["m-1"] = {"a1"};
     start();
     other_daemon silent(m_store, m_loop, m_settings.peers, "n2", "m-1");
     other_daemon heard(m_store, m_loop, m_settings.peers, "n3", "m-2");
@@ -130,13 +130,13 @@
     silent.setResident("m0/a1");
     const auto withLimit = [&](std::vector<limit_beat> limits) {
         silent.limits = std::move(limits);
-        silent.beat();
-        const millis stale = bootNow() + beatFresh + millis{200};
+        silent.sendHeartbeat();
+        const millis stale = bootNow() + heartbeatFreshFor + millis{200};
         while (bootNow() < stale) {
-            heard.beat();
+            heard.sendHeartbeat();
             runRounds(100);
         }
-        answerTo("/gen/x", "a1");
+        responseTo("/gen/x", "a1");
         return m_models[0]->ran.size();
     };
     EXPECT_EQ(withLimit({{"m-1", 4'000, 0}}), 0U);
@@ -149,11 +149,11 @@
 {
     start();
     backend_standin &server = *m_models[0];
-    server.nameLimit(1);
+    server.setLimit(1);
     server.holdsModel = false;
     server.adapters.clear();
     server.modelLoadTime = millis{4'500};
-    ++server.born; // it starts again, and holds nothing
+    ++server.startedAtMs; // it starts again, and holds nothing
     ++server.sequence;
     m_store.put("servers/" + server.id, server.entry());
     const std::size_t before = server.reports;
--- a/tests/serving/edge_words_test.cpp
+++ b/tests/serving/edge_notices_test.cpp
@@ -1,5 +1,5 @@
 #include "serving/other_daemon.h"
-#include "serving/word_task.h"
+#include "serving/server_notice_task.h"
 
 #include <algorithm>
 
@@ -13,12 +13,12 @@
 class edge_words_test : public edge_test
 {
 protected:
-    void startHolding(const std::string &adapter)
+    void startWithAdapter(const std::string &adapter)
     {
-        m_heldAtStart = {{"m-1", {adapter}}, {"m-2", {adapter}}};
+        m_initialAdapters = {{"m-1", {adapter}}, {"m-2", {adapter}}};
         start();
     }
-    void keepOnlyFirst(std::vector<std::unique_ptr<backend_standin>> &servers)
+    void drainSecond(std::vector<std::unique_ptr<backend_standin>> &servers)
     {
         m_store.put("servers/" + servers[1]->id, servers[1]->entry("draining"));
         runRounds(800); // until the store's news are here
@@ -28,11 +28,11 @@
         server.now = mood::Sheds;
         server.pauseText = pause;
     }
-    static std::size_t callsOf(const backend_standin &server)
+    static std::size_t callsTo(const backend_standin &server)
     {
         return server.arrivals.size() + server.orders.size();
     }
-    std::string comeBackOf(const std::string &answer)
+    std::string retryAfterOf(const std::string &answer)
     {
         const std::size_t at = answer.find("Retry-After: ");
         return at == std::string::npos ? "" : answer.substr(at + 13, answer.find('\r', at) - at - 13);
@@ -46,17 +46,17 @@
 TEST_F(edge_words_test, LeavingOutlivesTheStoresListing)
 {
     start();
-    keepOnlyFirst(m_plain);
+    drainSecond(m_plain);
     m_plain[0]->leaving = true;
-    EXPECT_EQ(statusOf(answerTo("/safe/x")), "200");
-    EXPECT_EQ(statusOf(answerTo("/safe/x")), "503");
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "503");
     m_store.put("servers/p-1", m_plain[0]->entry());
-    EXPECT_EQ(statusOf(answerTo("/safe/x")), "503");
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "503");
     m_store.remove("servers/p-1");
     runRounds(100);
     m_store.put("servers/p-1", m_plain[0]->entry());
     runRounds(100);
-    EXPECT_EQ(statusOf(answerTo("/safe/x")), "503");
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "503");
     EXPECT_EQ(m_plain[0]->ran.size(), 1U);
 }
 
@@ -64,56 +64,56 @@
 TEST_F(edge_words_test, ANewStartIsOpenWhateverTheOneBeforeSaid)
 {
     start();
-    keepOnlyFirst(m_plain);
+    drainSecond(m_plain);
     m_plain[0]->leaving = true;
-    answerTo("/safe/x");
-    EXPECT_EQ(statusOf(answerTo("/safe/x")), "503");
+    responseTo("/safe/x");
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "503");
     m_plain[0]->leaving = false;
-    m_plain[0]->born = 5;
+    m_plain[0]->startedAtMs = 5;
     m_store.put("servers/p-1", m_plain[0]->entry());
     runRounds(300);
-    EXPECT_EQ(statusOf(answerTo("/safe/x")), "200");
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "200");
 }
 
 // Reports and orders of a server's orderer went on while it wanted nothing from that daemon.
 TEST_F(edge_words_test, InAPauseAServerGetsNeitherReportsNorOrders)
 {
-    startHolding("a1");
+    startWithAdapter("a1");
     for (const auto &server : m_models) {
         shed(*server, "2");
     }
-    answerTo("/gen/x", "a1");
+    responseTo("/gen/x", "a1");
     ASSERT_TRUE(runUntil([&] {
         return std::all_of(m_models.begin(), m_models.end(), [](const auto &server) {
-            return !server->said.empty();
+            return !server->sentNotices.empty();
         });
     })) << "it was sent to both in turn";
     runRounds(100);
-    const std::size_t before = callsOf(*m_models[0]) + callsOf(*m_models[1]);
+    const std::size_t before = callsTo(*m_models[0]) + callsTo(*m_models[1]);
     const millis end = bootNow() + millis{1'000};
     while (bootNow() < end) {
-        EXPECT_EQ(statusOf(answerTo("/gen/x", "a7")), "503") << "not there, and not to be loaded now";
+        EXPECT_EQ(statusOf(responseTo("/gen/x", "a7")), "503") << "not there, and not to be loaded now";
         runRounds(20);
     }
-    EXPECT_EQ(callsOf(*m_models[0]) + callsOf(*m_models[1]), before);
+    EXPECT_EQ(callsTo(*m_models[0]) + callsTo(*m_models[1]), before);
 }
 
 // A pause was forgotten when the server's entry lapsed, and a leaving server's last start was taken for news.
 TEST_F(edge_words_test, APauseHoldsThroughALapseOfTheEntry)
 {
     start();
-    keepOnlyFirst(m_plain);
+    drainSecond(m_plain);
     shed(*m_plain[0], "2");
-    answerTo("/safe/x");
+    responseTo("/safe/x");
     m_store.remove("servers/p-1");
     runRounds(50);
     m_store.put("servers/p-1", m_plain[0]->entry());
     runRounds(50);
     const std::size_t before = m_plain[0]->arrivals.size();
-    const std::string refused = answerTo("/safe/x");
+    const std::string refused = responseTo("/safe/x");
     EXPECT_EQ(statusOf(refused), "503");
-    EXPECT_GT(std::stod(comeBackOf(refused)), 1.0);
-    EXPECT_LT(std::stod(comeBackOf(refused)), 3.0);
+    EXPECT_GT(std::stod(retryAfterOf(refused)), 1.0);
+    EXPECT_LT(std::stod(retryAfterOf(refused)), 3.0);
     EXPECT_EQ(m_plain[0]->arrivals.size(), before);
 }
 
@@ -123,11 +123,11 @@
     start();
     shed(*m_plain[0], "5");
     shed(*m_plain[1], "5");
-    EXPECT_EQ(statusOf(answerTo("/safe/x")), "503");
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "503");
     const std::size_t reached = m_plain[0]->arrivals.size() + m_plain[1]->arrivals.size();
     EXPECT_LE(reached, 2U);
     for (int i = 0; i < 5; ++i) {
-        EXPECT_EQ(statusOf(answerTo("/safe/x")), "503");
+        EXPECT_EQ(statusOf(responseTo("/safe/x")), "503");
     }
     EXPECT_LE(m_plain[0]->arrivals.size(), 1U);
     EXPECT_LE(m_plain[1]->arrivals.size(), 1U);
@@ -136,81 +136,81 @@
 // Places went to a daemon that a server wanted nothing from.
 TEST_F(edge_words_test, AnOrdererGrantsNoPlaceToADaemonThatIsToPause)
 {
-    startHolding("a1");
+    startWithAdapter("a1");
     other_daemon paused(m_store, m_loop, m_settings.peers, "n2", "m-9");
     other_daemon free(m_store, m_loop, m_settings.peers, "n3", "m-8");
     runRounds(300);
-    paused.tell(word_news{"m-1", "m-1", false, 1'500, false});
+    paused.send(word_news{"m-1", "m-1", false, 1'500, false});
     runRounds(20);
-    paused.askAs("x", "m-1");
-    free.askAs("y", "m-1");
+    paused.sendSlotRequestAs("x", "m-1");
+    free.sendSlotRequestAs("y", "m-1");
     ASSERT_TRUE(runUntil([&] {
-        return paused.answersHeard > 0 && free.lastAnswer.verdict == place_verdict::Granted;
+        return paused.responsesReceived > 0 && free.lastResponse.verdict == place_verdict::Granted;
     }));
-    EXPECT_EQ(paused.lastAnswer.verdict, place_verdict::Refused);
-    EXPECT_EQ(paused.lastAnswer.why, refusal::Paused);
-    EXPECT_GT(paused.lastAnswer.comeBackMs, 1'000);
-    EXPECT_LE(paused.lastAnswer.comeBackMs, 1'500);
+    EXPECT_EQ(paused.lastResponse.verdict, place_verdict::Refused);
+    EXPECT_EQ(paused.lastResponse.why, refusal::Paused);
+    EXPECT_GT(paused.lastResponse.comeBackMs, 1'000);
+    EXPECT_LE(paused.lastResponse.comeBackMs, 1'500);
     ASSERT_TRUE(runUntil([&] {
-        paused.askAs("z", "m-1");
-        return paused.lastAnswer.verdict == place_verdict::Granted;
+        paused.sendSlotRequestAs("z", "m-1");
+        return paused.lastResponse.verdict == place_verdict::Granted;
     })) << "a pause ends by itself";
 }
 
 // What waited at an orderer was granted to a daemon after the server had asked that daemon for a pause.
 TEST_F(edge_words_test, WhatWaitsForAPlaceIsRefusedOnceItsDaemonIsToPause)
 {
-    startHolding("a1");
+    startWithAdapter("a1");
     other_daemon entry(m_store, m_loop, m_settings.peers, "n2", "m-9");
     runRounds(300);
     for (int i = 0; i < 4; ++i) { // all places are taken
-        entry.askAs("running" + std::to_string(i), "m-1");
+        entry.sendSlotRequestAs("running" + std::to_string(i), "m-1");
     }
     ASSERT_TRUE(runUntil([&] {
-        return entry.answersHeard >= 4;
+        return entry.responsesReceived >= 4;
     }));
-    entry.askAs("waits", "m-1");
+    entry.sendSlotRequestAs("waits", "m-1");
     ASSERT_TRUE(runUntil([&] {
-        return entry.lastAnswer.verdict == place_verdict::Queued;
+        return entry.lastResponse.verdict == place_verdict::Queued;
     }));
-    entry.tell(word_news{"m-1", "m-1", false, 5'000, false});
+    entry.send(word_news{"m-1", "m-1", false, 5'000, false});
     ASSERT_TRUE(runUntil([&] {
-        return entry.lastAnswer.verdict == place_verdict::Refused;
+        return entry.lastResponse.verdict == place_verdict::Refused;
     }));
-    EXPECT_EQ(entry.lastAnswer.id, "waits");
-    EXPECT_EQ(entry.lastAnswer.why, refusal::Paused);
+    EXPECT_EQ(entry.lastResponse.id, "waits");
+    EXPECT_EQ(entry.lastResponse.why, refusal::Paused);
 }
 
 // A daemon that had a place, or waited for one, sent there though the server had said meanwhile that it
 // leaves.
 TEST_F(edge_words_test, NeitherAGrantNorAWaitOutlivesTheWord)
 {
-    startHolding("a1");
+    startWithAdapter("a1");
     other_daemon orderer(m_store, m_loop, m_settings.peers, "n2", "m-2");
     orderer.setResident("m0/a1");
     runRounds(300);
     m_store.put("servers/m-1", m_models[0]->entry("draining"));
     for (int i = 0; i < 4; ++i) {
-        orderer.beat();
+        orderer.sendHeartbeat();
         runRounds(100);
     }
-    const auto caller = ask("/gen/x", "a1");
+    const auto caller = sendRequest("/gen/x", "a1");
     ASSERT_TRUE(runUntil([&] {
-        return !orderer.asksHeard.empty();
+        return !orderer.slotRequests.empty();
     }));
-    orderer.tell(word_news{"m-2", "m-2", true, 0, false});
+    orderer.send(word_news{"m-2", "m-2", true, 0, false});
     place_answer granted;
-    granted.id = orderer.asksHeard.front().id;
+    granted.id = orderer.slotRequests.front().id;
     granted.server = "m-2";
     granted.verdict = place_verdict::Granted;
-    orderer.tell(granted);
+    orderer.send(granted);
     std::string seen;
     EXPECT_TRUE(runUntil([&] {
         return !caller->receive(seen);
     }));
     EXPECT_EQ(statusOf(seen), "503") << seen;
     EXPECT_EQ(m_models[1]->ran.size(), 0U);
-    EXPECT_FALSE(orderer.placeNotesHeard.empty()) << "its place is given back";
+    EXPECT_FALSE(orderer.slotEvents.empty()) << "its place is given back";
 }
 
 // Daemons that had no answer of a leaving server went on sending there.
@@ -221,22 +221,22 @@
     runRounds(200);
     m_plain[0]->leaving = true;
     m_plain[1]->leaving = true;
-    for (int i = 0; i < 10 && m_plain[0]->said.size() + m_plain[1]->said.size() < 2; ++i) {
-        answerTo("/safe/x");
+    for (int i = 0; i < 10 && m_plain[0]->sentNotices.size() + m_plain[1]->sentNotices.size() < 2; ++i) {
+        responseTo("/safe/x");
     }
     const auto knows = [&other](const std::string &server) {
-        return std::any_of(other.wordsHeard.begin(), other.wordsHeard.end(), [&](const word_news &news) {
+        return std::any_of(other.notices.begin(), other.notices.end(), [&](const word_news &news) {
             return news.leaving && news.start == server;
         });
     };
     EXPECT_TRUE(runUntil([&] {
         return knows("p-1") && knows("p-2");
     }));
-    other.tell(word_news{"m-1", "m-1", true, 0, false});
-    other.tell(word_news{"m-2", "m-2", true, 0, false});
+    other.send(word_news{"m-1", "m-1", true, 0, false});
+    other.send(word_news{"m-2", "m-2", true, 0, false});
     runRounds(50);
-    EXPECT_EQ(statusOf(answerTo("/gen/x", "a1")), "503");
-    EXPECT_EQ(ranOn(m_models), 0U);
+    EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "503");
+    EXPECT_EQ(requestsRunOn(m_models), 0U);
 }
 
 // An orderer refused what was meant for a leaving server without a word why, so that each request asked it
@@ -246,32 +246,32 @@
     start();
     other_daemon first(m_store, m_loop, m_settings.peers, "n2", "m-9");
     runRounds(300);
-    first.tell(word_news{"m-1", "m-1", true, 0, false});
+    first.send(word_news{"m-1", "m-1", true, 0, false});
     runRounds(50);
-    first.askAs("x", "m-1");
+    first.sendSlotRequestAs("x", "m-1");
     ASSERT_TRUE(runUntil([&] {
-        return first.answersHeard > 0 && !first.wordsHeard.empty();
+        return first.responsesReceived > 0 && !first.notices.empty();
     }));
-    EXPECT_EQ(first.lastAnswer.why, refusal::ServerLeaving);
-    EXPECT_TRUE(first.wordsHeard.back().leaving);
+    EXPECT_EQ(first.lastResponse.why, refusal::ServerLeaving);
+    EXPECT_TRUE(first.notices.back().leaving);
 }
 
 // A server's word that it leaves came in the answer to a question of its orderer's own, and was not read.
 TEST_F(edge_words_test, ReportsAndAnswersToOrdersAreReadToo)
 {
-    startHolding("a1");
+    startWithAdapter("a1");
     m_models[0]->leaving = true;
     m_models[0]->holdsModel = false;
-    ++m_models[0]->born; // its orderer asks for a report
+    ++m_models[0]->startedAtMs; // its orderer asks for a report
     m_store.put("servers/m-1", m_models[0]->entry());
     ASSERT_TRUE(runUntil([&] {
-        return !m_models[0]->said.empty();
+        return !m_models[0]->sentNotices.empty();
     }));
     runRounds(50);
     m_store.put("servers/m-2", m_models[1]->entry("draining"));
     runRounds(800); // until the store's news are here
-    EXPECT_EQ(statusOf(answerTo("/gen/x", "a1")), "503");
-    EXPECT_EQ(ranOn(m_models), 0U);
+    EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "503");
+    EXPECT_EQ(requestsRunOn(m_models), 0U);
 }
 
 }
--- a/tests/serving/edge_process_test.cpp
+++ b/tests/serving/edge_process_test.cpp
@@ -108,7 +108,7 @@
         }
         return seen.starts_with("HTTP/1.1 200");
     }
-    std::unique_ptr<raw_socket> ask(const std::string &path, bool model)
+    std::unique_ptr<raw_socket> sendRequest(const std::string &path, bool model)
     {
         auto caller = raw_socket::connectTo(m_front);
         std::string text = "POST " + path + " HTTP/1.1\r\nHost: h\r\nX-Briarhead-Request-Id: id"
@@ -117,7 +117,7 @@
         caller->send(text + "Connection: close\r\nContent-Length: 2\r\n\r\nhi");
         return caller;
     }
-    std::string wholeAnswer(raw_socket &caller)
+    std::string readResponse(raw_socket &caller)
     {
         std::string seen;
         EXPECT_TRUE(runUntil([&] {
@@ -125,7 +125,7 @@
         })) << logText();
         return seen;
     }
-    orderer_record orderer() const
+    orderer_record ownershipRecord() const
     {
         error why;
         const auto found = m_store.items.find("briarhead/orderer/m-1");
@@ -158,9 +158,9 @@
 TEST_F(edge_process_test, ATerminatedProcessEndsItsStreamsAndGivesItsServersUp)
 {
     startProcess();
-    ASSERT_EQ(orderer().node, "n1");
+    ASSERT_EQ(ownershipRecord().node, "n1");
     m_plain.now = mood::Silent;
-    const auto caller = ask("/once/x", false);
+    const auto caller = sendRequest("/once/x", false);
     ASSERT_TRUE(runUntil([&] {
         return m_plain.ran.size() == 1;
     }));
@@ -168,10 +168,10 @@
     EXPECT_TRUE(runUntil([&] {
         return m_store.items.count("briarhead/daemon/n1") == 0;
     })) << logText();
-    EXPECT_EQ(orderer().node, "") << "given up, for the next one to take";
+    EXPECT_EQ(ownershipRecord().node, "") << "given up, for the next one to take";
     EXPECT_FALSE(ready());
-    m_plain.answerHeld("late but whole");
-    const std::string answer = wholeAnswer(*caller);
+    m_plain.respondToHeld("late but whole");
+    const std::string answer = readResponse(*caller);
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer;
     EXPECT_TRUE(answer.ends_with("late but whole"));
     EXPECT_EQ(exitStatus(), 0) << logText();
@@ -182,16 +182,16 @@
 TEST_F(edge_process_test, AKilledProcessTakesItsFormerServersUnderAHigherToken)
 {
     startProcess();
-    const auto first = ask("/gen/x", true);
-    EXPECT_NE(wholeAnswer(*first).find("id: 4"), std::string::npos);
+    const auto first = sendRequest("/gen/x", true);
+    EXPECT_NE(readResponse(*first).find("id: 4"), std::string::npos);
     const std::uint64_t before = m_model.fence;
     kill(m_pid, SIGKILL);
     waitpid(m_pid, nullptr, 0);
     m_model.adapters.clear();
     m_isReady = false;
     startProcess();
-    const auto second = ask("/gen/x", true);
-    EXPECT_NE(wholeAnswer(*second).find("id: 4"), std::string::npos) << logText();
+    const auto second = sendRequest("/gen/x", true);
+    EXPECT_NE(readResponse(*second).find("id: 4"), std::string::npos) << logText();
     EXPECT_GT(m_model.fence, before);
 }
 
@@ -201,8 +201,8 @@
 {
     startProcess();
     m_model.now = mood::CutsStream;
-    const auto caller = ask("/gen/x", true);
-    EXPECT_EQ(wholeAnswer(*caller).find("0\r\n\r\n"), std::string::npos);
+    const auto caller = sendRequest("/gen/x", true);
+    EXPECT_EQ(readResponse(*caller).find("0\r\n\r\n"), std::string::npos);
     const std::string story = storyText(tellStory(logText(), "id1"));
     for (const char *part : {"request.accepted", "request.routed", "request.sent", "request.broken",
              "\"server\":\"m-1\"", "\"last_event\":\"2\"", "request.ended", "cut_off"}) {
@@ -217,7 +217,7 @@
 {
     startProcess();
     m_plain.now = mood::Sheds;
-    EXPECT_TRUE(wholeAnswer(*ask("/once/x", false)).starts_with("HTTP/1.1 503"));
+    EXPECT_TRUE(readResponse(*sendRequest("/once/x", false)).starts_with("HTTP/1.1 503"));
     const std::string story = storyText(tellStory(logText(), "id1"));
     EXPECT_NE(story.find("the server did not take it"), std::string::npos) << story;
     EXPECT_NE(story.find("come_back_ms"), std::string::npos) << story;
@@ -232,7 +232,7 @@
     ASSERT_TRUE(runUntil([&] {
         return logText().find("version.named") != std::string::npos;
     }));
-    wholeAnswer(*ask("/gen/x", true));
+    readResponse(*sendRequest("/gen/x", true));
     const std::string story = storyText(tellStory(logText(), "id1"));
     EXPECT_NE(story.find("version.named"), std::string::npos) << story;
     EXPECT_NE(story.find("\"adapter_version\":5"), std::string::npos) << story;
--- a/tests/serving/edge_test.cpp
+++ b/tests/serving/edge_test.cpp
@@ -1,8 +1,8 @@
 #include "coordination/crash_book.h"
 #include "coordination/request_fingerprint.h"
 #include "protocol/codec.h"
-#include "serving/beat_cells.h"
-#include "serving/heard_server.h"
+#include "serving/heartbeat_groups.h"
+#include "serving/observed_server.h"
 #include "serving/other_daemon.h"
 
 #include <gtest/gtest.h>
@@ -23,20 +23,20 @@
 TEST_F(edge_test, APlainRequestIsServedWithTheServersSignature)
 {
     start();
-    const std::string answer = answerTo("/once/x");
+    const std::string answer = responseTo("/once/x");
     EXPECT_EQ(statusOf(answer), "200") << answer;
     EXPECT_NE(answer.find("X-Briarhead-Server-Stamp: by-p-"), std::string::npos);
-    EXPECT_EQ(statusOf(answerTo("/nowhere/x")), "404");
+    EXPECT_EQ(statusOf(responseTo("/nowhere/x")), "404");
 }
 
 TEST_F(edge_test, ARequestWaitsForItsAdapterAndStreamsItsEvents)
 {
     start();
-    const std::string answer = answerTo("/gen/x", "a7");
+    const std::string answer = responseTo("/gen/x", "a7");
     EXPECT_EQ(statusOf(answer), "200") << answer;
     EXPECT_NE(answer.find("id: 4"), std::string::npos);
     EXPECT_TRUE(answer.ends_with("0\r\n\r\n"));
-    EXPECT_EQ(ranOn(m_models), 1U);
+    EXPECT_EQ(requestsRunOn(m_models), 1U);
 }
 
 // A server runs a request that may run once, and its answer is lost. A user would have their order placed
@@ -44,9 +44,9 @@
 TEST_F(edge_test, WhatMayRunOnceIsNeverSentTwiceNorCalledNotRun)
 {
     start();
-    setAll(m_plain, mood::Resets);
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "502");
-    EXPECT_EQ(ranOn(m_plain), 1U);
+    setMood(m_plain, mood::Resets);
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "502");
+    EXPECT_EQ(requestsRunOn(m_plain), 1U);
 }
 
 TEST_F(edge_test, AnIdempotentRequestGoesToAnotherServerAfterAFailure)
@@ -55,12 +55,12 @@
     m_plain[0]->now = mood::Fails;
     m_plain[1]->now = mood::Resets;
     for (int i = 0; i < 6; ++i) {
-        answerTo("/safe/x");
+        responseTo("/safe/x");
     }
     EXPECT_GT(m_plain[0]->ran.size(), 0U);
     EXPECT_GT(m_plain[1]->ran.size(), 0U);
-    setAll(m_plain, mood::Fails);
-    const std::string failed = answerTo("/safe/x");
+    setMood(m_plain, mood::Fails);
+    const std::string failed = responseTo("/safe/x");
     EXPECT_EQ(statusOf(failed), "500") << "the server's own failure, with its signature";
     EXPECT_NE(failed.find("X-Briarhead-Server-Stamp"), std::string::npos);
 }
@@ -72,10 +72,10 @@
     start();
     m_plain[0]->now = mood::Busy;
     for (int i = 0; i < 24; ++i) {
-        EXPECT_EQ(statusOf(answerTo("/once/x")), "200");
+        EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
     }
-    EXPECT_LE(m_plain[0]->turnedAway, 4U);
-    EXPECT_EQ(ranOn(m_plain), 24U);
+    EXPECT_LE(m_plain[0]->rejected, 4U);
+    EXPECT_EQ(requestsRunOn(m_plain), 24U);
 }
 
 // A server has become slow. What it has answered is delivered, also late, and what waits there counts as its
@@ -86,7 +86,7 @@
     m_plain[0]->now = mood::Slow;
     std::vector<std::unique_ptr<raw_socket>> callers;
     for (int i = 0; i < 4; ++i) {
-        callers.push_back(ask("/once/x", ""));
+        callers.push_back(sendRequest("/once/x", ""));
         runRounds(30);
     }
     EXPECT_LE(m_plain[0]->ran.size(), 2U);
@@ -98,7 +98,7 @@
         EXPECT_EQ(statusOf(seen), "200") << seen;
         EXPECT_NE(seen.find("served by p-"), std::string::npos);
     }
-    EXPECT_EQ(ranOn(m_plain), 4U);
+    EXPECT_EQ(requestsRunOn(m_plain), 4U);
 }
 
 // Users complain that they are sent away. The metrics alone say how many, of which kind and why, and that the
@@ -106,10 +106,10 @@
 TEST_F(edge_test, TheMetricsTellWhyRequestsAreRefused)
 {
     start();
-    EXPECT_EQ(statusOf(answerTo("/gen/x", "a1")), "200");
-    setAll(m_plain, mood::Sheds);
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "503");
-    EXPECT_EQ(statusOf(answerTo("/nowhere/x")), "404");
+    EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
+    setMood(m_plain, mood::Sheds);
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "503");
+    EXPECT_EQ(statusOf(responseTo("/nowhere/x")), "404");
     const auto scrape = raw_socket::connectTo(m_settings.metrics.port);
     scrape->send("GET /metrics HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
     std::string text;
@@ -131,9 +131,9 @@
 TEST_F(edge_test, AnAnswerWithAnothersIdReachesNobody)
 {
     start();
-    setAll(m_plain, mood::AnswersAnother);
+    setMood(m_plain, mood::AnswersAnother);
     for (const char *path : {"/once/x", "/safe/x"}) {
-        const std::string answer = answerTo(path);
+        const std::string answer = responseTo(path);
         EXPECT_NE(statusOf(answer).front(), '2') << answer;
         EXPECT_EQ(answer.find("another's"), std::string::npos) << answer;
     }
@@ -145,29 +145,29 @@
 TEST_F(edge_test, AServerOfAnotherCellGetsNothingWithoutAPlace)
 {
     constexpr std::size_t cells = 2;
-    const std::string other = cellOf("m-1", cells) != cellOf("n1", cells) ? "m-1" : "m-2";
-    ASSERT_NE(cellOf(other, cells), cellOf("n1", cells));
-    m_heldAtStart[other] = {"a1"};
+    const std::string other = heartbeatGroupOf("m-1", cells) != heartbeatGroupOf("n1", cells) ? "m-1" : "m-2";
+    ASSERT_NE(heartbeatGroupOf(other, cells), heartbeatGroupOf("n1", cells));
+    m_initialAdapters[other] = {"a1"};
     m_store.put("briarhead/orderer/" + other, encode(orderer_record{"n2", 1}));
     start();
-    server_beat beat;
-    beat.server = other;
-    beat.fence = 1'000'000;
-    beat.held = true;
-    beat.adapters = {{adapterHash("m0/a1"), false}};
+    server_beat heartbeat;
+    heartbeat.server = other;
+    heartbeat.fence = 1'000'000;
+    heartbeat.held = true;
+    heartbeat.adapters = {{adapterHash("m0/a1"), false}};
     error why;
     const auto port = fleet_port::open(
         m_loop, {http_testing::loopback, freePort()}, [](const fleet_datagram &, const peer_address &) {},
         why);
     ASSERT_TRUE(port) << message(why);
-    port->send(m_settings.peers, {"n2", 1, fleet_beat{false, {beat}}});
+    port->send(m_settings.peers, {"n2", 1, fleet_beat{false, {heartbeat}}});
     runRounds(50);
     for (int i = 0; i < 40; ++i) {
         const std::string node = "further-" + std::to_string(i);
         m_store.put("briarhead/daemon/" + node, encode(daemon_record{node, "127.0.0.1", 9, "z", 1}));
     }
     runRounds(2'500); // far beyond the time after which a beat is stale
-    answerTo("/gen/x", "a1");
+    responseTo("/gen/x", "a1");
     for (const auto &server : m_models) {
         EXPECT_TRUE(server->id != other || server->ran.empty());
     }
@@ -182,10 +182,10 @@
     runRounds(800);
     m_store.remove("briarhead/daemon/n2");
     runRounds(1'500); // until this is known
-    cut.beatsHeard = 0;
-    cut.ask("m-1");
+    cut.heartbeatsReceived = 0;
+    cut.sendSlotRequest("m-1");
     EXPECT_TRUE(runUntil([&] {
-        return cut.beatsHeard >= 3 && cut.answersHeard >= 1;
+        return cut.heartbeatsReceived >= 3 && cut.responsesReceived >= 1;
     }));
 }
 
@@ -197,17 +197,17 @@
     start();
     other_daemon silent(m_store, m_loop, m_settings.peers, "n2", "m-1");
     other_daemon heard(m_store, m_loop, m_settings.peers, "n3", "m-2");
-    silent.beat();
-    const auto holderOf = [this](const std::string &server) {
+    silent.sendHeartbeat();
+    const auto ownerOf = [this](const std::string &server) {
         error why;
         const auto record = decodeOrderer(m_store.items.at("briarhead/orderer/" + server).value, why);
         return record ? record->node : std::string();
     };
     EXPECT_TRUE(runUntil([&] {
-        heard.beat();
-        return holderOf("m-1") == "n1";
+        heard.sendHeartbeat();
+        return ownerOf("m-1") == "n1";
     }));
-    EXPECT_EQ(holderOf("m-2"), "n3");
+    EXPECT_EQ(ownerOf("m-2"), "n3");
 }
 
 // The machine itself is cut off from the others. Its users would wait for places until they are given up: the
@@ -218,21 +218,21 @@
     start();
     other_daemon first(m_store, m_loop, m_settings.peers, "n2", "m-1");
     other_daemon second(m_store, m_loop, m_settings.peers, "n3", "m-2");
-    first.beat();
-    second.beat();
+    first.sendHeartbeat();
+    second.sendHeartbeat();
     runRounds(1'400);
     EXPECT_EQ(readiness(), "503");
     const millis before = bootNow();
-    const std::string answer = answerTo("/gen/x", "a1");
+    const std::string answer = responseTo("/gen/x", "a1");
     EXPECT_EQ(statusOf(answer), "503");
     EXPECT_NE(answer.find("Retry-After: 0.05"), std::string::npos) << answer;
     EXPECT_NE(answer.find("Connection: close"), std::string::npos) << answer;
     EXPECT_LT((bootNow() - before).count, 400);
-    EXPECT_EQ(statusOf(answerTo("/safe/x")), "200");
-    first.beat();
-    second.beat();
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "200");
+    first.sendHeartbeat();
+    second.sendHeartbeat();
     runRounds(300);
-    first.beat();
+    first.sendHeartbeat();
     EXPECT_EQ(readiness(), "200");
 }
 
@@ -243,11 +243,11 @@
     m_plain[0]->now = mood::Resets;
     m_plain[1]->now = mood::Sheds;
     for (int i = 0; i < 4; ++i) {
-        const std::size_t before = ranOn(m_plain);
-        const std::string answer = answerTo("/safe/x");
-        EXPECT_EQ(statusOf(answer), ranOn(m_plain) > before ? "502" : "503");
+        const std::size_t before = requestsRunOn(m_plain);
+        const std::string answer = responseTo("/safe/x");
+        EXPECT_EQ(statusOf(answer), requestsRunOn(m_plain) > before ? "502" : "503");
     }
-    EXPECT_GT(ranOn(m_plain), 0U);
+    EXPECT_GT(requestsRunOn(m_plain), 0U);
 }
 
 // A server says that it did not run a request. The user is told so at once, with when to come back, and not
@@ -255,21 +255,21 @@
 TEST_F(edge_test, WhatNoServerTookIsRefusedAtOnce)
 {
     start();
-    setAll(m_plain, mood::Sheds);
+    setMood(m_plain, mood::Sheds);
     const millis before = bootNow();
-    const std::string answer = answerTo("/once/x");
+    const std::string answer = responseTo("/once/x");
     EXPECT_EQ(statusOf(answer), "503");
     EXPECT_NE(answer.find("Retry-After: 0."), std::string::npos);
     EXPECT_LT((bootNow() - before).count, 2'000) << "long before its deadline of 4 s";
-    EXPECT_EQ(ranOn(m_plain), 0U);
+    EXPECT_EQ(requestsRunOn(m_plain), 0U);
 }
 
 // A server answers without its signature. A user would take bytes for an answer that no server vouches for.
 TEST_F(edge_test, AnAnswerWithoutASignatureIsNoSuccess)
 {
     start();
-    setAll(m_plain, mood::Unsigned);
-    const std::string answer = answerTo("/once/x");
+    setMood(m_plain, mood::Unsigned);
+    const std::string answer = responseTo("/once/x");
     EXPECT_EQ(statusOf(answer), "502");
     EXPECT_EQ(answer.find("not signed"), std::string::npos);
 }
@@ -278,29 +278,29 @@
 // at another server right behind the last whole event; each event comes once.
 TEST_F(edge_test, AResumableStreamGoesOnAtAnotherServer)
 {
-    m_heldAtStart["m-1"] = {"a1"};
+    m_initialAdapters["m-1"] = {"a1"};
     start();
     m_models[0]->now = mood::CutsStream;
-    const std::string seen = answerTo("/resume/x", "a1");
+    const std::string seen = responseTo("/resume/x", "a1");
     for (const char *event : {"id: 1\n", "id: 2\n", "id: 3\n", "id: 4\n"}) {
         EXPECT_NE(seen.find(event), std::string::npos) << event;
         EXPECT_EQ(seen.find(event), seen.rfind(event)) << event;
     }
     EXPECT_EQ(seen.find("id: 99"), std::string::npos);
     EXPECT_TRUE(seen.ends_with("0\r\n\r\n"));
-    EXPECT_EQ(ranOn(m_models), 2U);
+    EXPECT_EQ(requestsRunOn(m_models), 2U);
 }
 
 // A stream goes on at a second server, and runs there for long. Its prompt has been read, but the daemon that
 // lets prompts in there was not told: the next user's prompt would wait for the end of the stream.
 TEST_F(edge_test, AResumedStreamsPromptCountsAsReadAtItsNewServer)
 {
-    m_heldAtStart["m-1"] = {"a1"};
+    m_initialAdapters["m-1"] = {"a1"};
     m_promptTokens = 2'000; // two of them are more than is let in at once
     start();
     m_models[0]->now = mood::CutsStream;
     m_models[1]->now = mood::HoldsStream;
-    const auto caller = ask("/resume/x", "a1");
+    const auto caller = sendRequest("/resume/x", "a1");
     std::string seen;
     ASSERT_TRUE(runUntil([&] {
         caller->receive(seen);
@@ -309,34 +309,34 @@
     m_store.put("servers/m-1", m_models[0]->entry("draining"));
     runRounds(50);
     m_models[1]->now = mood::Serves;
-    EXPECT_EQ(statusOf(answerTo("/gen/x", "a1")), "200");
+    EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
     EXPECT_EQ(m_models[1]->ran.size(), 2U);
 }
 
 // The same where it may not be resumed: the user must see that the answer is not whole.
 TEST_F(edge_test, AnotherStreamEndsVisiblyCutOff)
 {
-    m_heldAtStart["m-1"] = {"a1"};
+    m_initialAdapters["m-1"] = {"a1"};
     start();
-    setAll(m_models, mood::CutsStream);
-    const std::string seen = answerTo("/gen/x", "a1");
+    setMood(m_models, mood::CutsStream);
+    const std::string seen = responseTo("/gen/x", "a1");
     EXPECT_NE(seen.find("id: 2\n"), std::string::npos);
     EXPECT_EQ(seen.find("0\r\n\r\n"), std::string::npos);
-    EXPECT_EQ(ranOn(m_models), 1U);
+    EXPECT_EQ(requestsRunOn(m_models), 1U);
 }
 
 // A user leaves; the server would go on for nobody and hold a slot that others wait for.
 TEST_F(edge_test, WhenTheCallerLeavesItsServerStopsWorking)
 {
     start();
-    setAll(m_plain, mood::Silent);
-    auto caller = ask("/once/x");
+    setMood(m_plain, mood::Silent);
+    auto caller = sendRequest("/once/x");
     ASSERT_TRUE(runUntil([&] {
-        return ranOn(m_plain) == 1;
+        return requestsRunOn(m_plain) == 1;
     }));
     caller->hangUp();
     EXPECT_TRUE(runUntil([&] {
-        return m_plain[0]->left + m_plain[1]->left == 1;
+        return m_plain[0]->callersGone + m_plain[1]->callersGone == 1;
     }));
 }
 
@@ -346,9 +346,9 @@
 {
     m_timeoutMs = 600;
     start();
-    setAll(m_plain, mood::Silent);
+    setMood(m_plain, mood::Silent);
     const millis before = bootNow();
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "504");
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "504");
     EXPECT_GE((bootNow() - before).count, 590);
 }
 
@@ -359,8 +359,8 @@
     start();
     m_store.put("op/version/m0.a1", R"({"model":"m0","adapter":"a1","version":5})");
     runRounds(500);
-    answerTo("/gen/x", "a1");
-    ASSERT_EQ(ranOn(m_models), 1U);
+    responseTo("/gen/x", "a1");
+    ASSERT_EQ(requestsRunOn(m_models), 1U);
     const auto &ran = m_models[0]->ran.empty() ? m_models[1]->ran : m_models[0]->ran;
     const std::string *version = findField(ran[0].head, "x-briarhead-expect-version");
     ASSERT_NE(version, nullptr);
@@ -371,16 +371,16 @@
 // once with when to come back, and no adapter in use is thrown out for it.
 TEST_F(edge_test, WithoutAPlaceForItsAdapterARequestIsRefusedAtOnce)
 {
-    m_places = 1;
+    m_adapterSlots = 1;
     start();
-    setAll(m_models, mood::Silent);
-    const auto first = ask("/gen/x", "a1");
-    const auto second = ask("/gen/x", "a2");
+    setMood(m_models, mood::Silent);
+    const auto first = sendRequest("/gen/x", "a1");
+    const auto second = sendRequest("/gen/x", "a2");
     ASSERT_TRUE(runUntil([&] {
-        return ranOn(m_models) == 2;
+        return requestsRunOn(m_models) == 2;
     }));
     const millis before = bootNow();
-    const std::string answer = answerTo("/gen/x", "a3");
+    const std::string answer = responseTo("/gen/x", "a3");
     EXPECT_EQ(statusOf(answer), "503") << answer;
     EXPECT_NE(answer.find("Retry-After"), std::string::npos);
     EXPECT_LT((bootNow() - before).count, 1'000);
@@ -395,23 +395,23 @@
 // check no tokens it gives no order past that; what they hold is served all the same.
 TEST_F(edge_test, WithoutAProvedLeaseNothingIsOrderedOnServersThatCheckNoTokens)
 {
-    m_settings.serversCheckTokens = false;
+    m_settings.serversCheckFencingTokens = false;
     start();
     runRounds(2'600); // a new daemon waits for the lease of one that it may not have seen
-    ASSERT_EQ(statusOf(answerTo("/gen/x", "a1")), "200");
+    ASSERT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
     m_client.trouble = store_trouble::Silent;
     runRounds(2'600);
     const auto orders = [this] {
         return m_models[0]->orders.size() + m_models[1]->orders.size();
     };
     const std::size_t before = orders();
-    EXPECT_NE(statusOf(answerTo("/gen/x", "a2")), "200");
+    EXPECT_NE(statusOf(responseTo("/gen/x", "a2")), "200");
     EXPECT_EQ(orders(), before);
-    EXPECT_EQ(statusOf(answerTo("/gen/x", "a1")), "200");
+    EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
     m_client.trouble = store_trouble::None;
     std::string last;
     for (int tries = 0; last != "200" && tries < 80; ++tries) {
-        last = statusOf(answerTo("/gen/x", "a2"));
+        last = statusOf(responseTo("/gen/x", "a2"));
         runRounds(100);
     }
     EXPECT_EQ(last, "200");
@@ -422,10 +422,10 @@
 // the old one; two daemons would order the same servers.
 TEST_F(edge_test, ANewLeaseProvesNoRecordsOfTheOldOne)
 {
-    m_settings.serversCheckTokens = false;
+    m_settings.serversCheckFencingTokens = false;
     start();
     runRounds(2'600);
-    ASSERT_EQ(statusOf(answerTo("/gen/x", "a1")), "200");
+    ASSERT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
     m_client.trouble = store_trouble::Silent;
     runRounds(50);
     m_store.expire(m_store.lastLease);
@@ -437,7 +437,7 @@
         return m_models[0]->orders.size() + m_models[1]->orders.size();
     };
     const std::size_t before = orders();
-    const auto caller = ask("/gen/x", "a2");
+    const auto caller = sendRequest("/gen/x", "a2");
     m_client.trouble = store_trouble::OnlyLeases;
     runRounds(2'000);
     EXPECT_EQ(orders(), before);
@@ -449,10 +449,10 @@
 {
     start();
     for (const char *adapter : {"a1", "a2", "a3"}) {
-        ASSERT_EQ(statusOf(answerTo("/gen/x", adapter)), "200");
+        ASSERT_EQ(statusOf(responseTo("/gen/x", adapter)), "200");
     }
     for (const auto &server : m_models) {
-        server->born = 5'000;
+        server->startedAtMs = 5'000;
         server->adapters.clear();
         server->sequence = 0;
         server->fence = 0;
@@ -460,7 +460,7 @@
     }
     runRounds(1'200); // the pause between two watches, and a report
     for (const char *adapter : {"a1", "a2", "a3"}) {
-        EXPECT_EQ(statusOf(answerTo("/gen/x", adapter)), "200");
+        EXPECT_EQ(statusOf(responseTo("/gen/x", adapter)), "200");
     }
 }
 
@@ -470,7 +470,7 @@
     start();
     m_client.trouble = store_trouble::Silent;
     runRounds(2'600);
-    EXPECT_EQ(statusOf(answerTo("/gen/x", "a2")), "200");
+    EXPECT_EQ(statusOf(responseTo("/gen/x", "a2")), "200");
 }
 
 // A server's address is taken over by another one. It refuses what names the server before, and nothing runs
@@ -481,8 +481,8 @@
     for (const auto &server : m_plain) {
         server->id += "-successor";
     }
-    EXPECT_EQ(statusOf(answerTo("/once/x")), "503");
-    EXPECT_EQ(ranOn(m_plain), 0U);
+    EXPECT_EQ(statusOf(responseTo("/once/x")), "503");
+    EXPECT_EQ(requestsRunOn(m_plain), 0U);
 }
 
 // A request waits for a place while, elsewhere, the third server ends under its like. It is refused at once
@@ -493,14 +493,14 @@
     other_daemon first(m_store, m_loop, m_settings.peers, "n2", "m-1");
     other_daemon second(m_store, m_loop, m_settings.peers, "n3", "m-2");
     const auto beats = m_loop.timer({100}, {100}, [&] {
-        first.beat();
-        second.beat();
+        first.sendHeartbeat();
+        second.sendHeartbeat();
     });
     runRounds(300);
-    const auto caller = ask("/gen/x", "a1"); // neither of them answers
+    const auto caller = sendRequest("/gen/x", "a1"); // neither of them answers
     runRounds(60);
     const crash_news news{fingerprintOf({{}, "POST", "h", "/gen/x", "hi"}), {"s1", "s2", "s3"}};
-    first.tell(news);
+    first.send(news);
     std::string seen;
     EXPECT_TRUE(runUntil([&] {
         return !caller->receive(seen);
@@ -512,7 +512,7 @@
     const double wait = std::stod(seen.substr(at + std::strlen("Retry-After: ")));
     EXPECT_GT(wait, 5) << "until it is tried again, not until something else passes";
     EXPECT_LE(wait, static_cast<double>(trialWaits[0].count) / 1'000);
-    EXPECT_EQ(ranOn(m_models), 0U);
+    EXPECT_EQ(requestsRunOn(m_models), 0U);
 }
 
 // One plain server has just ended, and the other one is full. The caller got that one's 503 as it was,
@@ -524,7 +524,7 @@
     m_plain[0].reset();
     m_plain[1]->now = mood::Sheds;
     for (int i = 0; i < 8; ++i) {
-        const std::string seen = answerTo("/once/x");
+        const std::string seen = responseTo("/once/x");
         EXPECT_EQ(statusOf(seen), "503");
         EXPECT_NE(seen.find("Retry-After: "), std::string::npos) << seen;
     }
@@ -541,7 +541,7 @@
         server.holdsModel = false;
         server.adapters.clear();
         server.modelLoadTime = millis{loadMs};
-        ++server.born; // it starts again, and holds nothing
+        ++server.startedAtMs; // it starts again, and holds nothing
         ++server.sequence;
         m_store.put("servers/" + server.id, server.entry());
         const std::size_t before = server.reports;
@@ -561,7 +561,7 @@
     for (const auto &server : m_models) {
         server->orderTime = {120};
     }
-    const auto caller = ask("/gen/x", "a7");
+    const auto caller = sendRequest("/gen/x", "a7");
     ASSERT_TRUE(runUntil([this] {
         return !m_models[0]->orders.empty() || !m_models[1]->orders.empty();
     }));
@@ -572,7 +572,7 @@
         return !caller->receive(seen);
     }));
     EXPECT_EQ(statusOf(seen), "200") << seen;
-    EXPECT_EQ(statusOf(answerTo("/gen/x", "a8")), "200");
+    EXPECT_EQ(statusOf(responseTo("/gen/x", "a8")), "200");
 }
 
 }
--- a/tests/serving/beat_cells_test.cpp
+++ b/tests/serving/heartbeat_groups_test.cpp
@@ -1,7 +1,7 @@
 #include "protocol/codec.h"
-#include "serving/beat_cells.h"
 #include "serving/choose_server.h"
-#include "serving/heard_server.h"
+#include "serving/heartbeat_groups.h"
+#include "serving/observed_server.h"
 
 #include <gtest/gtest.h>
 
@@ -56,14 +56,16 @@
 }
 
 /// Who hears of a server in one relayed round, directly or passed on; each at most once.
-std::multiset<std::string> hearers(const fleet &of, const daemon_record &orderer, const std::string &server)
+std::multiset<std::string> recipientsOf(
+    const fleet &built, const daemon_record &owner, const std::string &server)
 {
     std::multiset<std::string> heard;
-    for (const beat_parcel &parcel : dealBeats(of.shape(), orderer, beatOf({server}), relayedRounds)) {
-        for (const daemon_record *to : parcel.to) {
+    for (const heartbeat_delivery &delivery :
+        planHeartbeats(built.shape(), owner, beatOf({server}), relayIntervalRounds)) {
+        for (const daemon_record *to : delivery.recipients) {
             heard.insert(to->node);
-            if (parcel.beat.relay) {
-                for (const daemon_record *further : passOnTo(of.shape(), *to, parcel.beat)) {
+            if (delivery.heartbeat.relay) {
+                for (const daemon_record *further : relayTargets(built.shape(), *to, delivery.heartbeat)) {
                     heard.insert(further->node);
                 }
             }
@@ -75,25 +77,26 @@
 /// What daemons send for a server in a round, in bytes. `limited`: each server names a limit.
 double bytesOf(std::size_t daemons, std::size_t domains, std::size_t servers, bool limited = false)
 {
-    const fleet of = fleetOf(daemons, domains, servers);
+    const fleet built = fleetOf(daemons, domains, servers);
     double bytes = 0;
     std::size_t next = 0;
-    for (const auto &[node, record] : of.daemons) {
+    for (const auto &[node, record] : built.daemons) {
         for (std::size_t i = 0; i * daemons < servers; ++i) {
-            const std::string &server = of.servers[next++ % servers];
+            const std::string &server = built.servers[next++ % servers];
             fleet_beat beat = beatOf({server});
             if (limited) {
                 beat.limits.push_back({server, 1'700, 580});
             }
-            for (int round = 1; round <= relayedRounds; ++round) {
-                for (const beat_parcel &parcel : dealBeats(of.shape(), record, beat, round)) {
-                    bytes += static_cast<double>(encode(fleet_datagram{node, 1, parcel.beat}).size())
-                        * static_cast<double>(parcel.to.size());
+            for (int round = 1; round <= relayIntervalRounds; ++round) {
+                for (const heartbeat_delivery &delivery :
+                    planHeartbeats(built.shape(), record, beat, round)) {
+                    bytes += static_cast<double>(encode(fleet_datagram{node, 1, delivery.heartbeat}).size())
+                        * static_cast<double>(delivery.recipients.size());
                 }
             }
         }
     }
-    return bytes / static_cast<double>(next * relayedRounds);
+    return bytes / static_cast<double>(next * relayIntervalRounds);
 }
 
 }
@@ -102,11 +105,11 @@
 TEST(BeatCells, ASmallFleetIsOneCell)
 {
     const fleet small = fleetOf(80, 4, 94);
-    const daemon_record &orderer = small.daemons.begin()->second;
-    const auto heard = hearers(small, orderer, small.servers.front());
+    const daemon_record &owner = small.daemons.begin()->second;
+    const auto heard = recipientsOf(small, owner, small.servers.front());
     EXPECT_EQ(heard.size(), small.daemons.size() - 1);
     EXPECT_EQ(std::set<std::string>(heard.begin(), heard.end()).size(), heard.size());
-    EXPECT_EQ(cellsIn(small.shape(), "domain-1"), 1U);
+    EXPECT_EQ(heartbeatGroupsIn(small.shape(), "domain-1"), 1U);
 }
 
 // A fleet grows. Each daemon still hears of about as many servers, in all failure domains, and each server is
@@ -114,21 +117,21 @@
 TEST(BeatCells, ADaemonHearsOfItsCellsServersInEachFailureDomain)
 {
     const fleet large = fleetOf(300, 4, 220);
-    const std::size_t cells = cellsIn(large.shape(), "domain-0");
-    EXPECT_EQ(cells, 3U);
-    const daemon_record &orderer = large.daemons.begin()->second;
+    const std::size_t groups = heartbeatGroupsIn(large.shape(), "domain-0");
+    EXPECT_EQ(groups, 3U);
+    const daemon_record &owner = large.daemons.begin()->second;
     std::map<std::string, std::size_t> heardBy;
     for (const std::string &server : large.servers) {
         std::set<std::string> domains;
-        for (const std::string &node : hearers(large, orderer, server)) {
+        for (const std::string &node : recipientsOf(large, owner, server)) {
             ++heardBy[node];
             domains.insert(large.daemons.at(node).failureDomain);
-            EXPECT_EQ(cellOf(node, cells), cellOf(server, cells));
+            EXPECT_EQ(heartbeatGroupOf(node, groups), heartbeatGroupOf(server, groups));
         }
         EXPECT_EQ(domains.size(), 4U) << server;
     }
     for (const auto &[node, count] : heardBy) {
-        EXPECT_LT(count, 2 * large.servers.size() / cells) << node;
+        EXPECT_LT(count, 2 * large.servers.size() / groups) << node;
     }
 }
 
@@ -136,12 +139,13 @@
 // many at 1,200 daemons as at 80.
 TEST(BeatCells, ADaemonsBytesDoNotGrowWithTheFleet)
 {
-    const double today = bytesOf(80, 4, 94);
+    const double current = bytesOf(80, 4, 94);
     const double larger = bytesOf(300, 4, 300);
-    const double whole = bytesOf(1'200, 8, 4'100);
-    std::printf("bytes a server and round: 80 daemons %.0f, 300 %.0f, 1,200 %.0f\n", today, larger, whole);
-    EXPECT_LT(larger, 1.2 * today);
-    EXPECT_LT(whole, 1.2 * today);
+    const double largest = bytesOf(1'200, 8, 4'100);
+    std::printf(
+        "bytes a server and round: 80 daemons %.0f, 300 %.0f, 1,200 %.0f\n", current, larger, largest);
+    EXPECT_LT(larger, 1.2 * current);
+    EXPECT_LT(largest, 1.2 * current);
 }
 
 // What limits of servers add must not grow with the fleet either, though each server names one.
@@ -150,14 +154,14 @@
     const auto added = [](std::size_t daemons, std::size_t domains, std::size_t servers) {
         return bytesOf(daemons, domains, servers, true) - bytesOf(daemons, domains, servers);
     };
-    const double today = added(80, 4, 94);
+    const double current = added(80, 4, 94);
     const double larger = added(200, 4, 680);
-    const double whole = added(1'200, 8, 4'100);
+    const double largest = added(1'200, 8, 4'100);
     std::printf(
         "bytes that a limit adds to a server's beats and round: 80 daemons %.0f, 200 %.0f, 1,200 %.0f\n",
-        today, larger, whole);
-    EXPECT_LT(larger, 1.2 * today);
-    EXPECT_LT(whole, 1.2 * today);
+        current, larger, largest);
+    EXPECT_LT(larger, 1.2 * current);
+    EXPECT_LT(largest, 1.2 * current);
 }
 
 // An adapter is nowhere in the own cell. Its first server by rendezvous, in another cell, may have it, so it
@@ -165,15 +169,15 @@
 TEST(BeatCells, AnAdaptersFirstServersAreAskedUnheard)
 {
     model_candidate near;
-    near.openPlaces = 2;
+    near.availableSlots = 2;
     near.hashRank = 4;
-    model_candidate home = unheardCandidate(true);
+    model_candidate home = unobservedCandidate(true);
     home.hashRank = 0;
     const prompt_shape prompt{2'000, false, 1};
     EXPECT_EQ(chooseModelServer({near, home}, prompt), 1U);
-    home.hashRank = unheardRanks;
+    home.hashRank = maxHashRankUnobserved;
     EXPECT_EQ(chooseModelServer({near, home}, prompt), 0U);
-    near.adapter = residence::Resident;
+    near.adapter = adapter_residency::Resident;
     home.hashRank = 0;
     EXPECT_EQ(chooseModelServer({near, home}, prompt), 0U) << "a copy in the own cell comes first";
 }
--- a/tests/serving/limit_watch.h
+++ b/tests/serving/limit_check.h
@@ -10,7 +10,7 @@
 namespace briarhead {
 
 /// A limit that a server names for a while.
-struct limit_spell
+struct limit_period
 {
     millis from;
     millis until; ///< 0: still
@@ -18,7 +18,7 @@
 };
 
 /// A request that reached a server, whatever became of it.
-struct server_arrival
+struct received_request
 {
     std::string id; ///< of the caller's attempt; empty: a question of a daemon's own
     millis at;
@@ -26,13 +26,13 @@
 
 /// From the naming of a limit until daemons have to keep to it, the length of the windows that count, and
 /// what they may hold.
-constexpr millis limitContact{3'000};
+constexpr millis limitReactionTime{3'000};
 constexpr millis limitWindow{4'000};
-constexpr double limitOverage = 1.5;
-constexpr double limitSlack = 5;
+constexpr double maxLimitOverage = 1.5;
+constexpr double limitSlackRequests = 5;
 
 /// The first window with more arrivals than its spell allows, in words; nothing: all is within.
-std::optional<std::string> overLimit(
-    const std::vector<limit_spell> &spells, std::vector<millis> arrivals, millis now);
+std::optional<std::string> findLimitViolation(
+    const std::vector<limit_period> &periods, std::vector<millis> arrivals, millis now);
 
 }
--- a/tests/serving/load_crowd_test.cpp
+++ b/tests/serving/load_crowd_test.cpp
@@ -106,14 +106,14 @@
         const auto onTheirWay = static_cast<double>(m_store.left.size());
         double known = 0;
         int knowing = 0;
-        for (const load_pace &view : m_views) {
-            const double told = toPassOn(view, m_now);
+        for (const load_estimate &view : m_views) {
+            const double told = estimateToShare(view, m_now);
             known += told;
             knowing += told > 0 ? 1 : 0;
         }
-        for (load_pace &view : m_views) {
-            view.crowd = onTheirWay;
-            noteHeard(view, knowing == 0 ? 0 : known / knowing);
+        for (load_estimate &view : m_views) {
+            view.concurrentLoads = onTheirWay;
+            applyPeerEstimate(view, knowing == 0 ? 0 : known / knowing);
         }
     }
 
@@ -145,7 +145,7 @@
         }
         const std::string key = desk.ledger.server + '/' + due->adapter;
         if (due->kind == order_kind::Unload) {
-            takeAnswer(desk.ledger, *due, order_answer::Holds, m_now);
+            takeAnswer(desk.ledger, *due, order_result::Holds, m_now);
             return;
         }
         const adapter_place *place = findPlace(desk.ledger, "base", due->adapter);
@@ -153,7 +153,7 @@
             m_store.left[key] = aloneMs;
         }
         const bool in = place != nullptr && m_store.isIn(key);
-        takeAnswer(desk.ledger, *due, in ? order_answer::Holds : order_answer::Accepted, m_now);
+        takeAnswer(desk.ledger, *due, in ? order_result::Holds : order_result::Accepted, m_now);
     }
 
     void count(const place_desk &desk, const std::vector<desk_answer> &answers, tally &seen)
@@ -180,7 +180,7 @@
     }
 
     std::vector<place_desk> m_desks;
-    std::vector<load_pace> m_views; ///< of the orderer of each server
+    std::vector<load_estimate> m_views; ///< of the orderer of each server
     weight_store m_store;
     std::vector<std::pair<millis, place_note>> m_ends;
     std::mt19937_64 m_random{7};
--- a/tests/serving/word_watch.h
+++ b/tests/serving/notice_check.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "serving/limit_watch.h"
+#include "serving/limit_check.h"
 #include "state/clock.h"
 
 #include <functional>
@@ -13,7 +13,7 @@
 namespace briarhead {
 
 /// An answer that said so.
-struct said_word
+struct sent_notice
 {
     std::string id; ///< of the request that it answered
     millis at;
@@ -23,19 +23,19 @@
 
 /// From such an answer until the daemon that got it has to go by it, and the requests that may come in a
 /// pause.
-constexpr millis leavingContact{2'000};
-constexpr millis pauseContact{500};
-constexpr std::size_t pauseAllowed = 2;
+constexpr millis leavingReactionTime{2'000};
+constexpr millis pauseReactionTime{500};
+constexpr std::size_t maxRequestsInPause = 2;
 
 /// The daemon that sent a request, by its id; empty: what it sent doesn't count.
 using sender_of = std::function<std::string(const std::string &id, millis at)>;
 
 /// The first request that reached a server too long after its daemon was told that the server leaves, in
 /// words.
-std::optional<std::string> afterLeaving(const std::vector<said_word> &said,
-    const std::vector<server_arrival> &arrivals, const sender_of &senderOf);
+std::optional<std::string> findSendAfterLeaving(const std::vector<sent_notice> &notices,
+    const std::vector<received_request> &arrivals, const sender_of &senderOf);
 /// The first pause in which too many requests came from the daemon that was asked for it, in words.
-std::optional<std::string> withinPause(const std::vector<said_word> &said,
-    const std::vector<server_arrival> &arrivals, const sender_of &senderOf);
+std::optional<std::string> findSendInPause(const std::vector<sent_notice> &notices,
+    const std::vector<received_request> &arrivals, const sender_of &senderOf);
 
 }
--- a/tests/serving/other_daemon.h
+++ b/tests/serving/other_daemon.h
@@ -3,7 +3,7 @@
 #include "protocol/codec.h"
 #include "serving/edge_fixture.h"
 #include "serving/fleet_port.h"
-#include "serving/heard_server.h"
+#include "serving/observed_server.h"
 
 #include <limits>
 #include <variant>
@@ -23,89 +23,89 @@
     {
         const peer_address own{http_testing::loopback, http_testing::freePort()};
         store.put("briarhead/daemon/" + node, encode(daemon_record{node, own.ip, own.port, "z", 1}));
-        m_beat.server = server;
-        m_beat.held = true;
-        m_beat.fence = static_cast<std::uint64_t>(
+        m_heartbeat.server = server;
+        m_heartbeat.held = true;
+        m_heartbeat.fence = static_cast<std::uint64_t>(
             store.put("briarhead/orderer/" + server, encode(orderer_record{node, 1, 1'000})));
         error why;
         m_port = fleet_port::open(
             eventLoop, own,
             [this](const fleet_datagram &datagram, const peer_address &) {
-                hear(datagram);
+                onDatagram(datagram);
             },
             why);
     }
-    void beat()
+    void sendHeartbeat()
     {
-        fleet_beat beat{false, {m_beat}};
-        beat.limits = limits;
-        m_port->send(m_to, {m_node, 1, beat});
+        fleet_beat heartbeat{false, {m_heartbeat}};
+        heartbeat.limits = limits;
+        m_port->send(m_to, {m_node, 1, heartbeat});
     }
     /// As the daemon that took a server's record later than any other.
-    void beatAsSuccessor(const std::string &server)
+    void sendHeartbeatAsSuccessor(const std::string &server)
     {
-        server_beat beat = m_beat;
-        beat.server = server;
-        beat.fence = std::numeric_limits<std::uint32_t>::max();
-        m_port->send(m_to, {m_node, 1, fleet_beat{false, {beat}}});
+        server_beat heartbeat = m_heartbeat;
+        heartbeat.server = server;
+        heartbeat.fence = std::numeric_limits<std::uint32_t>::max();
+        m_port->send(m_to, {m_node, 1, fleet_beat{false, {heartbeat}}});
     }
     void setResident(const std::string &adapter)
     {
-        m_beat.adapters = {{adapterHash(adapter), false, 0}};
+        m_heartbeat.adapters = {{adapterHash(adapter), false, 0}};
     }
-    void ask(const std::string &server)
+    void sendSlotRequest(const std::string &server)
     {
-        askAs("x", server);
+        sendSlotRequestAs("x", server);
     }
-    void askAs(const std::string &id, const std::string &server)
+    void sendSlotRequestAs(const std::string &id, const std::string &server)
     {
-        place_ask ask;
-        ask.id = id;
-        ask.server = server;
-        ask.model = "m0";
-        ask.promptTokens = 100;
-        ask.waitMs = 500;
-        ask.deadlineMs = 1'000;
-        ask.targetMs = 1'000;
-        m_port->send(m_to, {m_node, 1, ask});
+        place_ask request;
+        request.id = id;
+        request.server = server;
+        request.model = "m0";
+        request.promptTokens = 100;
+        request.waitMs = 500;
+        request.deadlineMs = 1'000;
+        request.targetMs = 1'000;
+        m_port->send(m_to, {m_node, 1, request});
     }
-    void tell(const auto &news)
+    void send(const auto &message)
     {
-        m_port->send(m_to, {m_node, 1, news});
+        m_port->send(m_to, {m_node, 1, message});
     }
-    int beatsHeard = 0;
-    int answersHeard = 0;
+    int heartbeatsReceived = 0;
+    int responsesReceived = 0;
     std::vector<limit_beat> limits; ///< that its beats tell of
-    std::vector<limit_beat> limitsHeard; ///< in the latest beat that told of any
-    std::vector<place_ask> asksHeard;
-    std::vector<limit_note> notesHeard;
-    std::vector<place_note> placeNotesHeard;
-    std::vector<word_news> wordsHeard;
-    place_answer lastAnswer;
+    std::vector<limit_beat> limitsReceived; ///< in the latest beat that told of any
+    std::vector<place_ask> slotRequests;
+    std::vector<limit_note> limitReports;
+    std::vector<place_note> slotEvents;
+    std::vector<word_news> notices;
+    place_answer lastResponse;
 
 private:
-    void hear(const fleet_datagram &datagram)
+    void onDatagram(const fleet_datagram &datagram)
     {
-        if (const auto *beat = std::get_if<fleet_beat>(&datagram.body)) {
-            ++beatsHeard;
-            limitsHeard = beat->limits.empty() ? limitsHeard : beat->limits;
-        } else if (const auto *answer = std::get_if<place_answer>(&datagram.body)) {
-            ++answersHeard;
-            lastAnswer = *answer;
-        } else if (const auto *ask = std::get_if<place_ask>(&datagram.body)) {
-            asksHeard.push_back(*ask);
-        } else if (const auto *note = std::get_if<limit_note>(&datagram.body)) {
-            notesHeard.push_back(*note);
-        } else if (const auto *placeNote = std::get_if<place_note>(&datagram.body)) {
-            placeNotesHeard.push_back(*placeNote);
-        } else if (const auto *words = std::get_if<word_news>(&datagram.body)) {
-            wordsHeard.push_back(*words);
+        if (const auto *heartbeat = std::get_if<fleet_beat>(&datagram.body)) {
+            ++heartbeatsReceived;
+            limitsReceived = heartbeat->limits.empty() ? limitsReceived : heartbeat->limits;
+        } else if (const auto *response = std::get_if<place_answer>(&datagram.body)) {
+            ++responsesReceived;
+            lastResponse = *response;
+        } else if (const auto *request = std::get_if<place_ask>(&datagram.body)) {
+            slotRequests.push_back(*request);
+        } else if (const auto *limitReport = std::get_if<limit_note>(&datagram.body)) {
+            limitReports.push_back(*limitReport);
+        } else if (const auto *slotEvent = std::get_if<place_note>(&datagram.body)) {
+            slotEvents.push_back(*slotEvent);
+        } else if (const auto *notice = std::get_if<word_news>(&datagram.body)) {
+            notices.push_back(*notice);
         }
     }
 
     peer_address m_to;
     std::string m_node;
-    server_beat m_beat;
+    server_beat m_heartbeat;
     std::unique_ptr<fleet_port> m_port;
 };
 
--- a/tests/serving/peer_hearing_test.cpp
+++ b/tests/serving/peer_liveness_test.cpp
@@ -1,4 +1,4 @@
-#include "serving/peer_hearing.h"
+#include "serving/peer_liveness.h"
 
 #include <gtest/gtest.h>
 
@@ -20,12 +20,12 @@
 
 int tryingNow(millis silence, int daemons)
 {
-    const heard_holder holder{"n0", now - silence};
+    const observed_owner owner{"n0", now - silence};
     const std::vector<std::string> all = names(daemons);
-    const replacers order = replacersOf("i-1", holder.node, all, all);
+    const replacement_order order = replacementOrderOf("i-1", owner.node, all, all);
     int trying = 0;
     for (const std::string &node : all) {
-        trying += mayReplace(holder, order, node, now) ? 1 : 0;
+        trying += mayReplace(owner, order, node, now) ? 1 : 0;
     }
     return trying;
 }
@@ -37,23 +37,23 @@
 TEST(PeerHearing, ASilentHolderIsReplacedByOneAfterTheOther)
 {
     for (const int daemons : {3, 200, 1'200}) {
-        EXPECT_EQ(tryingNow(silentAfter - millis{1}, daemons), 0);
-        EXPECT_EQ(tryingNow(silentAfter, daemons), 1);
-        EXPECT_LE(tryingNow({60'000}, daemons), static_cast<int>(replacersMost));
+        EXPECT_EQ(tryingNow(ownerTimeout - millis{1}, daemons), 0);
+        EXPECT_EQ(tryingNow(ownerTimeout, daemons), 1);
+        EXPECT_LE(tryingNow({60'000}, daemons), static_cast<int>(maxReplacers));
     }
 }
 
 // The machine itself is cut off. It would take the servers of everybody else, who all look silent to it.
 TEST(PeerHearing, WhoHearsFewReplacesNobody)
 {
-    heard_holders heard;
+    observed_owners owners;
     for (int i = 0; i < 10; ++i) {
-        heard["i-" + std::to_string(i)] = {"n" + std::to_string(i), now - millis{i < 4 ? 100 : 3'000}};
+        owners["i-" + std::to_string(i)] = {"n" + std::to_string(i), now - millis{i < 4 ? 100 : 3'000}};
     }
-    EXPECT_FALSE(hearsMost(heard, now));
-    heard["i-4"].at = now;
-    EXPECT_TRUE(hearsMost(heard, now));
-    EXPECT_FALSE(hearsMost({}, now));
+    EXPECT_FALSE(seesMostOwners(owners, now));
+    owners["i-4"].heartbeatAt = now;
+    EXPECT_TRUE(seesMostOwners(owners, now));
+    EXPECT_FALSE(seesMostOwners({}, now));
 }
 
 // A server's failure domain has no other daemon. Its users would go on waiting, were only daemons of that
@@ -61,13 +61,13 @@
 TEST(PeerHearing, WithoutOthersNearbyDaemonsOfOtherDomainsDo)
 {
     const std::vector<std::string> all = names(4);
-    const replacers order = replacersOf("i-1", "n0", {"n0"}, all);
-    EXPECT_TRUE(order.farther);
+    const replacement_order order = replacementOrderOf("i-1", "n0", {"n0"}, all);
+    EXPECT_TRUE(order.crossDomain);
     ASSERT_EQ(order.nodes.size(), 3U);
-    const heard_holder holder{"n0", now - silentAfter};
-    EXPECT_FALSE(mayReplace(holder, order, order.nodes.front(), now));
-    EXPECT_TRUE(mayReplace(holder, order, order.nodes.front(), now + silentFarther));
-    EXPECT_FALSE(mayReplace(holder, order, "n0", now + millis{60'000}));
+    const observed_owner owner{"n0", now - ownerTimeout};
+    EXPECT_FALSE(mayReplace(owner, order, order.nodes.front(), now));
+    EXPECT_TRUE(mayReplace(owner, order, order.nodes.front(), now + crossDomainExtraTimeout));
+    EXPECT_FALSE(mayReplace(owner, order, "n0", now + millis{60'000}));
 }
 
 }
--- a/tests/serving/platform_test.cpp
+++ b/tests/serving/platform_test.cpp
@@ -39,7 +39,7 @@
     EXPECT_EQ(settings->node, "edge-1");
     EXPECT_EQ(settings->peers.port, 7380);
     EXPECT_EQ(settings->shutdown.count, 8'000);
-    EXPECT_DOUBLE_EQ(settings->repeats.ratio, 0.25);
+    EXPECT_DOUBLE_EQ(settings->retries.ratio, 0.25);
 }
 
 TEST(PlatformSettings, AMissingFieldIsNamedWithTheRemedy)
@@ -130,14 +130,14 @@
     const auto codec = requestCodec();
     http_head head;
     head.status = 421;
-    EXPECT_TRUE(codec.readAnswer(head).notRun);
+    EXPECT_TRUE(codec.readResponse(head).notExecuted);
     head.status = 503;
-    EXPECT_FALSE(codec.readAnswer(head).notRun) << "only the server's own word counts";
+    EXPECT_FALSE(codec.readResponse(head).notExecuted) << "only the server's own word counts";
     head.fields = {
         {"X-Briarhead-Not-Executed", "1"}, {"X-Briarhead-Server-Stamp", "s"}, {"Connection", "close"}};
-    EXPECT_TRUE(codec.readAnswer(head).notRun);
-    EXPECT_TRUE(codec.readAnswer(head).signedByServer);
-    EXPECT_EQ(codec.passOn(head).size(), 2U) << "what concerns one connection stays there";
+    EXPECT_TRUE(codec.readResponse(head).notExecuted);
+    EXPECT_TRUE(codec.readResponse(head).signedByServer);
+    EXPECT_EQ(codec.responseFields(head).size(), 2U) << "what concerns one connection stays there";
 }
 
 TEST(PlatformRequests, AnAnswerNamesItsServersLimit)
@@ -148,7 +148,7 @@
         for (const std::string &value : values) {
             head.fields.push_back({"server-limit", value});
         }
-        return codec.readAnswer(head);
+        return codec.readResponse(head);
     };
     EXPECT_EQ(limitOf({"1.7"}).limit, 1.7);
     EXPECT_EQ(limitOf({" 0 "}).limit, 0.0);
@@ -168,7 +168,7 @@
         http_head head;
         head.status = status;
         head.fields = std::move(fields);
-        return codec.readAnswer(head);
+        return codec.readResponse(head);
     };
     const http_field stamp{"X-Briarhead-Server-Stamp", "s"};
     const http_field notRun{"X-Briarhead-Not-Executed", "1"};
@@ -199,12 +199,12 @@
     http_head head;
     head.fields = {{"Server-Leaving", "1"}, {"Retry-After", "3"}};
     head.status = 503; // without the server's word that it ran nothing, and not signed
-    EXPECT_FALSE(codec.readAnswer(head).leaving);
-    EXPECT_EQ(codec.readAnswer(head).pause, millis{});
+    EXPECT_FALSE(codec.readResponse(head).leaving);
+    EXPECT_EQ(codec.readResponse(head).pause, millis{});
     head.fields.push_back({"X-Briarhead-Server-Stamp", "s"});
     head.status = 421; // it isn't the server that was named
-    EXPECT_FALSE(codec.readAnswer(head).leaving);
-    EXPECT_EQ(codec.readAnswer(head).pause, millis{});
+    EXPECT_FALSE(codec.readResponse(head).leaving);
+    EXPECT_EQ(codec.readResponse(head).pause, millis{});
 }
 
 TEST(PlatformRequests, OrdersAndReports)
@@ -215,9 +215,9 @@
     EXPECT_NE(order.find(R"("expectedRev":7)"), std::string::npos);
     EXPECT_NE(order.find(R"("fenceToken":41)"), std::string::npos);
     EXPECT_NE(order.find("X-Briarhead-Expect-Instance: i-9"), std::string::npos);
-    EXPECT_EQ(codec.readOrderAnswer(202), order_answer::Accepted);
-    EXPECT_EQ(codec.readOrderAnswer(412), order_answer::Fenced);
-    EXPECT_EQ(codec.readOrderAnswer(500), order_answer::Unknown);
+    EXPECT_EQ(codec.readOrderResult(202), order_result::Accepted);
+    EXPECT_EQ(codec.readOrderResult(412), order_result::Fenced);
+    EXPECT_EQ(codec.readOrderResult(500), order_result::Unknown);
     error why;
     const auto report = codec.readReport(
         R"({"models":[{"name":"m0","version":1,"adapters":["a1@3","a2"]}],"busy":true,"seq":5,"coming":["m0/a4@1"]})",
@@ -226,7 +226,7 @@
     EXPECT_EQ(report->sequence, 5);
     EXPECT_EQ(report->models.front().adapters.front().name, "a1");
     EXPECT_EQ(report->models.front().adapters.front().version, 3);
-    EXPECT_EQ(report->coming.size(), 1U);
+    EXPECT_EQ(report->loading.size(), 1U);
     EXPECT_FALSE(codec.readReport("not json", why));
 }
 
@@ -247,11 +247,11 @@
         why);
     ASSERT_TRUE(config) << message(why);
     EXPECT_EQ(config->version, 7U);
-    EXPECT_EQ(config->routes[0].kind, repeat_kind::Stream);
+    EXPECT_EQ(config->routes[0].kind, route_kind::Stream);
     EXPECT_TRUE(config->routes[0].resumable);
     EXPECT_EQ(config->routes[1].services.size(), 2U);
-    EXPECT_EQ(config->routes[2].kind, repeat_kind::Once) << "what isn't known must not be repeated";
-    EXPECT_EQ(engineOf(*config, "s1")->adapterPlaces, 5);
+    EXPECT_EQ(config->routes[2].kind, route_kind::Once) << "what isn't known must not be repeated";
+    EXPECT_EQ(engineOf(*config, "s1")->adapterSlots, 5);
     EXPECT_EQ(engineOf(*config, "s2"), nullptr);
     EXPECT_EQ(config->limits.idleTime.count, 15'000);
     EXPECT_NE(findRoute(*config, "h.example", "/a/1"), nullptr);
@@ -279,7 +279,7 @@
     const std::string good = R"("service":"s","address":"10.0.0.9:8080","zone":"z2","slots":6)";
     error why;
     ASSERT_TRUE(readServer("i", '{' + good + R"(,"state":"ready"})", why));
-    EXPECT_EQ(readServer("i", '{' + good + R"(,"state":"ready","born":1799999999999})", why)->born,
+    EXPECT_EQ(readServer("i", '{' + good + R"(,"state":"ready","born":1799999999999})", why)->startedAtMs,
         1'799'999'999'999);
     for (const std::string &entry :
         {std::string("\xff\x00{", 3), std::string("[]"), std::string("{}"), '{' + good + '}',
--- a/tests/serving/server_ledger_test.cpp
+++ b/tests/serving/server_ledger_test.cpp
@@ -61,26 +61,26 @@
     std::set<std::string> coming;
     bool crashed = false;
 
-    order_answer carryOut(const server_order &order)
+    order_result carryOut(const server_order &order)
     {
         if (order.expected != sequence) {
-            return order_answer::Conflict;
+            return order_result::Conflict;
         }
         if (order.kind == order_kind::Unload) {
             ++sequence;
             held.erase(order.adapter);
-            return order_answer::Holds;
+            return order_result::Holds;
         }
         if (held.count(order.adapter) != 0) {
-            return order_answer::Holds;
+            return order_result::Holds;
         }
         if (coming.count(order.adapter) != 0) {
-            return order_answer::Accepted;
+            return order_result::Accepted;
         }
         ++sequence;
         coming.insert(order.adapter);
         crashed = crashed || static_cast<int>(held.size() + coming.size()) > places;
-        return order_answer::Accepted;
+        return order_result::Accepted;
     }
     void finishLoad()
     {
@@ -93,7 +93,7 @@
     {
         server_report out = reportWith(sequence, {held.begin(), held.end()});
         for (const std::string &name : coming) {
-            out.coming.push_back(adapterKey(base, name));
+            out.loading.push_back(adapterKey(base, name));
         }
         return out;
     }
@@ -135,11 +135,11 @@
             switch (*rc::gen::inRange(0, 5)) {
             case 0: // carried out, the answer lost
                 server.carryOut(*order);
-                takeAnswer(ledger, *order, order_answer::Unknown, now);
+                takeAnswer(ledger, *order, order_result::Unknown, now);
                 break;
             case 1: // not answered, carried out later or never
                 late.push_back(*order);
-                takeAnswer(ledger, *order, order_answer::Unknown, now);
+                takeAnswer(ledger, *order, order_result::Unknown, now);
                 break;
             default:
                 takeAnswer(ledger, *order, server.carryOut(*order), now);
@@ -158,14 +158,14 @@
     takeReport(ledger, reportWith(0, {"a1"}), {1'000});
     const auto lost = nextOrder(ledger, want({"a2"}), limitsNow(), {1'000});
     ASSERT_TRUE(lost);
-    takeAnswer(ledger, *lost, order_answer::Unknown, {1'600});
+    takeAnswer(ledger, *lost, order_result::Unknown, {1'600});
     EXPECT_FALSE(nextOrder(ledger, want({"a3"}), limitsNow(), {1'700})) << "no order before a report";
     takeReport(ledger, reportWith(0, {"a1"}), {2'500});
     EXPECT_EQ(takenPlaces(ledger), 2);
     const auto next = nextOrder(ledger, want({"a3"}), limitsNow(), {2'600});
     ASSERT_TRUE(next);
     EXPECT_EQ(next->kind, order_kind::Unload) << "the free place may be the lost load's";
-    takeAnswer(ledger, *next, order_answer::Holds, {2'610});
+    takeAnswer(ledger, *next, order_result::Holds, {2'610});
     EXPECT_EQ(takenPlaces(ledger), 0) << "the server's sequence has moved on: the lost load is void";
 }
 
@@ -177,17 +177,17 @@
     takeReport(ledger, reportWith(4, {}), {1'000});
     const auto load = nextOrder(ledger, want({"a1"}), limitsNow(), {1'000});
     ASSERT_TRUE(load);
-    takeAnswer(ledger, *load, order_answer::Accepted, {1'003});
+    takeAnswer(ledger, *load, order_result::Accepted, {1'003});
     EXPECT_EQ(findPlace(ledger, base, "a1")->state, place_state::Loading);
     EXPECT_FALSE(nextOrder(ledger, {}, limitsNow(), {1'100}));
     const auto early = nextOrder(ledger, {}, limitsNow(), {1'245});
     ASSERT_TRUE(early);
     EXPECT_EQ(early->expected, 5);
-    takeAnswer(ledger, *early, order_answer::Accepted, {1'247});
+    takeAnswer(ledger, *early, order_result::Accepted, {1'247});
     const auto again = nextOrder(ledger, {}, limitsNow(), {1'280});
     ASSERT_TRUE(again);
     EXPECT_EQ(again->expected, 5) << "the server doesn't count a load that is on its way already";
-    takeAnswer(ledger, *again, order_answer::Holds, {1'282});
+    takeAnswer(ledger, *again, order_result::Holds, {1'282});
     EXPECT_EQ(findPlace(ledger, base, "a1")->state, place_state::Resident);
 }
 
@@ -198,28 +198,28 @@
 {
     server_ledger ledger = emptyLedger(4);
     takeReport(ledger, reportWith(0, {}), {1'000});
-    load_pace pace;
-    pace.crowd = 400;
-    ledger.crowd = pace.crowd;
+    load_estimate pace;
+    pace.concurrentLoads = 400;
+    ledger.crowd = pace.concurrentLoads;
     millis now{1'000};
     for (int i = 0; i < 30; ++i) {
         const auto load = nextOrder(ledger, want({"a" + std::to_string(i)}), limitsNow(), now);
         ASSERT_TRUE(load);
         if (load->kind == order_kind::Unload) {
-            takeAnswer(ledger, *load, order_answer::Holds, now);
+            takeAnswer(ledger, *load, order_result::Holds, now);
             continue;
         }
-        takeAnswer(ledger, *load, order_answer::Accepted, now);
+        takeAnswer(ledger, *load, order_result::Accepted, now);
         now = now + millis{800};
         const auto ask = nextOrder(ledger, {}, limitsNow(), now);
         ASSERT_TRUE(ask);
-        takeAnswer(ledger, *ask, order_answer::Holds, now);
+        takeAnswer(ledger, *ask, order_result::Holds, now);
         for (const load_seen &seen : std::exchange(ledger.loadsSeen, {})) {
-            noteLoad(pace, seen.took, seen.crowd, now);
+            recordLoad(pace, seen.took, seen.crowd, now);
         }
     }
-    EXPECT_GT(loadMsNow(pace), 700);
-    EXPECT_LT(loadMsNow(pace), 810);
+    EXPECT_GT(expectedLoadMs(pace), 700);
+    EXPECT_LT(expectedLoadMs(pace), 810);
 }
 
 // A user would see a stream cut or restarted: an adapter whose requests still run must not go.
@@ -268,7 +268,7 @@
     ASSERT_TRUE(order);
     EXPECT_EQ(order->kind, order_kind::Load);
     EXPECT_EQ(order->version, 7);
-    takeAnswer(ledger, *order, order_answer::Accepted, {1'003});
+    takeAnswer(ledger, *order, order_result::Accepted, {1'003});
     EXPECT_NE(findPlace(ledger, base, "a1")->state, place_state::Resident) << "the old one must not be used";
 }
 
@@ -286,7 +286,7 @@
     ASSERT_TRUE(order);
     EXPECT_EQ(order->model, base);
     EXPECT_TRUE(order->adapter.empty());
-    takeAnswer(ledger, *order, order_answer::Accepted, {1'003});
+    takeAnswer(ledger, *order, order_result::Accepted, {1'003});
     EXPECT_FALSE(nextOrder(ledger, want({"a1"}), limits, {1'200})) << "no adapter before its model";
     report.sequence = 1;
     report.models.push_back({base, 1, {}});
@@ -302,7 +302,7 @@
     takeReport(ledger, reportWith(0, {}), {1'000});
     const auto load = nextOrder(ledger, want({"a1"}), limitsNow(), {1'000});
     ASSERT_TRUE(load);
-    takeAnswer(ledger, *load, order_answer::Accepted, {1'003});
+    takeAnswer(ledger, *load, order_result::Accepted, {1'003});
     takeReport(ledger, reportWith(0, {}), {1'050});
     EXPECT_NE(findPlace(ledger, base, "a1"), nullptr);
     takeReport(ledger, reportWith(0, {}), {1'003 + reportLagMost.count});
@@ -328,7 +328,7 @@
     takeReport(ledger, reportWith(7, {"a1"}), {100});
     const auto order = nextOrder(ledger, want({"a2"}), limitsNow(), {110});
     ASSERT_TRUE(order);
-    takeAnswer(ledger, *order, order_answer::Unknown, {700});
+    takeAnswer(ledger, *order, order_result::Unknown, {700});
     startAgain(ledger, {1'000});
     EXPECT_EQ(ledger.sequence, 0);
     EXPECT_FALSE(ledger.proved);
@@ -338,7 +338,7 @@
     const auto next = nextOrder(ledger, want({"a3", "a4"}), limitsNow(), {1'110});
     ASSERT_TRUE(next);
     EXPECT_EQ(next->expected, 0);
-    takeAnswer(ledger, *next, order_answer::Accepted, {1'120});
+    takeAnswer(ledger, *next, order_result::Accepted, {1'120});
     EXPECT_EQ(takenPlaces(ledger), 2) << "an order with a lower number does not rule the late one out";
     EXPECT_FALSE(nextOrder(ledger, want({"a4"}), limitsNow(), {1'130}));
     EXPECT_TRUE(nextOrder(ledger, want({"a4"}), limitsNow(), millis{1'000} + lateOrderLife));
--- a/tests/serving/server_limit_test.cpp
+++ b/tests/serving/server_limit_test.cpp
@@ -1,5 +1,5 @@
 #include "protocol/codec.h"
-#include "serving/limit_watch.h"
+#include "serving/limit_check.h"
 #include "serving/place_desk.h"
 #include "serving/server_limit.h"
 
@@ -17,30 +17,30 @@
 constexpr std::int64_t pumpMs = 20; ///< how often holders look at what waits
 
 /// A daemon that grants the turns of a server for as long as it believes that it may.
-struct holder
+struct granting_daemon
 {
-    limit_turns turns;
+    limit_permits permits;
     std::vector<millis> granted;
 
     /// Grants all it can.
     void pump(millis now)
     {
-        for (std::size_t left = turnsLeft(turns, now); left > 0; --left) {
-            takeTurn(turns);
+        for (std::size_t left = permitsLeft(permits, now); left > 0; --left) {
+            acquirePermit(permits);
             granted.push_back(now);
         }
     }
 };
 
-place_ask askOf(const std::string &id, millis patience)
+place_ask askOf(const std::string &id, millis maxWait)
 {
-    place_ask ask;
-    ask.id = id;
-    ask.server = "s";
-    ask.waitMs = patience.count;
-    ask.deadlineMs = 10'000;
-    ask.targetMs = patience.count;
-    return ask;
+    place_ask request;
+    request.id = id;
+    request.server = "s";
+    request.waitMs = maxWait.count;
+    request.deadlineMs = 10'000;
+    request.targetMs = maxWait.count;
+    return request;
 }
 
 place_desk plainDesk(double perSecond, millis now)
@@ -49,7 +49,7 @@
     desk.plain = true;
     desk.ledger.server = "s";
     desk.queue.slots = 1'000'000;
-    nameLimit(desk.limit, perSecond, now, now);
+    applyLimit(desk.limit, perSecond, now, now);
     return desk;
 }
 
@@ -64,19 +64,19 @@
     const std::int64_t cutAt = *rc::gen::inRange(0, 12'000) / pumpMs * pumpMs;
     const std::int64_t successorAt = cutAt + *rc::gen::inRange(0, 8'000) / pumpMs * pumpMs;
     const std::int64_t frozenFor = *rc::gen::inRange(0, 5'000) / pumpMs * pumpMs;
-    holder first;
-    holder second;
-    nameLimit(first.turns, perSecond, begin, begin);
+    granting_daemon first;
+    granting_daemon second;
+    applyLimit(first.permits, perSecond, begin, begin);
     for (std::int64_t at = 0; at < 24'000; at += pumpMs) {
         const millis now = begin + millis{at};
         if (at == cutAt) {
-            setShare(first.turns, unprovenShare, now);
+            setShare(first.permits, unconfirmedShare, now);
         }
         if (at < cutAt || at >= cutAt + frozenFor) {
             first.pump(now);
         }
         if (at == successorAt) {
-            nameLimit(second.turns, perSecond, now, now);
+            applyLimit(second.permits, perSecond, now, now);
         }
         if (at >= successorAt) {
             second.pump(now);
@@ -85,88 +85,90 @@
     std::vector<millis> all = first.granted;
     all.insert(all.end(), second.granted.begin(), second.granted.end());
     // A limit below the least that is kept is not judged: the slack bears it.
-    const double judged = std::max(perSecond, leastPerSecond);
-    RC_ASSERT(
-        overLimit({{begin - limitContact, {}, judged}}, all, begin + millis{30'000}).value_or("") == "");
+    const double judged = std::max(perSecond, minPerSecond);
+    RC_ASSERT(findLimitViolation({{begin - limitReactionTime, {}, judged}}, all, begin + millis{30'000})
+                  .value_or("")
+        == "");
 }
 
 // What lies within the limit is used, whatever its size.
 TEST(ServerLimit, ASteadyDemandGetsNearlyAllOfIt)
 {
     for (const double perSecond : {0.3, 1.0, 7.5, 100.0, 900.0}) {
-        holder one;
-        nameLimit(one.turns, perSecond, begin, begin);
+        granting_daemon daemon;
+        applyLimit(daemon.permits, perSecond, begin, begin);
         for (std::int64_t at = 0; at <= 60'000; at += pumpMs) {
-            one.pump(begin + millis{at});
+            daemon.pump(begin + millis{at});
         }
-        EXPECT_GE(static_cast<double>(one.granted.size()), 0.97 * perSecond * 60 - 1) << perSecond;
-        EXPECT_LE(static_cast<double>(one.granted.size()), perSecond * 60 + 1) << perSecond;
+        EXPECT_GE(static_cast<double>(daemon.granted.size()), 0.97 * perSecond * 60 - 1) << perSecond;
+        EXPECT_LE(static_cast<double>(daemon.granted.size()), perSecond * 60 + 1) << perSecond;
     }
 }
 
 // One daemon's callers got all turns at once after a quiet time.
 TEST(ServerLimit, NothingMuchIsSavedUp)
 {
-    holder one;
-    nameLimit(one.turns, 10, begin, begin);
-    one.pump(begin + millis{60'000});
-    EXPECT_EQ(one.granted.size(), 3U);
+    granting_daemon daemon;
+    applyLimit(daemon.permits, 10, begin, begin);
+    daemon.pump(begin + millis{60'000});
+    EXPECT_EQ(daemon.granted.size(), 3U);
 }
 
 // Nothing is granted ahead when a limit is first named, or named by a server whose holder has just begun.
 TEST(ServerLimit, ANewLimitBeginsWithoutTurns)
 {
-    limit_turns turns;
-    nameLimit(turns, 2, begin, begin);
-    EXPECT_EQ(turnsLeft(turns, begin), 0U);
-    EXPECT_EQ(turnAfter(turns, 0, begin), millis{500});
-    EXPECT_EQ(turnAfter(turns, 3, begin), millis{2'000});
-    EXPECT_EQ(turnsLeft(turns, begin + millis{500}), 1U);
+    limit_permits permits;
+    applyLimit(permits, 2, begin, begin);
+    EXPECT_EQ(permitsLeft(permits, begin), 0U);
+    EXPECT_EQ(permitDelay(permits, 0, begin), millis{500});
+    EXPECT_EQ(permitDelay(permits, 3, begin), millis{2'000});
+    EXPECT_EQ(permitsLeft(permits, begin + millis{500}), 1U);
 }
 
 // A limit that rose was taken for risen before: turns flowed in at the new rate for the time before.
 TEST(ServerLimit, ARiseCountsFromWhenItIsHeard)
 {
-    limit_turns turns;
-    nameLimit(turns, 0.1, begin, begin);
-    nameLimit(turns, 100, begin + millis{1'000}, begin + millis{1'000});
-    EXPECT_EQ(turnsLeft(turns, begin + millis{1'000}), 0U);
-    EXPECT_EQ(turnsLeft(turns, begin + millis{1'100}), 10U);
+    limit_permits permits;
+    applyLimit(permits, 0.1, begin, begin);
+    applyLimit(permits, 100, begin + millis{1'000}, begin + millis{1'000});
+    EXPECT_EQ(permitsLeft(permits, begin + millis{1'000}), 0U);
+    EXPECT_EQ(permitsLeft(permits, begin + millis{1'100}), 10U);
 }
 
 // An answer that was written before the limit was named came after one that names it, and ended it.
 TEST(ServerLimit, OnlyAnAnswerToALaterGrantEndsIt)
 {
-    limit_turns turns;
-    nameLimit(turns, 1, begin, begin);
-    endLimit(turns, begin - millis{1}, begin + millis{50});
-    EXPECT_TRUE(turns.perSecond);
-    endLimit(turns, begin + millis{10}, begin + millis{60});
-    EXPECT_FALSE(turns.perSecond);
-    EXPECT_GT(turnsLeft(turns, begin + millis{60}), 1'000U);
-    nameLimit(
-        turns, 1, begin + millis{5}, begin + millis{70}); // an entry that heard of it last before its end
-    EXPECT_FALSE(turns.perSecond);
-    nameLimit(turns, 1, begin + millis{65}, begin + millis{70});
-    EXPECT_TRUE(turns.perSecond);
+    limit_permits permits;
+    applyLimit(permits, 1, begin, begin);
+    withdrawLimit(permits, begin - millis{1}, begin + millis{50});
+    EXPECT_TRUE(permits.perSecond);
+    withdrawLimit(permits, begin + millis{10}, begin + millis{60});
+    EXPECT_FALSE(permits.perSecond);
+    EXPECT_GT(permitsLeft(permits, begin + millis{60}), 1'000U);
+    applyLimit(
+        permits, 1, begin + millis{5}, begin + millis{70}); // an entry that heard of it last before its end
+    EXPECT_FALSE(permits.perSecond);
+    applyLimit(permits, 1, begin + millis{65}, begin + millis{70});
+    EXPECT_TRUE(permits.perSecond);
 
     named_limits known;
-    EXPECT_EQ(hearLimit(known, "s", 1, begin, begin + millis{5}), limit_change::Named);
-    EXPECT_EQ(hearLimit(known, "s", {}, begin + millis{4}, begin + millis{6}), limit_change::None);
-    EXPECT_EQ(hearLimit(known, "s", 2, begin, begin + millis{7}), limit_change::Changed);
-    EXPECT_EQ(hearLimit(known, "s", {}, begin + millis{8}, begin + millis{9}), limit_change::Ended);
+    EXPECT_EQ(applyResponseLimit(known, "s", 1, begin, begin + millis{5}), limit_change::Announced);
+    EXPECT_EQ(applyResponseLimit(known, "s", {}, begin + millis{4}, begin + millis{6}), limit_change::None);
+    EXPECT_EQ(applyResponseLimit(known, "s", 2, begin, begin + millis{7}), limit_change::Changed);
+    EXPECT_EQ(
+        applyResponseLimit(known, "s", {}, begin + millis{8}, begin + millis{9}), limit_change::Withdrawn);
     EXPECT_TRUE(known.empty());
 }
 
 // A server with a limit of nothing would never be asked again whether it still names it.
 TEST(ServerLimit, AtALimitOfNothingOneRequestGoesNowAndThen)
 {
-    holder one;
-    nameLimit(one.turns, 0, begin, begin);
+    granting_daemon daemon;
+    applyLimit(daemon.permits, 0, begin, begin);
     for (std::int64_t at = 0; at <= 60'000; at += pumpMs) {
-        one.pump(begin + millis{at});
+        daemon.pump(begin + millis{at});
     }
-    EXPECT_EQ(one.granted.size(), 6U);
+    EXPECT_EQ(daemon.granted.size(), 6U);
 }
 
 // 1,200 daemons with a caller each asked for a server that takes two requests a second: each sent its own.
@@ -196,7 +198,9 @@
             }
         }
     }
-    EXPECT_EQ(overLimit({{begin - limitContact, {}, 2}}, sent, begin + millis{30'000}).value_or(""), "");
+    EXPECT_EQ(
+        findLimitViolation({{begin - limitReactionTime, {}, 2}}, sent, begin + millis{30'000}).value_or(""),
+        "");
     EXPECT_GE(sent.size(), 58U);
     EXPECT_GT(refused, 30'000U);
 }
@@ -264,7 +268,7 @@
         ask.limitAgeMs = age;
         askDesk(desk, "n", ask, begin);
         ASSERT_TRUE(desk.limit.perSecond) << age;
-        endLimit(desk.limit, begin + millis{10}, begin + millis{20});
+        withdrawLimit(desk.limit, begin + millis{10}, begin + millis{20});
         EXPECT_FALSE(desk.limit.perSecond) << age;
     }
 }
--- a/tests/serving/word_task_test.cpp
+++ b/tests/serving/server_notice_task_test.cpp
@@ -2,7 +2,7 @@
 #include "platform/platform_records.h"
 #include "protocol/codec.h"
 #include "serving/fake_store.h"
-#include "serving/word_task.h"
+#include "serving/server_notice_task.h"
 #include "unit/http_fixture.h"
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// One daemon's word_task among many daemons that the store lists; what it sends them goes to a socket that
-/// nobody reads.
+/// One daemon's server_notice_task among many daemons that the store lists; what it sends them goes to a
+/// socket that nobody reads.
 class word_task_test : public http_testing::http_fixture, public testing::WithParamInterface<int>
 {
 protected:
@@ -22,7 +22,7 @@
     node_settings m_settings;
     bus m_bus{m_loop};
     std::unique_ptr<store_task> m_reader;
-    std::unique_ptr<word_task> m_words;
+    std::unique_ptr<server_notice_task> m_task;
     std::unique_ptr<fleet_port> m_port;
     std::unique_ptr<fleet_port> m_others;
 
@@ -32,23 +32,23 @@
         const auto ignore = [](const fleet_datagram &, const peer_address &) {};
         m_settings.node = "n0";
         m_settings.peers = {http_testing::loopback, http_testing::freePort()};
-        const peer_address others{http_testing::loopback, http_testing::freePort()};
+        const peer_address remote{http_testing::loopback, http_testing::freePort()};
         m_port = fleet_port::open(m_loop, m_settings.peers, ignore, why);
-        m_others = fleet_port::open(m_loop, others, ignore, why);
+        m_others = fleet_port::open(m_loop, remote, ignore, why);
         for (int i = 1; i < GetParam(); ++i) {
             const std::string node = "n" + std::to_string(i);
             m_store.put(
-                "briarhead/daemon/" + node, encode(daemon_record{node, others.ip, others.port, "z", 1}));
+                "briarhead/daemon/" + node, encode(daemon_record{node, remote.ip, remote.port, "z", 1}));
         }
         m_reader = std::make_unique<store_task>(
             m_loop, m_bus, m_client, platform::recordCodec(), m_settings, 1, m_log);
-        m_words = std::make_unique<word_task>(m_loop, m_bus, *m_reader, m_settings, m_log);
-        m_words->setPort(*m_port);
+        m_task = std::make_unique<server_notice_task>(m_loop, m_bus, *m_reader, m_settings, m_log);
+        m_task->setPort(*m_port);
         ASSERT_TRUE(runUntil([this] {
             return m_reader->view().daemons.size() == static_cast<std::size_t>(GetParam());
         }));
     }
-    std::uint64_t sentFor(const std::function<void()> &what)
+    std::uint64_t datagramsSentBy(const std::function<void()> &what)
     {
         const std::uint64_t before = m_port->counters().sent;
         what();
@@ -56,21 +56,21 @@
         return m_port->counters().sent - before;
     }
     /// The first server for which this daemon is a home, or is none.
-    std::string serverWith(bool home) const
+    std::string serverWithRelay(bool isRelay) const
     {
         for (int i = 0;; ++i) {
             std::string server = "s" + std::to_string(i);
-            const auto homes = rendezvousOrder(server, nodesOf(m_reader->view().daemons), wordHomes);
-            if ((std::find(homes.begin(), homes.end(), "n0") != homes.end()) == home) {
+            const auto relays = rendezvousOrder(server, nodesOf(m_reader->view().daemons), noticeRelays);
+            if ((std::find(relays.begin(), relays.end(), "n0") != relays.end()) == isRelay) {
                 return server;
             }
         }
     }
 };
 
-answer_meta leavingAnswer()
+response_meta leavingAnswer()
 {
-    answer_meta meta;
+    response_meta meta;
     meta.signedByServer = true;
     meta.leaving = true;
     return meta;
@@ -82,22 +82,22 @@
 TEST_P(word_task_test, WhoHearsTellsTwoAndTheseTellAll)
 {
     const auto daemons = static_cast<std::uint64_t>(GetParam());
-    const std::string others = serverWith(false);
-    const std::uint64_t told = sentFor([&] {
+    const std::string remote = serverWithRelay(false);
+    const std::uint64_t direct = datagramsSentBy([&] {
         for (int i = 0; i < 50; ++i) {
-            m_words->hear("id", others, others, leavingAnswer());
+            m_task->onResponse("id", remote, remote, leavingAnswer());
         }
     });
-    EXPECT_EQ(told, 6U) << "three times to two homes, however many answers say so";
-    const std::string own = serverWith(true);
-    const std::uint64_t spread = sentFor([&] {
+    EXPECT_EQ(direct, 6U) << "three times to two homes, however many answers say so";
+    const std::string own = serverWithRelay(true);
+    const std::uint64_t relayed = datagramsSentBy([&] {
         for (int i = 0; i < 50; ++i) {
-            m_words->hear("n1", word_news{own, own, true, 0, true});
+            m_task->onNotice("n1", word_news{own, own, true, 0, true});
         }
     });
-    EXPECT_EQ(spread, 2 * (daemons - 1)) << "a home tells all, twice";
-    EXPECT_EQ(sentFor([&] {
-        m_words->hear("n1", word_news{"t", "t", true, 0, false});
+    EXPECT_EQ(relayed, 2 * (daemons - 1)) << "a home tells all, twice";
+    EXPECT_EQ(datagramsSentBy([&] {
+        m_task->onNotice("n1", word_news{"t", "t", true, 0, false});
     }),
         0U)
         << "who is told tells nobody";
@@ -107,11 +107,11 @@
 // fleet.
 TEST_P(word_task_test, APauseIsToldToNobodyButTheHolder)
 {
-    answer_meta meta;
-    meta.notRun = true;
+    response_meta meta;
+    meta.notExecuted = true;
     meta.pause = {1'000};
-    EXPECT_EQ(sentFor([&] {
-        m_words->hear("id", "s", "s", meta);
+    EXPECT_EQ(datagramsSentBy([&] {
+        m_task->onResponse("id", "s", "s", meta);
     }),
         0U);
 }
--- a/tests/serving/store_task_test.cpp
+++ b/tests/serving/store_task_test.cpp
@@ -99,10 +99,10 @@
 // entry of that start that comes late tells nothing of the new one.
 TEST_F(store_task_test, AServerThatStartsAgainUnderItsIdIsAnotherOne)
 {
-    const auto put = [this](std::int64_t born, int slots) {
+    const auto put = [this](std::int64_t startedAtMs, int slots) {
         store.put("servers/i-1",
             R"({"service":"s","address":"127.0.0.1:9","zone":"z","state":"ready","slots":)"
-                + std::to_string(slots) + R"(,"born":)" + std::to_string(born) + '}');
+                + std::to_string(slots) + R"(,"born":)" + std::to_string(startedAtMs) + '}');
     };
     put(1'000, 4);
     follower one(store, "n1", "z");
@@ -115,7 +115,7 @@
     }));
     put(2'000, 5);
     ASSERT_TRUE(until([&] {
-        return one.task.view().servers.at("i-1").born == 2'000;
+        return one.task.view().servers.at("i-1").startedAtMs == 2'000;
     }));
     EXPECT_EQ(gone, std::vector<std::string>{"i-1"});
     put(1'000, 6);
--- a/tests/soak/server_limit_test.cpp
+++ b/tests/soak/server_limit_test.cpp
@@ -40,9 +40,9 @@
     sendEvery({40});
     runFor({1'000});
     const auto servers = serversOfKind();
-    servers[0]->nameLimit(1);
-    servers[1]->nameLimit(2.5);
-    runFor(limitContact + limitWindow + millis{2'000});
+    servers[0]->setLimit(1);
+    servers[1]->setLimit(2.5);
+    runFor(limitReactionTime + limitWindow + millis{2'000});
     expectWithinLimits();
     EXPECT_GE(m_served, (m_served + m_refused) * 9 / 10) << "others take what these may not";
     EXPECT_EQ(m_failed, 0U);
@@ -53,10 +53,10 @@
 TEST_P(server_limit_test, OfAllServersIsUsedAndTheRestIsRefusedAtOnce)
 {
     for (backend_standin *server : serversOfKind()) {
-        server->nameLimit(0.8);
+        server->setLimit(0.8);
     }
     sendEvery({60});
-    runFor(limitContact);
+    runFor(limitReactionTime);
     const millis from = bootNow();
     m_refused = 0;
     m_longestRefusal = {};
@@ -73,24 +73,24 @@
 TEST_P(changing_limit_test, ThatRisesFallsAndEndsIsFollowed)
 {
     for (backend_standin *server : serversOfKind()) {
-        server->nameLimit(1);
+        server->setLimit(1);
     }
     sendEvery({60});
-    runFor(limitContact);
+    runFor(limitReactionTime);
     for (backend_standin *server : serversOfKind()) {
-        server->nameLimit(6);
+        server->setLimit(6);
     }
     runFor({2'500});
     const millis risen = bootNow();
     runFor({3'000});
     EXPECT_GE(ranWithinLimits(risen), 6U * 5U * 3U * 7U / 10U);
     for (backend_standin *server : serversOfKind()) {
-        server->nameLimit(0.5);
+        server->setLimit(0.5);
     }
-    runFor(limitContact + limitWindow + millis{500});
+    runFor(limitReactionTime + limitWindow + millis{500});
     expectWithinLimits();
     for (backend_standin *server : serversOfKind()) {
-        server->nameLimit({});
+        server->setLimit({});
     }
     runFor({3'000});
     const std::size_t refused = m_refused;
@@ -106,7 +106,7 @@
 TEST_P(changing_limit_test, HoldsWhileTheDaemonsThatKeepItDieStandStillAndEnd)
 {
     for (backend_standin *server : serversOfKind()) {
-        server->nameLimit(1.2);
+        server->setLimit(1.2);
     }
     sendEvery({60});
     runFor({2'000});
--- a/tests/soak/server_words_test.cpp
+++ b/tests/soak/server_words_test.cpp
@@ -18,8 +18,10 @@
     void expectWordsKept()
     {
         for (const backend_standin *server : serversOfKind()) {
-            EXPECT_EQ(afterLeaving(server->said, server->arrivals, senderOf).value_or(""), "") << server->id;
-            EXPECT_EQ(withinPause(server->said, server->arrivals, senderOf).value_or(""), "") << server->id;
+            EXPECT_EQ(findSendAfterLeaving(server->sentNotices, server->arrivals, senderOf).value_or(""), "")
+                << server->id;
+            EXPECT_EQ(findSendInPause(server->sentNotices, server->arrivals, senderOf).value_or(""), "")
+                << server->id;
         }
     }
     static std::size_t arrivedSince(const backend_standin &server, millis since)
@@ -49,8 +51,8 @@
     server.leaving = true;
     runFor({4'000});
     expectWordsKept();
-    ASSERT_FALSE(server.said.empty());
-    EXPECT_EQ(arrivedSince(server, server.said.front().at + newsTime), 0U)
+    ASSERT_FALSE(server.sentNotices.empty());
+    EXPECT_EQ(arrivedSince(server, server.sentNotices.front().at + newsTime), 0U)
         << "daemons that got no such answer are told by those that did";
     EXPECT_GE(m_served, (m_served + m_refused) * 9 / 10) << "the others take what this one may not";
     EXPECT_EQ(m_failed, 0U);
@@ -67,8 +69,8 @@
     m_store.put("servers/" + server.id, server.entry());
     runFor({2'500});
     expectWordsKept();
-    ASSERT_FALSE(server.said.empty());
-    EXPECT_EQ(arrivedSince(server, server.said.front().at + newsTime), 0U);
+    ASSERT_FALSE(server.sentNotices.empty());
+    EXPECT_EQ(arrivedSince(server, server.sentNotices.front().at + newsTime), 0U);
     EXPECT_EQ(m_failed, 0U);
 }
 
@@ -113,7 +115,7 @@
     runFor({6'000});
     expectWordsKept();
     for (std::size_t i = 0; i < 3; ++i) {
-        EXPECT_FALSE(servers[i]->said.empty()) << "it is asked again once its pause is over";
+        EXPECT_FALSE(servers[i]->sentNotices.empty()) << "it is asked again once its pause is over";
     }
     EXPECT_EQ(m_failed, 0U);
 }
@@ -133,8 +135,8 @@
     expectWordsKept();
     millis paused; // the first of the pauses ends then
     for (const backend_standin *server : serversOfKind()) {
-        ASSERT_FALSE(server->said.empty());
-        const millis end = server->said.front().at + server->said.front().pause;
+        ASSERT_FALSE(server->sentNotices.empty());
+        const millis end = server->sentNotices.front().at + server->sentNotices.front().pause;
         paused = paused == millis{} ? end : std::min(paused, end);
     }
     EXPECT_LE(m_longestRefusal, millis{400});
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -177,7 +177,7 @@
         line << (bootNow() - m_begin).count << " ms: " << server.standin->id << " names a limit of "
              << change.perSecond.value_or(-1);
         m_report.faults.push_back(line.str());
-        server.standin->nameLimit(change.perSecond);
+        server.standin->setLimit(change.perSecond);
     }
 }
 
@@ -241,7 +241,7 @@
         setLink(server, link_fault::None);
         setMood(server, mood::Serves);
         if (server.standin) {
-            server.standin->nameLimit({});
+            server.standin->setLimit({});
             unsay(server, std::string(server.standin->id));
         }
     }
--- a/tests/soak/witness.cpp
+++ b/tests/soak/witness.cpp
@@ -171,9 +171,9 @@
 
 void witness::checkServerLimit(const backend_standin &server)
 {
-    std::vector<limit_spell> spells;
-    for (const limit_spell &spell : server.limits) {
-        limit_spell rest = spell;
+    std::vector<limit_period> spells;
+    for (const limit_period &spell : server.limits) {
+        limit_period rest = spell;
         for (const span &each : m_heldUp[server.id]) {
             const bool within = each.from >= rest.from && (rest.until.count == 0 || each.from < rest.until);
             if (within) {
@@ -186,13 +186,13 @@
         }
     }
     std::vector<millis> counted;
-    for (const server_arrival &each : server.arrivals) {
+    for (const received_request &each : server.arrivals) {
         const auto sent = m_requests.find(each.id);
         if (sent != m_requests.end() && countsAt(server.id, sent->second.daemon, each.at)) {
             counted.push_back(each.at);
         }
     }
-    if (const auto over = overLimit(spells, counted, bootNow())) {
+    if (const auto over = findLimitViolation(spells, counted, bootNow())) {
         wrong("LIMIT " + server.id + " got " + *over);
     }
 }
@@ -228,10 +228,10 @@
             return senderAt(server.id, id, at, cutsExcuse);
         };
     };
-    if (const auto late = afterLeaving(server.said, server.arrivals, sender(false))) {
+    if (const auto late = findSendAfterLeaving(server.sentNotices, server.arrivals, sender(false))) {
         wrong("DRAIN " + server.id + ": " + *late);
     }
-    if (const auto many = withinPause(server.said, server.arrivals, sender(true))) {
+    if (const auto many = findSendInPause(server.sentNotices, server.arrivals, sender(true))) {
         wrong("BUDGET " + server.id + ": " + *many);
     }
 }
@@ -251,8 +251,8 @@
     }
     checkServerLimit(server);
     checkWords(server);
-    if (server.mostAdapters > places) {
-        wrong("LIMIT " + server.id + " was ordered to hold " + std::to_string(server.mostAdapters)
+    if (server.maxAdapters > places) {
+        wrong("LIMIT " + server.id + " was ordered to hold " + std::to_string(server.maxAdapters)
             + " adapters");
     }
     std::map<std::uint64_t, std::string> holders;
