--- a/packages/serving/account_check.h
+++ b/packages/serving/account_check.h
@@ -8,41 +8,43 @@
 #include <optional>
 #include <string_view>
 
-// Which client account a request is of, and what it counts against that account's limit.
+// Authentication of callers by API key, and what a request costs its client account.
 namespace briarhead {
 
 enum class auth_status : std::uint8_t
 {
-    Accepted, ///< of an account, or nobody asks for a key
-    Missing,
-    Unknown, ///< no account holds the key, or holds it any more
+    Accepted, ///< the key belongs to an account, or no key is required
+    Missing, ///< a key is required and the request has none
+    Unknown, ///< the key belongs to no account; it may have been revoked
 };
 
-/// "accepted", ...
+/// Reason text used in metrics and logs: "accepted", "no key", "unknown key".
 std::string_view nameOf(auth_status value);
 
+/// The outcome of authenticating a caller.
 struct auth_result
 {
     auth_status status = auth_status::Accepted;
-    const client_account *account = nullptr; ///< null: none
+    const client_account *account = nullptr; ///< null where the caller has no account
 };
 
-/// A key is looked up by its hash, so that the time it takes says nothing of how much of a key is right, and
-/// doesn't grow with the keys there are. On open routes a key that nobody holds counts as none.
+/// Looks up the account of a key by the key's hash, so that the lookup time neither reveals how much of a
+/// guessed key is correct nor grows with the number of keys. Routes that allow anonymous callers treat an
+/// unknown key like a missing one.
 auth_result authenticate(const serving_config &config, const route &matchedRoute, const std::string &keyHash);
 
-/// Whether a configuration asks callers for keys at all.
+/// Whether the configuration has client accounts, so that callers must send a key.
 bool requiresKeys(const serving_config &config);
 
-/// Units that a request counts.
+/// Units of the account's limit that a request consumes: 1, or its tokens if the account counts tokens.
 double unitsOf(const client_account &account, const client_request &request);
 
-/// Fills `accountOfHash`. To be called once, after the accounts are there.
+/// Fills `accountOfHash`. Call once, after `accounts` has been filled.
 void indexAccounts(serving_config &config);
-/// The limit of an account by accountHash(); nothing: there is no such account.
+/// The limit of the account with this accountHash(), or nothing if there is no such account.
 std::optional<quota_limit> limitOf(const serving_config &config, std::uint64_t account);
 
-/// How urgent a request is: its account goes before its route.
+/// The priority of a request, 0 being the most urgent. The account's rank overrides the route's.
 int rankOf(const route &matchedRoute, const client_account *account);
 
 }
--- a/packages/serving/choose_server.cpp
+++ b/packages/serving/choose_server.cpp
@@ -36,7 +36,7 @@
 
 namespace {
 
-/// How much a prompt disturbs the streams of a server, against one of usual length.
+/// How much reading a prompt delays the streams of a server, relative to a prompt of reference length.
 double disturbanceOf(const prompt_shape &prompt)
 {
     const double ratio = static_cast<double>(prompt.promptTokens) / referencePromptTokens;
@@ -48,7 +48,7 @@
 double copyCostShareOf(const std::vector<model_candidate> &servers)
 {
     double recentUses = 0;
-    double copies = 1; // with the further one
+    double copies = 1; // includes the new one
     for (const model_candidate &server : servers) {
         recentUses += server.recentUses;
         copies +=
@@ -71,7 +71,8 @@
     const bool needsSlot =
         server.adapter == adapter_residency::Absent || server.adapter == adapter_residency::Remembered;
     const bool noOpenSlot = needsSlot && server.availableSlots == 0;
-    // Long answers hold their places for long: where they gather and no place is open, one more is refused.
+    // Long responses occupy their slots for seconds. Without an open slot, being attracted to a server that
+    // has many of them would end in a refusal.
     cost += prompt.longResponse ? (noOpenSlot ? 0 : -disturbance) : disturbance * disturbanceOf(prompt);
     switch (server.adapter) {
     case adapter_residency::Resident:
--- a/packages/serving/choose_server.h
+++ b/packages/serving/choose_server.h
@@ -8,165 +8,179 @@
 #include <string_view>
 #include <vector>
 
-// Which backend server a request goes to. Pure functions over what an entry knows at that moment.
+// Chooses the backend server for a request. Pure functions of what an entry currently knows about the
+// servers.
 namespace briarhead {
 
+/// Where an adapter is, as seen from one server.
 enum class adapter_residency : std::uint8_t
 {
-    Absent, ///< to be loaded from the weight store
-    Remembered, ///< the server held it lately and has a copy in its memory
+    Absent, ///< would have to be loaded from the weight store
+    Remembered, ///< recently evicted; the server still has a copy in host memory
     Loading,
     Resident,
 };
 
 std::string_view nameOf(adapter_residency value);
 
-/// A model server as an entry sees it.
+/// What an entry knows about a model server when it chooses one for a request.
 struct model_candidate
 {
     adapter_residency adapter = adapter_residency::Absent;
-    bool modelResident = true; ///< the base model is there
-    bool hasHeartbeat = true; ///< by beats; else nothing is known of it but who gives its orders
+    bool modelResident = true; ///< the base model is loaded
+    bool hasHeartbeat = true; ///< if false, only the server's owner is known
     bool sameDomain = false;
-    bool excluded = false; ///< tried already, leaving, or without a path
-    std::uint32_t availableSlots = 0; ///< for another adapter
-    std::uint32_t longResponses = 0; ///< that run there
-    double backlogMs = 0; ///< reading that is ahead
-    double failureRate = 0; ///< share of its latest answers that failed, 0 to 1
-    std::size_t hashRank = 0; ///< place in the adapter's rendezvous order
-    double recentUses = 0; ///< of the adapter there of late
+    bool excluded = false; ///< must not be chosen: tried already, closed, or nobody grants slots there
+    std::uint32_t availableSlots = 0; ///< adapter slots that are free or whose adapter is unused
+    std::uint32_t longResponses = 0; ///< long responses being generated there
+    double backlogMs = 0; ///< time to read the prompts that are ahead
+    double failureRate = 0; ///< moving average over recent responses, 0 to 1
+    std::size_t hashRank = 0; ///< position in the adapter's rendezvous order
+    double recentUses = 0; ///< decaying count of uses of the adapter on this server
 };
 
-/// Sending a prompt to another failure domain and its answer back costs 1 to 2% of what the request is
-/// worth: as much as this much waiting, if a second is worth all of it.
+// Penalties are in ms of waiting that a caller would accept instead; one second of waiting is worth as much
+// as the whole request.
+
+/// Sending a prompt to another failure domain and its response back costs 1 to 2% of a request's value, about
+/// as much as this waiting time.
 constexpr double crossDomainPenaltyMs = 50;
-/// An adapter from the weight store takes 250 ms. The rest is what a further copy costs others: at high load
-/// more adapters are in use at once than the servers have places, so each copy sends another adapter's
-/// callers away. Raised from 350 in steps on the first deployments' days, the mean worth of a day grew by a
-/// tenth up to about 900 and no further.
+/// Loading an adapter from the weight store takes 250 ms. The rest is what another copy costs others: at high
+/// load more adapters are in use than there are adapter slots, so each copy evicts an adapter whose callers
+/// are then refused. Between 350 and 900 ms a day's score rises by a tenth; it does not rise any further.
 constexpr double absentPenaltyMs = 900;
 constexpr double loadingPenaltyMs = 120;
-/// An adapter that the server remembers is there in 25 ms and isn't fetched from the weight store, but takes
-/// a place as any other. On a third customer's days with trouble, 250 to 500 earn one part in a hundred of
-/// what is owed more than treating it as absent, and 6% fewer adapters are fetched.
+/// A remembered adapter loads in 25 ms without the weight store, but occupies a slot like any other. Values
+/// from 250 to 500 ms score one percent higher than treating it as absent, with 6% fewer loads from the
+/// weight store.
 constexpr double rememberedPenaltyMs = 500;
-/// Nothing can yield, as last told: a run has to end first.
+/// No slot was available in the latest heartbeat: a running request has to finish first.
 constexpr double noOpenSlotPenaltyMs = 600;
-/// Gathers the copies of an adapter on few servers, so that one of them remembers it when it is asked for
-/// again; at 25 a day's loads from there were a third more.
+/// Per position in the adapter's rendezvous order. Keeps the copies of an adapter on few servers, so that one
+/// of them still remembers it at the next request. At 25 ms there are a third more loads from the weight
+/// store.
 constexpr double hashRankPenaltyMs = 150;
+/// Positions beyond this are penalised no further.
 constexpr std::size_t maxHashRank = 6;
-/// Servers without beats are asked only as one of an adapter's first so many.
+/// Servers without heartbeats are candidates only in the first positions of an adapter's rendezvous order.
 constexpr std::size_t maxHashRankUnobserved = 2;
-/// A server that fails all it gets isn't worth the whole first second.
+/// At a failure rate of 1.
 constexpr double failurePenaltyMs = 2'000;
 
-/// Servers that one request asks for a place before it is refused. When places are short, each further server
-/// that loads a rare adapter drives out another that is asked for, and the weight store slows down for all:
-/// on the load model's days of high load, two or three serve more than four and eight; on quiet days eight
-/// serve 1.5% more, since a load is then all that a further try costs.
+/// Servers from which one request asks for a slot before it is refused. When slots are scarce, each further
+/// server that loads a rare adapter evicts one that is in demand, and the weight store becomes slower for
+/// all: at high load, two or three servers serve more requests than four or eight. At low load, where a load
+/// is the only cost of another attempt, eight would serve 1.5% more.
 constexpr int maxServersTried = 3;
 
-/// Each prompt that is read makes the streams of its server pause, the more the longer it is, and a long
-/// answer has hundreds of steps in which a pause can be too long. So short answers keep away from servers
-/// with long ones, and long ones gather. On the load model's day of high load on 60 servers, 5% of the long
-/// answers have a pause that is too long in place of 37%, and the worth of all, less loads, is 0.70 of what
-/// is owed in place of 0.64.
-constexpr double longResponsePenaltyMs = 120; ///< for each long answer there
+/// While a server reads a prompt, its streams pause, for longer with longer prompts, and a long response has
+/// hundreds of steps at which a pause can exceed the limit. Requests for short responses therefore avoid
+/// servers with long ones, and long ones are put together. At high load on 60 servers this reduces the share
+/// of long responses with an excessive pause from 37% to 5% and raises the score from 0.64 to 0.70.
+constexpr double longResponsePenaltyMs = 120; ///< per long response on the server
 constexpr std::uint32_t maxLongResponsesCounted = 10;
 
-/// What answers are asked for, as announced with the requests of late.
+/// Statistics of the response lengths that recent requests announced.
 struct response_mix
 {
     double meanTokens = 0;
-    double longShare = 0; ///< of the requests, those that announce more than the mean
-    double sampleCount = 0; ///< requests, up to as many as count
+    double longShare = 0; ///< share of requests that announce more than the mean
+    double sampleCount = 0; ///< requests seen, at most `mixWindowRequests`
 };
 
-/// The mix is a mean over about so many requests: some twenty seconds of one entry's.
+/// The statistics are moving averages over about this many requests, which is about 20 s of one entry's.
 constexpr double mixWindowRequests = 100;
-/// Long answers can keep to themselves while they are few: up to the first share with all of the weight, from
-/// the second on with none. Three customers' mixes have 0.2, 0.2 and 0.6. At the last, where they are on
-/// every server anyhow, keeping apart only drives adapters to further servers: it earned 6% less there, and
-/// 5% more at the first.
+/// Long responses can be separated from short ones only while they are few: fully up to the first share, not
+/// at all from the second on. At a share of 0.2 separation scores 5% higher. At 0.6 it scores 6% lower: long
+/// responses run on every server then, and separation only spreads adapters over more servers.
 constexpr double lowLongResponseShare = 0.25;
 constexpr double highLongResponseShare = 0.4;
 
-/// With fewer requests seen nothing is kept apart: the first few say little of the mix.
+/// No separation before this many requests have been seen, because fewer say little about the mix.
 constexpr double minMixRequests = 20;
 
+/// Records the maximum response length that a request announces.
 void recordOutputLength(response_mix &mix, std::int64_t outputTokens);
+/// Whether a response of this length is longer than the mean.
 bool isLongResponse(const response_mix &mix, std::int64_t outputTokens);
 
-/// What a request asks of a server.
+/// The properties of a request that matter for choosing a model server.
 struct prompt_shape
 {
     std::int64_t promptTokens = 0;
     bool longResponse = false;
-    double separation = 1; ///< how much long answers keep apart in this mix, 0 to 1
-    double copyCostShare =
-        1; ///< of what a copy of its adapter takes from others, what this request answers for
+    double separation = 1; ///< how strictly long and short responses are separated, 0 to 1
+    double copyCostShare = 1; ///< fraction of the cost of another adapter copy that this request bears
 };
 
-/// What one more copy takes from others is for all who will use it. With uses shared evenly among the copies,
-/// up to this many of late (see heatHalfLife) make a copy for one request alone; beyond, each answers for
-/// less. So a popular adapter is copied before its callers are late: of the five most asked for, a quarter of
-/// the requests was refused with eight copies each, on 78 servers. There and on 60 and 79 servers it earns
-/// one part in a hundred of what is owed on days of high load, on 9 to 12 servers nothing.
+/// All requests that will use a new copy share its cost. Up to this many recent uses per copy (see
+/// heatHalfLife), a request bears the full cost of another copy; beyond, proportionally less. Popular
+/// adapters are therefore copied before their callers have to wait: without this, a quarter of the requests
+/// for the five most popular adapters was refused on 78 servers, although each had eight copies. The score
+/// rises by one percent at high load on 60 to 79 servers and stays the same on 9 to 12.
 constexpr double usesPerCopy = 4;
 
+/// The copyCostShare of a request, from the uses and copies of its adapter on all servers.
 double copyCostShareOf(const std::vector<model_candidate> &servers);
 
+/// Classifies a request by the current mix. Leaves copyCostShare at 1.
 prompt_shape shapeOf(const response_mix &mix, std::int64_t promptTokens, std::int64_t outputTokens);
 
-/// A prompt of this length weighs as above; a pause grows with the length, and the chance that two of them
-/// make one that is too long grows faster. Of exponents from 0 to 3, 1.5 is best on the load model.
+/// A prompt of this length has exactly the penalty longResponsePenaltyMs. The penalty grows faster than
+/// linearly with the length, since the pause grows and so does the chance that two prompts together cause an
+/// excessive one. Of the exponents from 0 to 3, 1.5 scores best.
 constexpr double referencePromptTokens = 2'400;
 constexpr double promptPenaltyExponent = 1.5;
 constexpr double minPromptRatio = 0.2;
 constexpr double maxPromptRatio = 3;
 
-/// The expected cost of a candidate in ms of waiting; nothing where it can't serve.
+/// The expected cost of using a candidate, in ms of waiting, or nothing if it can't serve the request.
 std::optional<double> costOf(const model_candidate &server, const prompt_shape &prompt);
 
-/// Index of the cheapest, or nothing.
+/// The index of the cheapest candidate, or nothing if none can serve the request.
 std::optional<std::size_t> chooseModelServer(
     const std::vector<model_candidate> &servers, const prompt_shape &prompt);
 
-/// A plain server as an entry sees it.
+/// What an entry knows about a plain server when it chooses one for a request.
 struct plain_candidate
 {
     bool excluded = false;
     bool sameDomain = false;
     int slots = 1;
-    int inFlight = 0; ///< requests of this entry that run there
+    int inFlight = 0; ///< requests that this entry has in flight there
     double failureRate = 0;
-    bool limited = false; ///< it names a limit, so that a turn there has to be asked for
-    double permitWait = 0; ///< for that turn, in the request's target
+    bool limited = false; ///< the server announces a rate limit, so that a request needs a permit
+    double permitWait = 0; ///< expected wait for the permit, as a fraction of the request's latency target
     std::uint64_t tieBreak = 0;
 };
 
-/// Share of a server's slots that a way to another failure domain weighs.
+// Weights of choosePlainServer(), as fractions of a server's slots.
+
+/// For a server in another failure domain.
 constexpr double crossDomainLoad = 0.35;
+/// At a failure rate of 1.
 constexpr double failureLoad = 2.0;
-/// A turn is a question to another daemon away, and may be gone.
+/// A permit costs a round trip to another daemon, and there may be none left.
 constexpr double limitedLoad = 0.5;
 
+/// The index of the least loaded candidate, or nothing if all are excluded.
 std::optional<std::size_t> choosePlainServer(const std::vector<plain_candidate> &servers);
 
-/// How a server's latest answers went; drives `failures` above.
+/// The moving average of a server's failures, from which `failureRate` of the candidates is taken.
 struct server_health
 {
-    double failureRate = 0; ///< moving share
-    millis updatedAt; ///< of the last answer
+    double failureRate = 0; ///< as of `updatedAt`
+    millis updatedAt; ///< time of the latest response
 };
 
-/// Weight of one answer in the moving share.
+/// Weight of one response in the moving average.
 constexpr double healthSampleWeight = 0.2;
-/// A server that was avoided is tried again as the record fades: half of it is gone after this long.
+/// The failure rate decays with this half-life, so that an avoided server is tried again.
 constexpr millis failureRateHalfLife{3'000};
 
+/// Records whether a response was a failure.
 void recordOutcome(server_health &health, bool failed, millis now);
+/// The failure rate after decay up to `now`.
 double currentFailureRate(const server_health &health, millis now);
 
 }
--- a/packages/serving/client_request.h
+++ b/packages/serving/client_request.h
@@ -15,56 +15,58 @@
 
 namespace briarhead {
 
-/// A caller's request, its headers read once.
+/// A caller's request with its headers parsed.
 struct client_request
 {
-    std::string id; ///< of this attempt of the caller
+    std::string id; ///< identifies one attempt by the caller; a retry has another id
     std::string host;
     std::string model; ///< empty for plain services
     std::string adapter; ///< empty: the base model alone
     std::int64_t promptTokens = 0;
-    std::int64_t outputTokens = 0; ///< at most
-    bool countsTokens = false; ///< it says how many tokens it has
-    std::string
-        keyHash; ///< keyHash() of the caller's key; empty: it sent none. The key itself is in no field
-    std::optional<millis> deadline; ///< how long the caller waits, from arrival
-    std::string lastEventId; ///< the caller resumes a stream after this event
+    std::int64_t outputTokens = 0; ///< maximum length of the response
+    bool countsTokens = false; ///< whether the caller announced its token counts
+    /// keyHash() of the caller's API key; empty if it sent none. The key itself is not kept.
+    std::string keyHash;
+    std::optional<millis> deadline; ///< how long the caller waits, counted from arrival
+    std::string lastEventId; ///< last event the caller received of a stream that it resumes
     http_head head;
     std::string body;
 };
 
-/// What is added when a request is sent to a server.
+/// Fields that are added to a request when it is sent to a server.
 struct send_options
 {
-    std::string server; ///< any other refuses it
-    std::optional<millis> timeLeft; ///< time that is left for the answer
-    std::int64_t adapterVersion = 0; ///< another version is refused; 0: any
-    std::string lastEventId; ///< go on after this event; empty: as the caller said
-    std::string account; ///< that the caller's key belongs to; empty: none
+    std::string server; ///< id of the intended server; any other server rejects the request
+    std::optional<millis> timeLeft; ///< until the response is due
+    std::int64_t adapterVersion = 0; ///< the server rejects the request if it has another one; 0: any
+    std::string lastEventId; ///< resume the stream after this event; empty: as the caller requested
+    std::string account; ///< the caller's account; empty if it has none
 };
 
-/// What a server's answer says besides its status.
+/// What a server's response headers convey besides the status.
 struct response_meta
 {
     std::string requestId;
-    bool signedByServer = false; ///< carries the server's signature; only such an answer is passed on
+    bool signedByServer = false; ///< only responses with the server's signature are forwarded to callers
     bool notExecuted = false; ///< the server did not and will not run the request
     std::optional<double>
-        limit; ///< requests a second that the server takes from all daemons; none: not named
-    bool leaving = false; ///< the server says that it leaves
-    millis pause; ///< for which the server, which took nothing, wants nothing from this daemon; 0: not said
-    std::string unreadable; ///< a field in which it says something of itself that can't be read; empty: none
+        limit; ///< requests/s that the server accepts from all daemons; empty if not announced
+    bool leaving = false; ///< the server announces that it is leaving
+    /// The server rejected the request and asks this daemon to send nothing for so long; 0 if not announced.
+    millis pause;
+    std::string unreadable; ///< name of a notice field whose value can't be parsed; empty if none
 };
 
-/// Translates between requests and what the platform's callers and servers write. Filled by its adapter.
+/// Converts between requests, orders and reports and the platform's wire format. The functions are supplied
+/// by the platform adapter.
 struct request_codec
 {
     std::function<std::optional<client_request>(front_request, error &)> readRequest;
     std::function<std::string(const client_request &, const send_options &)> writeRequest;
     std::function<response_meta(const http_head &)> readResponse;
-    /// Of the answer to an order or a question for a report, which servers don't sign.
+    /// For responses to orders and report requests, which servers don't sign.
     std::function<response_meta(const http_head &)> readUnsignedResponse;
-    /// The fields of a server's answer that go to the caller.
+    /// The header fields of a server's response that are forwarded to the caller.
     std::function<std::vector<http_field>(const http_head &)> responseFields;
     std::function<std::string(const server_order &, const backend_server &)> writeOrder;
     std::function<order_result(int status)> readOrderResult;
--- a/packages/serving/decision_log.cpp
+++ b/packages/serving/decision_log.cpp
@@ -81,7 +81,7 @@
     while (!m_buffer.empty()) {
         const ssize_t written = ::write(m_fd, m_buffer.data(), m_buffer.size());
         if (written <= 0) {
-            return; // a full pipe: the next line tries again
+            return; // the pipe is full; the next line tries again
         }
         m_buffer.erase(0, static_cast<std::size_t>(written));
     }
--- a/packages/serving/decision_log.h
+++ b/packages/serving/decision_log.h
@@ -8,29 +8,30 @@
 
 namespace briarhead {
 
-/// Which lines go first when there are too many.
+/// Which lines are dropped first when too many are written.
 enum class log_priority : std::uint8_t
 {
-    Ordinary, ///< what went well
-    Important, ///< refusals, failures, changes of belief
+    Ordinary, ///< normal operation; dropped first
+    Important, ///< refusals, failures and changes of state
 };
 
-/// Lines and bytes a second that one process writes at most; a line costs about 10 us of processor time,
-/// so this is under half a percent of a quarter core.
+/// Maximum rate of lines of one process. A line costs about 10 us of CPU time, so this stays below half a
+/// percent of a quarter core.
 constexpr double logLinesPerSecond = 120;
-/// Of these, ordinary lines leave so many to the important ones.
+/// Tokens of the rate limit that are reserved for important lines.
 constexpr double logLinesReserved = 40;
 constexpr double logBurstLines = 300;
 constexpr std::size_t logBufferBytes = 64 * 1024;
 
-/// Structured lines on standard output, one JSON object each. Never blocks: what the reader doesn't take is
-/// buffered up to a bound and then dropped, counted, and told of by the next line that goes through.
+/// Writes structured log lines, one JSON object each, to a file descriptor. Never blocks: if the reader is
+/// slow, output is buffered up to `logBufferBytes`; lines beyond that or over the rate limit are dropped, and
+/// the next line written reports how many.
 class decision_log
 {
 public:
     explicit decision_log(int fd, std::string node);
 
-    /// One line, written when it goes out of scope.
+    /// One log line, written when it goes out of scope.
     class line
     {
     public:
@@ -48,12 +49,13 @@
 
     private:
         void key(std::string_view name);
-        decision_log *m_log; ///< null: dropped
+        decision_log *m_log; ///< null if the line is dropped
         std::string m_text;
     };
 
     line ordinary(std::string_view event);
     line important(std::string_view event);
+    /// Number of lines dropped so far.
     std::uint64_t dropped() const;
 
 private:
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -26,29 +26,32 @@
 
 namespace {
 
-/// How old a server's backlog may be at the entries: about one prompt's reading time.
+/// Determines how outdated a server's backlog may be at the entries: about the time to read one prompt.
 constexpr millis heartbeatInterval{150};
-/// A fetch that takes longer is given up; whoever asked has tried another way by then.
+/// Timeout for fetching a store update from another daemon. The requester has tried another daemon by then.
 constexpr millis updateFetchTimeout{2'000};
-/// Packed news up to this size go in the datagram itself; more has to be fetched.
+/// Packed store updates up to this size are sent in the datagram itself; larger ones have to be fetched.
 constexpr std::size_t maxInlineUpdateBytes = 16'000;
-/// The path at which a daemon gives others the store's news, on its port for other daemons.
+/// The path from which other daemons fetch store updates, on the port for other daemons.
 const std::string updatePath = "/news?after=";
-/// The balancer takes a daemon out after two misses, a second apart; until then new connections come.
+/// The process runs for at least this long after the termination signal, because the load balancer removes a
+/// daemon only after two failed checks one second apart and sends it new connections until then.
 constexpr millis minShutdownTime{2'500};
-/// Until then it goes on giving orders, since the next daemon has to wait a while after the last one that was
-/// given outside a shutdown. Giving up at once left each server without orders for three seconds a restart.
+/// The daemon releases its servers this long after the termination signal. Until then it continues to send
+/// orders: releasing at once left each server without orders for three seconds per restart, since a new
+/// owner has to wait after the last order of the previous one.
 constexpr millis handOverAfter{2'300};
-/// From then on neither connections nor requests are taken. While most of a failure domain's daemons end, the
-/// balancer goes on sending to all of them, and a request taken late would be cut off by the end.
+/// The daemon accepts no connections or requests from this long after the termination signal. If most daemons
+/// of a failure domain shut down together, the load balancer keeps sending to all of them, and a request
+/// accepted later would be cut off at exit.
 constexpr millis stopAcceptingAfter{2'800};
-/// A daemon that has just started knows no server's state until the first beats; without any it takes callers
-/// all the same, for plain services and for what the list of servers says.
+/// A daemon that has just started doesn't know the state of any model server before the first heartbeats. If
+/// none arrive, it becomes ready after this time, for plain services.
 constexpr millis readyWithoutOwnersAfter{3'000};
 constexpr millis shutdownCheckInterval{100};
-/// Kept connections without a request are closed after this long once the end has begun.
+/// Idle keep-alive connections are closed after this time once shutdown has begun.
 constexpr millis idleTimeoutAtShutdown{1'500};
-/// Before the platform kills the process.
+/// The process exits this long before the platform would kill it.
 constexpr millis shutdownMargin{500};
 constexpr millis settingsCheckInterval{2'000};
 constexpr millis lagSampleInterval{500};
@@ -113,12 +116,12 @@
     backend_pool m_pool;
     store_task m_store;
     crash_task m_crashes;
-    std::unique_ptr<quota_task> m_quota; ///< its links to itself go by this pointer
+    std::unique_ptr<quota_task> m_quota; ///< its own links refer to it through this pointer
     server_notice_task m_notices;
     front_task m_front;
     orderer_task m_orderer;
     std::unique_ptr<fleet_port> m_port;
-    std::unique_ptr<front_server> m_peers; ///< other daemons that fetch the store's news
+    std::unique_ptr<front_server> m_peers; ///< serves store updates to other daemons
     std::unique_ptr<front_server> m_callers;
     std::unique_ptr<front_server> m_readiness;
     std::unique_ptr<front_server> m_metrics;
@@ -126,14 +129,14 @@
     int m_heartbeatRound = 0;
     latency_histogram m_loopLag;
     millis m_lagSampledAt = bootNow();
-    std::uint64_t m_undecodableReported = 0; ///< datagrams that couldn't be read
+    std::uint64_t m_undecodableReported = 0; ///< undecodable datagrams that have been logged
     millis m_started = bootNow();
     millis m_shutdownBeganAt;
-    millis m_lastPeerDatagramAt; ///< when another daemon's datagram came last
-    bool m_isolated = false; ///< cut off from the other daemons
+    millis m_lastPeerDatagramAt; ///< when the latest datagram of another daemon arrived; 0 before the first
+    bool m_isolated = false; ///< receives no datagrams from the other daemons
     bool m_shuttingDown = false;
-    bool m_handedOver = false; ///< others give the orders of its servers
-    bool m_stoppedAccepting = false; ///< takes nothing any more
+    bool m_handedOver = false; ///< the servers it owned have been released
+    bool m_stoppedAccepting = false;
     int m_exitCode = 0;
 };
 
@@ -272,7 +275,7 @@
                 if (body.relay) {
                     relayHeartbeat(datagram, body);
                 }
-            } else { // what an entry says of its places
+            } else { // an entry's slot requests, and reports about granted slots
                 m_orderer.take(datagram.from, body);
             }
         },
@@ -291,7 +294,7 @@
     return {&view.daemons, view.servers.size(), &view.lapsed};
 }
 
-/// A beat from another failure domain, for the others here that hear of its servers.
+/// Relays a heartbeat from another failure domain to the daemons of this domain that need it.
 void daemon_impl::relayHeartbeat(const fleet_datagram &datagram, const fleet_beat &beat)
 {
     fleet_datagram copy{datagram.from, datagram.incarnation, beat};
@@ -301,10 +304,11 @@
     }
 }
 
-/// Guards against: this daemon is cut off from all others, but callers reach it. It shows as requests for
-/// models that wait for places until they are given up. Holds because the balancer is told to send callers
-/// elsewhere, and those who come are sent there at once. Where the others are gone rather than cut off, the
-/// store drops their records after a lease, and no beats are due any more.
+/// Detects that this daemon is cut off from all others while callers still reach it: requests for models
+/// would wait for slots until they time out. While isolated, it reports to the load balancer that it is not
+/// ready, and refuses the requests that arrive with a short Retry-After, so that callers go to another
+/// instance. If the other daemons have died instead, the store removes their records when the leases expire,
+/// and no heartbeats are expected from them any more.
 void daemon_impl::updateIsolation()
 {
     const bool silent = m_lastPeerDatagramAt.count != 0 && bootNow() - m_lastPeerDatagramAt >= isolatedAfter;
@@ -408,7 +412,7 @@
     return m_dependencies.storeMetrics ? text + m_dependencies.storeMetrics() : text;
 }
 
-/// How late the loop is: what it does in one turn holds up everything else.
+/// Records how late the event loop's timers fire, which shows that a handler has blocked the loop.
 void daemon_impl::measureLag()
 {
     const millis now = bootNow();
--- a/packages/serving/edge_daemon.h
+++ b/packages/serving/edge_daemon.h
@@ -15,27 +15,29 @@
 
 namespace briarhead {
 
-/// What the platform's adapter puts in.
+/// What the platform adapter supplies to the daemon.
 struct edge_dependencies
 {
     metadata_store *store = nullptr;
     record_codec records;
     request_codec requests;
-    /// Reads the settings again; nothing with a reason where they are unusable.
+    /// Reads the settings file again. Returns nothing and sets the error if the settings are invalid.
     std::function<std::optional<node_settings>(error &)> reloadSettings;
-    /// Lines for the metrics page about calls to the store.
+    /// Lines for the metrics page about calls to the store; may be empty.
     std::function<std::string()> storeMetrics;
 };
 
-/// The daemon of every entry machine: takes requests, gives the orders of some model servers, and keeps in
-/// touch with the other daemons and the store.
+/// The daemon that runs on every entry machine. It serves callers' requests, owns some of the backend
+/// servers, and exchanges state with the other daemons and the store.
 class edge_daemon
 {
 public:
+    /// Binds all ports. Returns null and sets `why` if one can't be bound.
     static std::unique_ptr<edge_daemon> start(loop &eventLoop, const node_settings &settings,
         const edge_dependencies &dependencies, decision_log &log, error &why);
     virtual ~edge_daemon() = default;
-    /// Runs until it has been told to end and has ended; the exit code.
+    /// Runs until a signal has requested shutdown and shutdown is complete. Returns the exit code: 0, or 1 if
+    /// requests were cut off.
     virtual int run() = 0;
 };
 
--- a/packages/serving/edge_metrics.h
+++ b/packages/serving/edge_metrics.h
@@ -13,7 +13,7 @@
 
 namespace briarhead {
 
-/// What a daemon tells at its metrics address, besides the store's calls.
+/// Where the metrics page gets its values from, except those about store calls.
 struct edge_metric_sources
 {
     const front_counters *front = nullptr;
@@ -21,16 +21,17 @@
     const orderer_counters *orders = nullptr;
     const pool_counters *pool = nullptr;
     const fleet_counters *fleet = nullptr;
-    const latency_histogram *loopLag = nullptr; ///< by how much a timer of the loop fires late
-    std::size_t active = 0; ///< requests
+    const latency_histogram *loopLag = nullptr; ///< delay of the event loop's timers
+    std::size_t active = 0; ///< requests in progress
     std::size_t callerConnections = 0;
-    std::uint64_t linesDropped = 0;
-    std::uint64_t configVersion = 0; ///< 0: none
-    std::optional<millis> configKnownAt; ///< when it was last known to be the newest
+    std::uint64_t linesDropped = 0; ///< by the log
+    std::uint64_t configVersion = 0; ///< 0 if there is no configuration yet
+    std::optional<millis> configKnownAt; ///< when the configuration was last confirmed to be the newest
     const quota_counters *quota = nullptr;
 };
 
-/// In Prometheus' text format. Latencies as quantiles since the start, and their counts.
+/// The metrics page in Prometheus text format. Latencies are given as quantiles since process start, with
+/// their counts.
 std::string metricsText(const edge_metric_sources &sources);
 
 }
--- a/packages/serving/event_stream.cpp
+++ b/packages/serving/event_stream.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The end of the first whole event in `text`, past its blank line, or npos.
+/// The offset behind the blank line that ends the first event in `text`, or npos if no event is complete.
 std::size_t endOfEvent(std::string_view text)
 {
     const std::size_t plain = text.find("\n\n");
--- a/packages/serving/event_stream.h
+++ b/packages/serving/event_stream.h
@@ -5,15 +5,15 @@
 
 namespace briarhead {
 
-/// Cuts a stream of server-sent events into whole events, so that one that a server broke off in the middle
-/// never reaches a caller and another server can go on after the last whole one.
+/// Splits a stream of server-sent events into complete events. A caller then never receives an event that a
+/// server cut off in the middle, and another server can resume after the last complete one.
 struct event_stream
 {
-    std::string partial; ///< the event that is coming in
-    std::string lastId; ///< id of the last whole event, empty before the first
+    std::string partial; ///< bytes of the event that is still incomplete
+    std::string lastId; ///< id of the last complete event, empty before the first
 };
 
-/// Takes bytes in and returns the events that are whole now, as sent.
+/// Appends `bytes` and returns all events that are now complete, unchanged.
 std::string extractEvents(event_stream &stream, std::string_view bytes);
 
 }
--- a/packages/serving/fleet_port.cpp
+++ b/packages/serving/fleet_port.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t maxDatagramBytes = 32 * 1024;
-/// Datagrams taken in one turn of the loop, so that a flood can't starve the callers' sockets.
+/// Datagrams read per iteration of the event loop, so that a flood can't starve the callers' sockets.
 constexpr int maxDatagramsPerTurn = 64;
 constexpr int eventReadable = 1;
 
@@ -31,12 +31,12 @@
     why = {error_kind::BadSettings, "peer address " + bind.ip + ':' + std::to_string(bind.port), ""};
     auto address = toSocketAddress(bind);
     if (!address) {
-        why.detail = "it is not an IP number";
+        why.detail = "it is not an IP address";
         return nullptr;
     }
     owned_fd fd(socket(address->storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd || ::bind(fd.get(), address->raw(), address->size) != 0) {
-        why.detail = std::string("cannot take datagrams there: ") + std::strerror(errno);
+        why.detail = std::string("cannot bind a UDP socket: ") + std::strerror(errno);
         return nullptr;
     }
     std::unique_ptr<fleet_port> port(new fleet_port(std::move(fd), std::move(onDatagram)));
@@ -55,7 +55,7 @@
     const std::string bytes = encode(datagram);
     ++m_counters.sent;
     m_counters.sentBytes += bytes.size();
-    // A datagram that the socket doesn't take counts as lost, like any other.
+    // A datagram that the socket doesn't accept counts as lost, like any other lost datagram.
     (void)sendto(m_fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL, address->raw(), address->size);
 }
 
--- a/packages/serving/fleet_send.h
+++ b/packages/serving/fleet_send.h
@@ -8,7 +8,8 @@
 
 namespace briarhead {
 
-/// A message to another daemon by its name. It counts as lost where the store tells of no such daemon.
+/// Sends a message to another daemon by its node name. The message is dropped if the store knows no such
+/// daemon.
 inline void sendToNode(
     fleet_port &port, const store_task &store, const std::string &self, const std::string &node, auto message)
 {
@@ -17,16 +18,17 @@
     }
 }
 
-/// The same, where the daemon may be this one: `take` then gets the message, never from inside.
+/// The same, but the recipient may be this daemon: `handle` is then called with the message from the event
+/// loop, never before this function returns.
 void deliverToNode(loop &eventLoop, fleet_port &port, const store_task &store, const std::string &self,
-    const std::string &node, const auto &message, auto take)
+    const std::string &node, const auto &message, auto handle)
 {
     if (node != self) {
         sendToNode(port, store, self, node, message);
         return;
     }
-    eventLoop.post([take, message] {
-        take(message);
+    eventLoop.post([handle, message] {
+        handle(message);
     });
 }
 
--- a/packages/serving/front_account.cpp
+++ b/packages/serving/front_account.cpp
@@ -4,14 +4,14 @@
 
 #include <limits>
 
-// Whether a caller's key lets it in, and whether its account's limit has room for the request.
+// Authentication of callers, and the units of their account's limit.
 namespace briarhead {
 
 namespace {
 
 constexpr int unauthorizedStatus = 401;
 constexpr int tooManyRequestsStatus = 429;
-/// Of a request that its account may never use at once; only another limit helps.
+/// Retry-After for a request that exceeds what its account may ever use at once. Only a higher limit helps.
 constexpr millis retryAfterTooLarge{5'000};
 
 }
@@ -23,7 +23,7 @@
     return {static_cast<std::int64_t>(static_cast<double>(wait.count) * (1 + comeBackSpread * unit))};
 }
 
-/// Finds the caller's account. False: it has been refused.
+/// Finds the caller's account. Returns false if the request has been refused.
 bool front_task::authenticateCaller(const request_ptr &pending)
 {
     const auth_result caller =
@@ -35,9 +35,9 @@
                                                   : "no account holds this key");
         return false;
     }
-    // Guards against: a key that was withdrawn goes on being served by a daemon that hears of no changes.
-    // Holds because such a daemon knows how old its knowledge is. Only where the operator asks for it: else
-    // callers would be refused whenever the store is out.
+    // A daemon that receives no configuration updates would keep accepting a revoked key. It knows the age of
+    // its configuration, so it refuses once that exceeds the limit. Only if the operator has enabled this,
+    // since callers are then refused whenever the store is unreachable.
     const auto known = m_store.configKnownAt();
     const bool stale = !known || bootNow() - *known > m_settings.maxRevocationDelay;
     if (m_settings.strictRevocation && stale && requiresKeys(*pending->config)
@@ -53,7 +53,8 @@
     return true;
 }
 
-/// Whether a send may follow. What was taken too long ago has run out, also while this process stood still.
+/// Whether the request holds the units for a send. Units expire some time after they were acquired, even
+/// while this process is suspended.
 bool front_task::holdsUnits(const pending_request &pending) const
 {
     return pending.cost <= 0
@@ -70,21 +71,21 @@
     }
 }
 
-/// Goes on once the request has its units of its account's limit; else it is refused.
-void front_task::acquireUnits(const request_ptr &pending, std::function<void()> go)
+/// Calls `proceed` once the request holds its units of the account's limit, or refuses the request.
+void front_task::acquireUnits(const request_ptr &pending, std::function<void()> proceed)
 {
     if (holdsUnits(*pending)) {
-        go();
+        proceed();
         return;
     }
     returnUnits(*pending);
-    const auto done = [this, weak = std::weak_ptr<pending_request>(pending), go = std::move(go)](
+    const auto done = [this, weak = std::weak_ptr<pending_request>(pending), proceed = std::move(proceed)](
                           const quota_decision &decision) {
         if (const auto locked = weak.lock()) {
-            onQuotaDecision(locked, decision, go);
+            onQuotaDecision(locked, decision, proceed);
         }
     };
-    // The limit now in force, not the one at the request's arrival.
+    // The limit that is in force now, which may differ from the one when the request arrived.
     const auto limit = limitOf(*m_store.view().config, pending->accountId);
     if (!limit || !isLimited(*limit)) {
         done({quota_verdict::Granted, {}});
@@ -94,7 +95,7 @@
 }
 
 void front_task::onQuotaDecision(
-    const request_ptr &pending, const quota_decision &decision, const std::function<void()> &go)
+    const request_ptr &pending, const quota_decision &decision, const std::function<void()> &proceed)
 {
     pending->quotaWaitId = 0;
     account_counters &counters = countersOf(*pending->account);
@@ -102,7 +103,7 @@
         ++counters.accepted;
         pending->unitsHeld = pending->cost;
         pending->unitsAcquiredAt = bootNow();
-        go();
+        proceed();
         return;
     }
     ++counters.overLimit;
@@ -133,8 +134,8 @@
     }
 }
 
-/// A server has been found, and units have to be taken anew: what was held has run out, or an earlier send of
-/// the request has spent it.
+/// Acquires units for a request whose server has already been chosen, and sends it there. Needed if its units
+/// have expired or were spent on an earlier send.
 void front_task::acquireUnitsAndSend(const request_ptr &pending)
 {
     acquireUnits(pending, [this, weak = std::weak_ptr<pending_request>(pending)] {
--- a/packages/serving/front_closed.cpp
+++ b/packages/serving/front_closed.cpp
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-// What a request meets where servers are closed to this daemon by what they say of themselves.
+// Handling of servers that have closed themselves to this daemon by a notice.
 namespace briarhead {
 
-/// Whether its service has servers and none of them may be sent anything now, by what they say of themselves.
+/// Whether the request's service has servers, but all of them are closed to this daemon.
 bool front_task::allServersClosed(const pending_request &pending) const
 {
     bool any = false;
@@ -27,62 +27,62 @@
                                      : "no server";
 }
 
-/// When a caller that is refused finds a server: where every server is closed at the end of the first pause,
-/// apart from other callers; else at the next turn within a limit. `otherwise`: nothing tells.
+/// Retry-After for a request that finds no server. If all servers are closed, the end of the shortest pause,
+/// with jitter; otherwise the earliest time at which a slot or permit is expected. `fallback` if unknown.
 millis front_task::earliestRetryAfter(const pending_request &pending, millis fallback) const
 {
     std::optional<millis> first;
-    const auto take = [&first](millis back) {
-        first = first ? std::min(*first, back) : back;
+    const auto consider = [&first](millis retryAfter) {
+        first = first ? std::min(*first, retryAfter) : retryAfter;
     };
     if (pending.shortestRetryAfter.count >= 0) {
-        take(pending.shortestRetryAfter);
+        consider(pending.shortestRetryAfter);
     }
-    std::optional<millis> pause;
-    bool closed = false;
-    bool open = false;
+    std::optional<millis> shortestPause;
+    bool anyClosed = false;
+    bool anyOpen = false;
     for (const auto &[id, server] : m_store.view().servers) {
         if (server.service != pending.service) {
             continue;
         }
         switch (m_notices.accessOf(server)) {
         case server_access::WithPermit:
-            open = true;
-            take(*permitWait(id) - maxSlotWait(pending.matchedRoute->target));
+            anyOpen = true;
+            consider(*permitWait(id) - maxSlotWait(pending.matchedRoute->target));
             break;
         case server_access::Paused: {
             const millis left = m_notices.pauseLeft(server, m_settings.node);
-            pause = std::min(pause.value_or(left), left);
-            closed = true;
+            shortestPause = std::min(shortestPause.value_or(left), left);
+            anyClosed = true;
             break;
         }
         case server_access::Leaving:
-            closed = true;
+            anyClosed = true;
             break;
         default:
-            open = true;
+            anyOpen = true;
         }
     }
-    if (closed && !open) {
+    if (anyClosed && !anyOpen) {
         return withJitter(
-            std::max(pause.value_or(retryAfterAllLeaving), shortestComeBack), pending.request.id);
+            std::max(shortestPause.value_or(retryAfterAllLeaving), shortestComeBack), pending.request.id);
     }
     return first ? std::max(*first, shortestComeBack) : fallback;
 }
 
-/// What waits for a place at a server that has become closed goes elsewhere at once.
+/// Dispatches the requests that wait for a slot on a server that has become closed to other servers.
 void front_task::onServerClosed(const std::string &server)
 {
     if (!isClosed(m_notices.accessOf(server))) {
         return;
     }
     std::vector<request_ptr> waiting;
-    for (const auto &[id, number] : m_requestOfSlotRequest) {
+    for (const auto &[id, number] : m_numberByRequestId) {
         const auto found = m_requests.find(number);
-        const bool waits = found != m_requests.end() && found->second->server == server
+        const bool isWaiting = found != m_requests.end() && found->second->server == server
             && found->second->slotRequestsSent > 0 && !found->second->granted && !found->second->activeSend
             && found->second->quotaWaitId == 0 && !isBlocked(*found->second);
-        if (waits) {
+        if (isWaiting) {
             waiting.push_back(found->second);
         }
     }
@@ -92,7 +92,7 @@
     }
 }
 
-/// Nothing of the request goes to the server that it was meant for.
+/// Gives up the server that the request was meant for, before anything was sent, and dispatches it again.
 void front_task::dispatchElsewhere(const request_ptr &pending, place_event event)
 {
     pending->slotRequestTimer.reset();
--- a/packages/serving/front_limit.cpp
+++ b/packages/serving/front_limit.cpp
@@ -3,16 +3,16 @@
 
 #include <algorithm>
 
-// What a request meets at a server that names a limit: its turn there, and what an answer says of the limit.
+// Servers with a rate limit: permits for requests, and limits announced in responses.
 namespace briarhead {
 
-/// How long a caller may still wait for its turn.
+/// How much longer the request may wait for a slot or permit.
 millis front_task::slotWaitLeft(const pending_request &pending) const
 {
     return maxSlotWait(pending.matchedRoute->target) - (bootNow() - pending.arrived);
 }
 
-/// Until a further request has its turn at a server that names a limit; nothing: it names none.
+/// The expected wait for a permit of the server, or nothing if the server has no limit.
 std::optional<millis> front_task::permitWait(const std::string &server) const
 {
     const auto limit = m_limits.find(server);
@@ -25,7 +25,7 @@
     return wait > std::max(slotWaitLeft(pending), millis{});
 }
 
-/// Whether a server of its service is left out for its limit.
+/// Whether a server of the request's service can't be used because of its limit.
 bool front_task::lacksPermit(const pending_request &pending) const
 {
     return std::any_of(m_limits.begin(), m_limits.end(), [&](const auto &each) {
@@ -36,7 +36,8 @@
     });
 }
 
-/// The daemon that keeps the limit of a plain server, or should take that up; empty: it doesn't answer.
+/// The daemon that grants the permits of a plain server: the server's owner or, if it has none, the daemon
+/// that should become its owner. Empty if the owner is unresponsive.
 std::string front_task::limitOwner(const backend_server &server) const
 {
     const store_view &view = m_store.view();
@@ -44,14 +45,14 @@
     const auto observed = m_observed.find(server.id);
     if (record != view.orderers.end() && view.daemons.count(record->second.record.node) != 0) {
         const std::string &node = record->second.record.node;
-        const bool silent = observed != m_observed.end() && observed->second.owner == node
+        const bool unresponsive = observed != m_observed.end() && observed->second.owner == node
             && !isFresh(observed->second, bootNow());
-        return silent ? std::string() : node;
+        return unresponsive ? std::string() : node;
     }
     return proposedHolder(holderChoice(view.daemons), server);
 }
 
-/// Asks whether a plain server's limit has a turn for the request.
+/// Requests a permit for a plain server with a limit.
 void front_task::requestPermit(const request_ptr &pending, const backend_server &server)
 {
     pending->server = server.id;
@@ -71,29 +72,30 @@
     sendSlotRequest(pending);
 }
 
-/// Tells the daemon that keeps a server's limit what an answer said of it.
+/// Reports the limit in a response, or its absence, to the server's owner.
 void front_task::reportLimit(const pending_request &pending)
 {
-    std::string holder = pending.owner;
-    if (holder.empty()) {
+    std::string owner = pending.owner;
+    if (owner.empty()) {
         const auto server = m_store.view().servers.find(pending.server);
-        holder = server == m_store.view().servers.end() ? holder : limitOwner(server->second);
+        owner = server == m_store.view().servers.end() ? owner : limitOwner(server->second);
     }
-    if (!holder.empty()) {
-        sendToOwner(holder,
+    if (!owner.empty()) {
+        sendToOwner(owner,
             limit_note{pending.request.id, pending.server,
                 pending.responseMeta.limit ? toMilli(*pending.responseMeta.limit) : -1});
     }
 }
 
-/// What the head of an answer says of its server's limit.
+/// Applies the server's limit, or its absence, from the head of a response.
 void front_task::onResponseLimit(const pending_request &pending)
 {
-    // A server that took nothing, or someone between, need not know of the limit.
-    const bool says = pending.responseMeta.limit
+    // Rejected requests and unsigned responses don't prove the absence of a limit, since they may come from a
+    // part of the server, or from an intermediary, that doesn't know it.
+    const bool conveysLimit = pending.responseMeta.limit
         || (pending.responseMeta.signedByServer && !pending.responseMeta.notExecuted
             && pending.responseMeta.unreadable.empty());
-    if (!says) {
+    if (!conveysLimit) {
         return;
     }
     const bool wasKnown = m_limits.count(pending.server) != 0;
--- a/packages/serving/front_pending.h
+++ b/packages/serving/front_pending.h
@@ -3,25 +3,27 @@
 #include "serving/fleet_send.h"
 #include "serving/front_task.h"
 
-// Shared by the sources of front_task alone: a request's state, and what more than one of them waits for.
+// Private to the sources of front_task: the state of a request, and the constants that several sources use.
 namespace briarhead {
 
-/// Of a refusal whose cause passes in an unknown, short time.
+/// Retry-After where the cause is transient and its duration unknown.
 constexpr millis retryAfterTransient{300};
-/// Another instance takes it right away.
+/// Retry-After where another instance can serve the request at once.
 constexpr millis retryAfterOtherInstance{50};
-/// How long a request waits for what a start or a takeover brings, and how often it looks.
+/// How long a request waits for the first configuration, or for the first heartbeats after a start or a
+/// change of owner, and how often it checks for them.
 constexpr millis startupMaxWait{600};
 constexpr millis startupPollInterval{40};
-/// Of a refusal while all servers leave: others are listed within some seconds.
+/// Retry-After while all servers are leaving. Their replacements are listed within a few seconds.
 constexpr millis retryAfterAllLeaving{1'000};
-/// A daemon that keeps a server's limit and doesn't answer is not asked again for so long, unless its beats
-/// come.
+/// An owner that didn't respond to a permit request is not asked again for this long, unless its heartbeats
+/// report the limit.
 constexpr millis unresponsiveOwnerBackoff{2'000};
-/// A server that is silent for less is never given up.
+/// A server that has been silent for less than this is never considered unresponsive.
 constexpr millis minServerSilence{1'000};
 
-/// The time after which a caller is to come back, apart from that of others.
+/// Lengthens a Retry-After time by a fraction that depends on the request id, so that callers refused at the
+/// same time don't return at the same time.
 millis withJitter(millis wait, const std::string &requestId);
 
 inline bool isSuccess(int status)
@@ -29,69 +31,68 @@
     return status >= 200 && status < 300;
 }
 
-/// One request, from its arrival to the end of its answer.
+/// The state of a caller's request from its arrival to the end of its response.
 struct front_task::pending_request
 {
-    std::string number;
+    std::string number; ///< unique within this process; request ids may not be
     client_request request;
-    std::string fingerprint; ///< of what its caller sends again with each attempt
+    std::string fingerprint; ///< hash of the parts of the request that are the same in each attempt
     std::shared_ptr<front_reply> reply;
     std::shared_ptr<const serving_config> config; ///< in force at arrival
-    const route *matchedRoute = nullptr;
-    const client_account *account = nullptr; ///< of the configuration above; null: none
-    std::uint64_t accountId = 0; ///< accountHash() of its name
-    double cost = 0; ///< units of the account's limit; 0: it has none
-    double unitsHeld = 0; ///< taken, and not yet spent by a send
-    double unitsSpent = 0; ///< by the latest send
+    const route *matchedRoute = nullptr; ///< in `config`
+    const client_account *account = nullptr; ///< in `config`; null if the caller has no account
+    std::uint64_t accountId = 0; ///< accountHash() of the account's name
+    double cost = 0; ///< units of the account's limit; 0 if the account has no limit
+    double unitsHeld = 0; ///< units acquired but not yet spent on a send
+    double unitsSpent = 0; ///< units spent on the latest send
     millis unitsAcquiredAt;
-    std::uint64_t quotaWaitId = 0; ///< while the account's home is asked; 0: it isn't
+    std::uint64_t quotaWaitId = 0; ///< quota_task's id of the wait for units; 0 if not waiting
     std::string service;
-    bool usesModelServer = false; ///< goes to a model server, by a place
+    bool usesModelServer = false; ///< needs a slot on a model server
     millis arrived;
     millis deadlineAt;
 
-    std::set<std::string> excludedServers; ///< servers not to be tried (again)
-    std::set<std::string> sentTo;
-    int unsentCount = 0;
-    int serversTried = 0;
-    std::string server; ///< asked, or sent to
-    crash_target target; ///< sent to last
-    std::string owner; ///< node that was asked; empty: none
-    int slotRequestsSent = 0;
-    bool granted = false;
-    std::int64_t adapterVersion = 0;
+    std::set<std::string> excludedServers; ///< servers that must not be tried (again)
+    std::set<std::string> sentTo; ///< servers that the request has been sent to
+    int unsentCount = 0; ///< sends that failed before anything was sent
+    int serversTried = 0; ///< servers that a slot or permit was requested for
+    std::string server; ///< that a slot is requested for, or that the request was sent to
+    crash_target target; ///< server and incarnation of the latest send
+    std::string owner; ///< node that the slot was requested from; empty if none was
+    int slotRequestsSent = 0; ///< for `server`
+    bool granted = false; ///< the slot or permit for `server` has been granted
+    std::int64_t adapterVersion = 0; ///< resident version according to the grant; 0 if unknown
     millis slotRequestedAt;
-    millis shortestRetryAfter{-1}; ///< of the refusals so far
+    millis shortestRetryAfter{-1}; ///< shortest of all refusals so far; negative if there were none
 
-    std::optional<backend_pool::send_id> activeSend;
-    bool mayHaveRun = false;
-    bool isProbe = false; ///< goes to a server though it is blocked, to find out whether it still ends them
-    http_head responseHead; ///< of the answer in progress
+    std::optional<backend_pool::send_id> activeSend; ///< while a server is working on the request
+    bool mayHaveRun = false; ///< a server may have executed the request, at least partly
+    bool isProbe = false; ///< blocked, but sent to a server to find out whether it still crashes servers
+    http_head responseHead; ///< of the latest send, as is the rest of the response
     response_meta responseMeta;
     std::string responseBody;
-    bool streaming = false; ///< events go to the caller as they come
-    bool headSent = false; ///< the caller has the head
-    bool firstEventReceived = false; ///< has come from the server it was sent to last
+    bool streaming = false; ///< events are forwarded to the caller as they arrive
+    bool headSent = false; ///< the response head has been sent to the caller
+    bool firstEventReceived = false; ///< from the server of the latest send
     event_stream eventStream;
-    millis lastEventAt;
+    millis lastEventAt; ///< when the server last sent anything
     millis sentAt;
-    millis slotWait; ///< from the question to the grant, of the last server
-    millis firstEventDelay{-1}; ///< from arrival to the first event
-    millis promptReadTime{-1}; ///< from the last send to the first event
-    millis longestEventGap; ///< between two events
+    millis slotWait; ///< from the slot request to the grant, for the latest server
+    millis firstEventDelay{-1}; ///< from arrival to the first event; negative before
+    millis promptReadTime{-1}; ///< from the latest send to its first event; negative before
+    millis longestEventGap; ///< longest time between two chunks from a server
     std::shared_ptr<void> deadlineTimer;
     std::shared_ptr<void> slotRequestTimer;
     std::shared_ptr<void> inactivityTimer;
 };
 
-/// To a server's orderer, which may be this daemon.
+/// Sends a message to a server's owner, which may be this daemon.
 template <class message_type>
-void front_task::sendToOwner(const std::string &orderer, const message_type &message)
+void front_task::sendToOwner(const std::string &owner, const message_type &message)
 {
-    deliverToNode(
-        m_loop, *m_port, m_store, m_settings.node, orderer, message, [this](const message_type &own) {
-            m_orderer->take(m_settings.node, own);
-        });
+    deliverToNode(m_loop, *m_port, m_store, m_settings.node, owner, message, [this](const message_type &own) {
+        m_orderer->take(m_settings.node, own);
+    });
 }
 
 }
--- a/packages/serving/front_route.cpp
+++ b/packages/serving/front_route.cpp
@@ -5,12 +5,13 @@
 
 #include <algorithm>
 
-// Where a request goes: the choice of a server, and the question for a place there.
+// Choice of the server for a request, and slot requests to the server's owner.
 namespace briarhead {
 
 namespace {
 
-/// Of a datagram and its answer, across failure domains and with a busy peer: then it is asked again.
+/// A slot request is repeated without a response after this time, which covers a round trip to another
+/// failure domain and a busy peer.
 constexpr millis slotRequestTimeout{120};
 constexpr int maxSlotRequestsPerServer = 3;
 
@@ -46,8 +47,8 @@
     }
     const auto chosen = choosePlainServer(candidates);
     if (!chosen) {
-        // The answer there is, a failure, is better than none; but not a server's word that it ran nothing,
-        // which doesn't say when coming back helps.
+        // A failure response from an earlier server is better than none. A "not executed" response isn't
+        // forwarded, because it lacks a useful Retry-After.
         const bool answered = !pending->responseBody.empty() || pending->responseHead.status != 0;
         if (answered && !pending->responseMeta.notExecuted) {
             forwardResponse(pending);
@@ -90,7 +91,7 @@
         const bool own = observed != m_observed.end() && observed->second.owner == m_settings.node;
         candidate.excluded = candidate.excluded || (m_isolated && !own);
         if (const auto wait = permitWait(id)) {
-            // Without its orderer nobody grants its turns.
+            // Without a live owner, nobody grants the server's permits.
             const bool stale = observed != m_observed.end() && !isFresh(observed->second, now);
             candidate.excluded = candidate.excluded || stale || isPermitTooLate(pending, *wait);
             candidate.backlogMs += static_cast<double>(wait->count);
@@ -124,7 +125,7 @@
     const bool noneUsable = !chosen && pending->excludedServers.empty() && !pending->mayHaveRun
         && !lacksPermit(*pending) && !allServersClosed(*pending);
     if (noneUsable && bootNow() - pending->arrived < startupMaxWait) {
-        // No server's orderer has spoken yet: after a start, or after the death of those nearby.
+        // No heartbeat from any owner yet: this daemon has just started, or the owners have died.
         waitAndRetry(pending, &front_task::dispatchModel);
         return;
     }
@@ -135,8 +136,8 @@
     }
     const backend_server &server = *servers[*chosen];
     const auto observed = m_observed.find(server.id);
-    const bool known = observed != m_observed.end();
-    const std::string orderer = known ? observed->second.owner : unobservedOwner(server.id);
+    const bool hasHeartbeat = observed != m_observed.end();
+    const std::string owner = hasHeartbeat ? observed->second.owner : unobservedOwner(server.id);
     pending->server = server.id;
     pending->granted = false;
     pending->slotRequestsSent = 0;
@@ -144,7 +145,7 @@
     m_log.ordinary("request.routed")
         .add("id", pending->request.id)
         .add("server", server.id)
-        .add("orderer", orderer)
+        .add("orderer", owner)
         .add("of", static_cast<std::int64_t>(candidates.size()))
         .add("prompt_tokens", prompt.promptTokens)
         .add("output_tokens", pending->request.outputTokens)
@@ -155,27 +156,27 @@
         .add("backlog_ms", candidates[*chosen].backlogMs)
         .add("open_places", static_cast<std::int64_t>(candidates[*chosen].availableSlots))
         .add("failures", candidates[*chosen].failureRate)
-        .add("beat_age_ms", known ? bootNow() - observed->second.receivedAt : millis{-1});
-    if (known) {
+        .add("beat_age_ms", hasHeartbeat ? bootNow() - observed->second.receivedAt : millis{-1});
+    if (hasHeartbeat) {
         countSlotRequest(observed->second, pending->request.promptTokens, candidates[*chosen].adapter);
     }
     ++pending->serversTried;
-    if (known && !isFresh(observed->second, bootNow())) {
-        // Its orderer is gone and the next one not there yet: what is resident there can still serve.
+    if (hasHeartbeat && !isFresh(observed->second, bootNow())) {
+        // The owner is gone and has no successor yet. Resident adapters can be served without a slot.
         pending->owner.clear();
         pending->adapterVersion = 0;
         send(pending, server);
         return;
     }
-    pending->owner = orderer;
+    pending->owner = owner;
     if (const auto limit = m_limits.find(server.id); limit != m_limits.end()) {
         countPermitRequest(limit->second, bootNow());
     }
     sendSlotRequest(pending);
 }
 
-/// The daemon that gives the orders of a server that this one hears no beats of, as the store has it; empty
-/// for a server of the own cell, whose beats are due.
+/// The owner, according to the store, of a server in another heartbeat group. Empty if it has no live owner,
+/// or if the server is in this daemon's own group, where heartbeats are to be expected.
 std::string front_task::unobservedOwner(const std::string &server) const
 {
     if (heartbeatGroupOf(server, m_heartbeatGroups) == heartbeatGroupOf(m_settings.node, m_heartbeatGroups)) {
@@ -183,15 +184,15 @@
     }
     const store_view &view = m_store.view();
     const auto found = view.orderers.find(server);
-    const bool lives = found != view.orderers.end() && view.daemons.count(found->second.record.node) != 0;
-    return lives ? found->second.record.node : "";
+    const bool isAlive = found != view.orderers.end() && view.daemons.count(found->second.record.node) != 0;
+    return isAlive ? found->second.record.node : "";
 }
 
 void front_task::sendSlotRequest(const request_ptr &pending)
 {
     ++pending->slotRequestsSent;
     ++m_counters.slotRequests;
-    m_requestOfSlotRequest[pending->request.id] = pending->number;
+    m_numberByRequestId[pending->request.id] = pending->number;
     const millis waited = bootNow() - pending->arrived;
     const std::int64_t wait = slotWaitLeft(*pending).count;
     place_ask message{pending->request.id, pending->server, pending->request.model, pending->request.adapter,
@@ -234,43 +235,43 @@
     notifyOwner(*pending, place_event::Ended);
     pending->excludedServers.insert(pending->server);
     if (const auto limit = m_limits.find(pending->server); limit != m_limits.end()) {
-        limit->second.turnAt =
-            bootNow() + unresponsiveOwnerBackoff; // the next callers are not to wait for it too
+        // Keep the next requests from waiting for this owner too.
+        limit->second.turnAt = bootNow() + unresponsiveOwnerBackoff;
     }
     dispatch(pending);
 }
 
-void front_task::onSlotResponse(const place_answer &answer)
+void front_task::onSlotResponse(const place_answer &response)
 {
-    const bool knowsLimit = answer.why != refusal::NotOrderer && answer.why != refusal::ServerLeaving;
-    if (knowsLimit) {
-        const bool limited = answer.verdict == place_verdict::Refused && answer.why == refusal::Limited;
-        const auto known = permitWait(answer.server);
-        const millis wait = limited ? millis{answer.comeBackMs} : known.value_or(millis{});
-        applyOwnerLimit(m_limits, answer.server, decodeLimit(answer.limitMilli), wait, bootNow());
+    const bool conveysLimit = response.why != refusal::NotOrderer && response.why != refusal::ServerLeaving;
+    if (conveysLimit) {
+        const bool limited = response.verdict == place_verdict::Refused && response.why == refusal::Limited;
+        const auto known = permitWait(response.server);
+        const millis wait = limited ? millis{response.comeBackMs} : known.value_or(millis{});
+        applyOwnerLimit(m_limits, response.server, decodeLimit(response.limitMilli), wait, bootNow());
     }
-    const auto number = m_requestOfSlotRequest.find(answer.id);
+    const auto number = m_numberByRequestId.find(response.id);
     const auto found =
-        number == m_requestOfSlotRequest.end() ? m_requests.end() : m_requests.find(number->second);
-    const bool waits = found != m_requests.end() && found->second->server == answer.server
+        number == m_numberByRequestId.end() ? m_requests.end() : m_requests.find(number->second);
+    const bool isWaiting = found != m_requests.end() && found->second->server == response.server
         && !found->second->granted && !found->second->activeSend;
-    if (!waits) {
-        const bool unknown = found == m_requests.end() || found->second->server != answer.server;
-        if (answer.verdict == place_verdict::Granted && unknown) {
-            // A grant for a request that has ended or gone elsewhere holds a place: say so.
+    if (!isWaiting) {
+        const bool unknown = found == m_requests.end() || found->second->server != response.server;
+        if (response.verdict == place_verdict::Granted && unknown) {
+            // The request has ended or uses another server: release the granted slot.
             pending_request ended;
-            ended.request.id = answer.id;
-            ended.server = answer.server;
-            const auto observed = m_observed.find(answer.server);
+            ended.request.id = response.id;
+            ended.server = response.server;
+            const auto observed = m_observed.find(response.server);
             ended.owner = observed == m_observed.end() ? "" : observed->second.owner;
             notifyOwner(ended, place_event::Unsent);
         }
         return;
     }
     const request_ptr pending = found->second;
-    switch (answer.verdict) {
+    switch (response.verdict) {
     case place_verdict::Queued:
-        // Asked again only rarely from here on: the grant itself may be lost.
+        // The grant may get lost, so keep repeating the request, but less often.
         pending->slotRequestsSent = 1;
         pending->slotRequestTimer = m_loop.timer(slotRequestTimeout + slotRequestTimeout, {},
             [this, weak = std::weak_ptr<pending_request>(pending)] {
@@ -282,7 +283,7 @@
     case place_verdict::Granted: {
         pending->slotRequestTimer.reset();
         pending->granted = true;
-        pending->adapterVersion = answer.adapterVersion;
+        pending->adapterVersion = response.adapterVersion;
         pending->slotWait = bootNow() - pending->slotRequestedAt;
         record(m_counters.slotWait, static_cast<double>(pending->slotWait.count));
         const auto server = m_store.view().servers.find(pending->server);
@@ -297,13 +298,14 @@
         pending->slotRequestTimer.reset();
         m_log.ordinary("place.refused")
             .add("id", pending->request.id)
-            .add("server", answer.server)
-            .add("why", nameOf(answer.why))
-            .add("come_back_ms", answer.comeBackMs);
-        if (pending->shortestRetryAfter.count < 0 || answer.comeBackMs < pending->shortestRetryAfter.count) {
-            pending->shortestRetryAfter = {answer.comeBackMs};
+            .add("server", response.server)
+            .add("why", nameOf(response.why))
+            .add("come_back_ms", response.comeBackMs);
+        if (pending->shortestRetryAfter.count < 0
+            || response.comeBackMs < pending->shortestRetryAfter.count) {
+            pending->shortestRetryAfter = {response.comeBackMs};
         }
-        pending->excludedServers.insert(answer.server);
+        pending->excludedServers.insert(response.server);
         dispatch(pending);
         return;
     }
@@ -318,13 +320,13 @@
     sendToOwner(pending.owner, message);
 }
 
-void front_task::onHeartbeat(const std::string &node, const fleet_beat &beat)
+void front_task::onHeartbeat(const std::string &node, const fleet_beat &heartbeat)
 {
     const millis now = bootNow();
-    for (const server_beat &each : beat.servers) {
+    for (const server_beat &each : heartbeat.servers) {
         auto &observed = m_observed[each.server];
         if (each.fence < observed.heartbeat.fence) {
-            continue; // from a daemon that gave the orders before
+            continue; // from a previous owner
         }
         const bool changed = observed.owner != node || observed.heartbeat.fence != each.fence;
         applyHeartbeat(observed, each, node, now);
@@ -332,7 +334,7 @@
             announceRunning(each.server, node);
         }
     }
-    for (const limit_beat &each : beat.limits) {
+    for (const limit_beat &each : heartbeat.limits) {
         const auto observed = m_observed.find(each.server);
         if (observed != m_observed.end() && observed->second.owner == node) {
             applyOwnerLimit(m_limits, each.server, decodeLimit(each.limitMilli), millis{each.waitMs}, now);
@@ -340,18 +342,19 @@
     }
 }
 
-/// Tells a server's new orderer what runs there, so that it takes no adapter in use for idle.
-void front_task::announceRunning(const std::string &server, const std::string &orderer)
+/// Reports this entry's running requests to a server's new owner, so that it doesn't consider their adapters
+/// idle and evict them.
+void front_task::announceRunning(const std::string &server, const std::string &owner)
 {
     for (const auto &[number, pending] : m_requests) {
         if (!pending->usesModelServer || pending->server != server || !pending->activeSend) {
             continue;
         }
-        pending->owner = orderer;
+        pending->owner = owner;
         const place_running message{pending->request.id, server, pending->request.model,
             pending->request.adapter, pending->request.promptTokens, pending->request.outputTokens,
             !pending->firstEventReceived, timeLeft(*pending).count};
-        sendToOwner(orderer, message);
+        sendToOwner(owner, message);
     }
 }
 
--- a/packages/serving/front_send.cpp
+++ b/packages/serving/front_send.cpp
@@ -3,18 +3,18 @@
 #include <algorithm>
 #include <utility>
 
-// What becomes of a request at a server: the send, its answer on the way to the caller, and whether another
-// server is tried.
+// Sending a request to a server, forwarding the response to the caller, and retrying on another server.
 namespace briarhead {
 
 namespace {
 
-/// An idempotent request whose server stays silent this many times its target is tried elsewhere.
+/// An idempotent request is retried elsewhere after its server has been silent for this many times the
+/// route's latency target.
 constexpr int inactivityTargets = 4;
-/// A resumable stream without an event for so long is resumed elsewhere: five times the longest pause that
-/// callers accept at the first deployments.
+/// A resumable stream without events for this long is resumed elsewhere: five times the longest pause that
+/// callers accept.
 constexpr millis streamInactivityTimeout{2'000};
-/// Connections are refused or time out before anything is sent; so many servers are tried then.
+/// Number of servers tried if connections are refused or time out before anything has been sent.
 constexpr int maxUnsentAttempts = 3;
 constexpr int firstServerError = 500;
 constexpr int misdirectedStatus = 421;
@@ -23,7 +23,7 @@
 
 void front_task::send(const request_ptr &pending, const backend_server &server)
 {
-    // Every way to a server leads through here: what became known while the request waited still counts.
+    // All sends go through here, so that changes since the request was dispatched are taken into account.
     if (isBlocked(*pending)) {
         notifyOwner(*pending, place_event::Ended);
         refuseBlocked(pending);
@@ -61,12 +61,12 @@
     if (pending->request.deadline) {
         options.timeLeft = timeLeft(*pending);
     }
-    const auto named =
+    const auto announced =
         m_store.view().versions.find(adapterKey(pending->request.model, pending->request.adapter));
-    const std::int64_t newest = named == m_store.view().versions.end() ? 0 : named->second;
+    const std::int64_t newest = announced == m_store.view().versions.end() ? 0 : announced->second;
     options.adapterVersion = pending->usesModelServer ? std::max(pending->adapterVersion, newest) : 0;
     options.lastEventId = pending->eventStream.lastId;
-    const auto known = m_limits.find(server.id);
+    const auto limit = m_limits.find(server.id);
     m_log.ordinary("request.sent")
         .add("id", pending->request.id)
         .add("server", server.id)
@@ -74,7 +74,7 @@
         .add("config", pending->config->version)
         .add("adapter_version", options.adapterVersion)
         .add("access", nameOf(access))
-        .add("limit_per_second", known == m_limits.end() ? -1.0 : known->second.perSecond)
+        .add("limit_per_second", limit == m_limits.end() ? -1.0 : limit->second.perSecond)
         .add("waited_ms", bootNow() - pending->arrived);
     const std::weak_ptr<pending_request> weak = pending;
     send_handlers handlers;
@@ -87,9 +87,9 @@
             onResponseBody(locked, bytes);
         }
     };
-    handlers.onEnd = [this, weak](send_end how, const error &why) {
+    handlers.onEnd = [this, weak](send_end end, const error &why) {
         if (const auto locked = weak.lock()) {
-            onSendEnd(locked, how, why);
+            onSendEnd(locked, end, why);
         }
     };
     pending->lastEventAt = bootNow();
@@ -97,12 +97,12 @@
     pending->activeSend = m_pool.start(server.address, m_codec.writeRequest(pending->request, options),
         pending->request.head.method == "HEAD", std::move(handlers));
     if (mayRetry(*pending)) {
-        const millis quiet = pending->matchedRoute->kind == route_kind::Stream
+        const millis timeout = pending->matchedRoute->kind == route_kind::Stream
             ? streamInactivityTimeout
             : std::max(minServerSilence, millis{pending->matchedRoute->target.count * inactivityTargets});
-        pending->inactivityTimer = m_loop.timer(quiet, millis{quiet.count / 2}, [this, weak, quiet] {
+        pending->inactivityTimer = m_loop.timer(timeout, millis{timeout.count / 2}, [this, weak, timeout] {
             const auto locked = weak.lock();
-            if (locked && bootNow() - locked->lastEventAt >= quiet) {
+            if (locked && bootNow() - locked->lastEventAt >= timeout) {
                 onServerUnresponsive(locked);
             }
         });
@@ -146,8 +146,8 @@
         pending->responseBody += bytes;
         return;
     }
-    const std::string whole = extractEvents(pending->eventStream, bytes);
-    if (whole.empty()) {
+    const std::string events = extractEvents(pending->eventStream, bytes);
+    if (events.empty()) {
         return;
     }
     if (!pending->firstEventReceived) {
@@ -157,29 +157,29 @@
             pending->firstEventDelay.count < 0 ? now - pending->arrived : pending->firstEventDelay;
         notifyOwner(*pending, place_event::FirstToken);
     }
-    pending->reply->write(whole);
+    pending->reply->write(events);
 }
 
-void front_task::onSendEnd(const request_ptr &pending, send_end how, const error &why)
+void front_task::onSendEnd(const request_ptr &pending, send_end end, const error &why)
 {
     const std::string server = pending->server;
     pending->activeSend.reset();
     pending->inactivityTimer.reset();
     --m_inFlight[server];
     const bool answered =
-        how == send_end::Whole && (pending->responseMeta.signedByServer || pending->responseMeta.notExecuted);
+        end == send_end::Whole && (pending->responseMeta.signedByServer || pending->responseMeta.notExecuted);
     const bool notExecuted = answered && pending->responseMeta.notExecuted;
     const bool failed = !answered || (pending->responseHead.status >= firstServerError && !notExecuted);
-    // A server that says it is full is left alone like one that fails: a route may allow one server only, and
-    // its requests are then refused each time. Not so an adapter that isn't there: that is no fault of it.
-    const bool full = notExecuted && pending->responseHead.status != misdirectedStatus;
-    if (full || !notExecuted) {
-        recordOutcome(m_serverHealth[server], failed || full, bootNow());
+    // An overloaded server is avoided like a failing one: on a route that allows only one server, its
+    // requests would be refused each time. A missing adapter (421) is not held against the server.
+    const bool overloaded = notExecuted && pending->responseHead.status != misdirectedStatus;
+    if (overloaded || !notExecuted) {
+        recordOutcome(m_serverHealth[server], failed || overloaded, bootNow());
     }
-    if (how == send_end::Unsent || notExecuted) {
-        pending->unitsHeld = std::exchange(pending->unitsSpent, 0); // nothing ran for them
+    if (end == send_end::Unsent || notExecuted) {
+        pending->unitsHeld = std::exchange(pending->unitsSpent, 0); // the request did not run
     }
-    if (how == send_end::Unsent) {
+    if (end == send_end::Unsent) {
         ++pending->unsentCount;
         notifyOwner(*pending, place_event::Unsent);
         m_log.important("request.unsent")
@@ -200,15 +200,15 @@
             m_crashes.onAnswered(pending->fingerprint);
         }
         pending->mayHaveRun = pending->mayHaveRun || !notExecuted;
-        const bool notHeld = notExecuted && pending->usesModelServer && pending->granted;
-        notifyOwner(*pending, notHeld ? place_event::NotHeld : place_event::Ended);
+        const bool adapterMissing = notExecuted && pending->usesModelServer && pending->granted;
+        notifyOwner(*pending, adapterMissing ? place_event::NotHeld : place_event::Ended);
         onResponseComplete(pending);
         return;
     }
     pending->mayHaveRun = true;
     const server_access access = m_notices.accessOf(server);
-    const bool stays = access != server_access::Leaving && access != server_access::Removed;
-    if (how == send_end::Broken && stays) {
+    const bool staysListed = access != server_access::Leaving && access != server_access::Removed;
+    if (end == send_end::Broken && staysListed) {
         m_crashes.onBroken(pending->fingerprint, pending->target);
     }
     notifyOwner(*pending, place_event::Failed);
@@ -219,7 +219,7 @@
         .add("status", pending->responseHead.status)
         .add("begun", pending->headSent ? 1 : 0)
         .add("last_event", pending->eventStream.lastId)
-        .add("why", why.detail.empty() ? "the answer is not signed by the server" : why.detail);
+        .add("why", why.detail.empty() ? "the response is not signed by the server" : why.detail);
     pending->eventStream.partial.clear();
     pending->responseHead = {};
     if (retryElsewhere(pending, true, "broken")) {
@@ -233,24 +233,28 @@
     fail(pending, 502, "the server's answer is missing or cut off");
 }
 
-/// Goes on at another server if that is allowed. `ran`: the last one may have run it.
-bool front_task::retryElsewhere(const request_ptr &pending, bool ran, const char *why)
+/// Retries the request on another server if that is allowed. `mayHaveRun`: the last server may have run it.
+bool front_task::retryElsewhere(const request_ptr &pending, bool mayHaveRun, const char *why)
 {
-    if (ran && !mayRetry(*pending)) {
+    if (mayHaveRun && !mayRetry(*pending)) {
         return false;
     }
     pending->excludedServers.insert(pending->server);
     if (!mayTryAnotherServer(*pending) || timeLeft(*pending).count <= 0) {
         return false;
     }
-    if (ran && m_crashes.mayBeFatal(pending->fingerprint)) {
-        m_log.important("repeat.denied").add("id", pending->request.id).add("why", "servers ended under it");
+    if (mayHaveRun && m_crashes.mayBeFatal(pending->fingerprint)) {
+        m_log.important("repeat.denied")
+            .add("id", pending->request.id)
+            .add("why", "servers crashed while running this request");
         return false;
     }
     const std::size_t daemons = m_store.view().daemons.size();
     if (!tryAcquireRetry(m_retryBudget, pending->service, m_settings.retries, daemons, bootNow())) {
         ++m_counters.retriesDenied;
-        m_log.important("repeat.denied").add("id", pending->request.id).add("why", "the budget is used up");
+        m_log.important("repeat.denied")
+            .add("id", pending->request.id)
+            .add("why", "the retry budget is exhausted");
         return false;
     }
     ++m_counters.retries;
@@ -279,13 +283,13 @@
         finish(pending, "served");
         return;
     }
-    if (pending->headSent) { // resumed, and the answer is a failure
+    if (pending->headSent) { // the stream was resumed, and the resumed response is a failure
         pending->reply->abort();
         finish(pending, "cut_off");
         return;
     }
-    const bool worthAnother = pending->responseHead.status >= firstServerError && mayRetry(*pending);
-    if (worthAnother) {
+    const bool retryable = pending->responseHead.status >= firstServerError && mayRetry(*pending);
+    if (retryable) {
         const http_head head = pending->responseHead;
         const std::string body = pending->responseBody;
         if (retryElsewhere(pending, true, "failed")) {
@@ -319,7 +323,8 @@
         .add("server", server)
         .add("silent_ms", bootNow() - pending->lastEventAt);
     m_pool.cancel(*pending->activeSend);
-    onSendEnd(pending, send_end::Broken, {error_kind::Timeout, server, "the server stays silent"});
+    onSendEnd(pending, send_end::Broken,
+        {error_kind::Timeout, server, "the server has sent nothing within the inactivity timeout"});
 }
 
 void front_task::abandonServer(const request_ptr &pending, place_event event)
@@ -329,9 +334,9 @@
         pending->activeSend.reset();
         --m_inFlight[pending->server];
         m_crashes.onGivenUp(pending->fingerprint, pending->target);
-        const bool silent =
+        const bool unresponsive =
             pending->responseHead.status == 0 && bootNow() - pending->lastEventAt > minServerSilence;
-        if (silent) {
+        if (unresponsive) {
             recordOutcome(m_serverHealth[pending->server], true, bootNow());
         }
     }
--- a/packages/serving/front_task.cpp
+++ b/packages/serving/front_task.cpp
@@ -38,14 +38,14 @@
     , m_log(log)
     , m_limits(notices.limits())
 {
-    messages.on<server_closed>([this](const server_closed &news) {
-        onServerClosed(news.server);
+    messages.on<server_closed>([this](const server_closed &event) {
+        onServerClosed(event.server);
     });
     messages.on<view_changed>([this](const view_changed &change) {
         onViewChanged(change);
     });
-    messages.on<request_blocked>([this](const request_blocked &news) {
-        onBlocked(news);
+    messages.on<request_blocked>([this](const request_blocked &event) {
+        onBlocked(event);
     });
 }
 
@@ -79,15 +79,16 @@
     for (const std::string &id : change.goneServers) {
         m_observed.erase(id);
         m_serverHealth.erase(id);
-        if (const auto again = m_store.view().servers.find(id); again != m_store.view().servers.end()) {
-            m_pool.forget(again->second.address); // connections to its earlier start
+        if (const auto restarted = m_store.view().servers.find(id);
+            restarted != m_store.view().servers.end()) {
+            m_pool.forget(restarted->second.address); // drop connections to the previous incarnation
         }
     }
     const std::size_t cells =
         heartbeatGroupsIn({&m_store.view().daemons, m_store.view().servers.size()}, m_settings.failureDomain);
     if (cells != m_heartbeatGroups) {
-        // Beats of the servers that are in another cell now will not come any more. Taken for a dead
-        // orderer's, they would be sent requests without a place.
+        // Heartbeats about servers that are now in another group will stop. If their entries were kept, the
+        // owners would look dead, and requests would be sent to the servers without a slot.
         m_heartbeatGroups = cells;
         std::erase_if(m_observed, [this](const auto &each) {
             return heartbeatGroupOf(each.first, m_heartbeatGroups)
@@ -127,17 +128,17 @@
         return;
     }
     pending->reply->onGone([this, weak = std::weak_ptr<pending_request>(pending)] {
-        if (const auto gone = weak.lock()) {
-            abandonServer(gone, place_event::Ended);
-            finish(gone, "caller_left");
+        if (const auto locked = weak.lock()) {
+            abandonServer(locked, place_event::Ended);
+            finish(locked, "caller_left");
         }
     });
     resolveRoute(pending);
 }
 
-/// Finds the request's way. Right after a start the configuration is some ms away, on a slow store some
-/// hundred: waiting for it serves callers whom the balancer sends to every daemon when all have been
-/// restarted.
+/// Authenticates the caller and finds the request's route and service. After a start, the configuration
+/// arrives within milliseconds, or several hundred with a slow store. The request waits for it, because the
+/// load balancer sends callers to every daemon when all have just been restarted.
 void front_task::resolveRoute(const request_ptr &pending)
 {
     pending->config = m_store.view().config;
@@ -169,8 +170,8 @@
             pending->request.deadline.value_or(pending->matchedRoute->timeout));
     pending->deadlineTimer = m_loop.timer(
         pending->deadlineAt - bootNow(), {}, [this, weak = std::weak_ptr<pending_request>(pending)] {
-            if (const auto late = weak.lock()) {
-                onDeadline(late);
+            if (const auto locked = weak.lock()) {
+                onDeadline(locked);
             }
         });
     m_log.ordinary("request.accepted")
@@ -198,7 +199,7 @@
     return pending.deadlineAt - bootNow();
 }
 
-/// Whether the route allows a further server.
+/// Whether the route's limit on servers per request allows another one.
 bool front_task::mayTryAnotherServer(const pending_request &pending) const
 {
     return static_cast<int>(pending.sentTo.size()) < pending.matchedRoute->maxServers;
@@ -228,12 +229,12 @@
 
 void front_task::refuseBlocked(const request_ptr &pending)
 {
-    // Its wait is over and another daemon tries it: how that ends is known soon.
+    // Without a remaining block another daemon is probing the request, and its result will be known soon.
     const millis wait = std::max(m_crashes.comeBackAfter(pending->fingerprint), retryAfterTransient);
     refuse(pending, "servers ended under this request", wait);
 }
 
-/// Refused, unless its wait is over and this daemon is the one that tries it.
+/// Refuses a blocked request unless its block has expired and this daemon is granted the probe.
 void front_task::probeBlocked(const request_ptr &pending)
 {
     m_crashes.askTrial(
@@ -251,13 +252,13 @@
         });
 }
 
-/// What waits for a server is refused at once. What a server is at work on is left there: a whole answer
-/// would clear it.
-void front_task::onBlocked(const request_blocked &news)
+/// Refuses the matching requests that are still waiting for a server. Those that a server is working on
+/// continue, because a complete response would clear the block.
+void front_task::onBlocked(const request_blocked &event)
 {
     std::vector<request_ptr> waiting;
     for (const auto &[number, pending] : m_requests) {
-        if (pending->fingerprint == news.fingerprint && !pending->activeSend && !pending->isProbe) {
+        if (pending->fingerprint == event.fingerprint && !pending->activeSend && !pending->isProbe) {
             waiting.push_back(pending);
         }
     }
@@ -293,8 +294,8 @@
 
 void front_task::refuse(const request_ptr &pending, const char *why, millis retryAfter, int status)
 {
-    // A refusal promises that nothing ran and nothing will. Where an earlier send may have, only a failure is
-    // true; a caller would else repeat what may have been done.
+    // A refusal promises that the request did not and will not run. If an earlier send may have run, it has
+    // to be reported as a failure, or the caller might repeat a request that has been executed.
     if (pending->headSent) {
         pending->reply->abort();
         finish(pending, "cut_off");
@@ -333,8 +334,8 @@
         pending->matchedRoute == nullptr ? "unrouted" : nameOf(pending->matchedRoute->kind));
     ++m_counters.ended[{kind, outcome}];
     record(m_counters.duration, static_cast<double>((bootNow() - pending->arrived).count));
-    const bool good = outcome == "served";
-    (good ? m_log.ordinary("request.ended") : m_log.important("request.ended"))
+    const bool served = outcome == "served";
+    (served ? m_log.ordinary("request.ended") : m_log.important("request.ended"))
         .add("id", pending->request.id)
         .add("outcome", outcome)
         .add("server", pending->server)
@@ -350,9 +351,9 @@
     pending->deadlineTimer.reset();
     pending->slotRequestTimer.reset();
     pending->inactivityTimer.reset();
-    const auto asked = m_requestOfSlotRequest.find(pending->request.id);
-    if (asked != m_requestOfSlotRequest.end() && asked->second == pending->number) {
-        m_requestOfSlotRequest.erase(asked);
+    const auto asked = m_numberByRequestId.find(pending->request.id);
+    if (asked != m_numberByRequestId.end() && asked->second == pending->number) {
+        m_numberByRequestId.erase(asked);
     }
     m_requests.erase(pending->number);
 }
--- a/packages/serving/front_task.h
+++ b/packages/serving/front_task.h
@@ -28,34 +28,36 @@
 
 namespace briarhead {
 
-/// Of an account's requests, for metrics.
+/// Counters of one client account, for the metrics page.
 struct account_counters
 {
-    std::uint64_t accepted = 0; ///< within its limit
-    std::uint64_t overLimit = 0;
-    double units = 0; ///< sent to servers
+    std::uint64_t accepted = 0; ///< requests within the account's limit
+    std::uint64_t overLimit = 0; ///< requests refused because of the limit
+    double units = 0; ///< units of requests sent to servers
 };
 
-/// Accounts with counters of their own; the others share one set.
+/// Number of accounts that have their own counters; all others share one set.
 constexpr std::size_t maxAccountsCounted = 64;
 
+/// Counters of front_task, for the metrics page.
 struct front_counters
 {
-    std::map<std::string, account_counters> accounts; ///< by name; empty: all beyond accountsCounted
+    /// By account name; the empty name is for all accounts beyond maxAccountsCounted.
+    std::map<std::string, account_counters> accounts;
 
     std::map<std::pair<std::string, std::string>, std::uint64_t> ended; ///< requests by kind and outcome
-    std::map<std::string, std::uint64_t> refused; ///< by reason
-    std::uint64_t sends = 0;
+    std::map<std::string, std::uint64_t> refused; ///< requests by reason
+    std::uint64_t sends = 0; ///< requests sent to servers, including retries
     std::uint64_t retries = 0;
-    std::uint64_t retriesDenied = 0; ///< the budget was used up
-    std::uint64_t slotRequests = 0;
-    latency_histogram firstResponse; ///< to the answer's head
-    latency_histogram eventGap; ///< between two parts of a stream
-    latency_histogram duration;
-    latency_histogram slotWait;
+    std::uint64_t retriesDenied = 0; ///< because the retry budget was exhausted
+    std::uint64_t slotRequests = 0; ///< messages sent, including repetitions
+    latency_histogram firstResponse; ///< from arrival until the response head goes to the caller
+    latency_histogram eventGap; ///< between two chunks of a response from a server
+    latency_histogram duration; ///< from arrival to the end of the request
+    latency_histogram slotWait; ///< from the slot request to the grant
 };
 
-/// Takes callers' requests, chooses a backend server for each, and passes the answer on.
+/// Accepts callers' requests, chooses a backend server for each, and forwards the response.
 class front_task
 {
 public:
@@ -67,16 +69,18 @@
     void setPort(fleet_port &port);
     void setRetryLimits(const retry_limits &limits);
 
-    /// From now on new requests are refused, since the process ends before they could be answered.
+    /// Refuses new requests from now on, because the process would exit before they are complete.
     void stopAccepting();
-    /// Other daemons can't be asked for places: only servers that this one gives orders to are used.
+    /// While isolated, slots can't be requested from other daemons: only model servers that this daemon owns
+    /// are used.
     void setIsolated(bool isolated);
     void onRequest(front_request raw, std::shared_ptr<front_reply> reply);
-    void onSlotResponse(const place_answer &answer);
-    void onHeartbeat(const std::string &node, const fleet_beat &beat);
-    /// Whether any server's orderer has been heard of.
+    void onSlotResponse(const place_answer &response);
+    void onHeartbeat(const std::string &node, const fleet_beat &heartbeat);
+    /// Whether a heartbeat about any server has been received.
     bool knowsAnyOwner() const;
     const front_counters &counters() const;
+    /// Number of requests in progress.
     std::size_t active() const;
 
 private:
@@ -84,15 +88,15 @@
     using request_ptr = std::shared_ptr<pending_request>;
 
     void onViewChanged(const view_changed &change);
-    void onBlocked(const request_blocked &news);
+    void onBlocked(const request_blocked &event);
     bool isBlocked(const pending_request &pending) const;
     void refuseBlocked(const request_ptr &pending);
     void probeBlocked(const request_ptr &pending);
     void resolveRoute(const request_ptr &pending);
     bool authenticateCaller(const request_ptr &pending);
-    void acquireUnits(const request_ptr &pending, std::function<void()> go);
+    void acquireUnits(const request_ptr &pending, std::function<void()> proceed);
     void onQuotaDecision(
-        const request_ptr &pending, const quota_decision &decision, const std::function<void()> &go);
+        const request_ptr &pending, const quota_decision &decision, const std::function<void()> &proceed);
     bool holdsUnits(const pending_request &pending) const;
     void returnUnits(pending_request &pending);
     void acquireUnitsAndSend(const request_ptr &pending);
@@ -123,11 +127,11 @@
     bool onResponseHead(const request_ptr &pending, const http_head &head);
     void onResponseLimit(const pending_request &pending);
     void onResponseBody(const request_ptr &pending, const std::string &bytes);
-    void onSendEnd(const request_ptr &pending, send_end how, const error &why);
+    void onSendEnd(const request_ptr &pending, send_end end, const error &why);
     void onResponseComplete(const request_ptr &pending);
     void onServerUnresponsive(const request_ptr &pending);
     void onDeadline(const request_ptr &pending);
-    bool retryElsewhere(const request_ptr &pending, bool ran, const char *why);
+    bool retryElsewhere(const request_ptr &pending, bool mayHaveRun, const char *why);
     void forwardResponse(const request_ptr &pending);
     void refuse(const request_ptr &pending, const char *why, millis retryAfter, int status = 503);
     void fail(const request_ptr &pending, int status, const char *why);
@@ -136,7 +140,7 @@
     void announceRunning(const std::string &server, const std::string &orderer);
     void notifyOwner(const pending_request &pending, place_event event);
     template <class message_type>
-    void sendToOwner(const std::string &orderer, const message_type &message);
+    void sendToOwner(const std::string &owner, const message_type &message);
     millis timeLeft(const pending_request &pending) const;
     bool mayTryAnotherServer(const pending_request &pending) const;
     bool mayRetry(const pending_request &pending) const;
@@ -155,14 +159,14 @@
     front_counters m_counters;
     service_retry_budget m_retryBudget;
     std::map<std::string, response_mix> m_responseMix; ///< by service
-    std::map<std::string, request_ptr> m_requests; ///< by a number of this process, as text
-    std::map<std::string, std::string> m_requestOfSlotRequest; ///< request id to that number
+    std::map<std::string, request_ptr> m_requests; ///< by pending_request::number
+    std::map<std::string, std::string> m_numberByRequestId; ///< of requests that have asked for a slot
     std::map<std::string, observed_server> m_observed; ///< by server
-    std::map<std::string, int> m_inFlight; ///< this entry's, by server
+    std::map<std::string, int> m_inFlight; ///< requests of this entry in flight, by server
     std::map<std::string, server_health> m_serverHealth; ///< by server
-    named_limits &m_limits; ///< of m_words
+    named_limits &m_limits; ///< owned by m_notices
     std::uint64_t m_lastNumber = 0;
-    std::size_t m_heartbeatGroups = 1; ///< of this daemon's failure domain
+    std::size_t m_heartbeatGroups = 1; ///< number of heartbeat groups in this daemon's failure domain
     bool m_accepting = true;
     bool m_isolated = false;
 };
--- a/packages/serving/heartbeat_groups.cpp
+++ b/packages/serving/heartbeat_groups.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// A failure domain's daemons. Those whose record lapsed hear too, but count for nothing and pass nothing on.
+/// The daemons of a failure domain. Daemons whose record has expired receive heartbeats too, but are neither
+/// counted nor used as relays.
 struct domain_daemons
 {
     std::vector<const daemon_record *> live;
@@ -31,7 +32,7 @@
     return domains;
 }
 
-/// Adds those of a cell but for `self`.
+/// Appends the daemons of a group, except `self`.
 void addGroupMembers(std::vector<const daemon_record *> &recipients,
     const std::vector<const daemon_record *> &daemons, std::size_t groups, std::size_t group,
     const std::string &self)
@@ -112,7 +113,7 @@
     if (own == domains.end() || heartbeat.servers.empty()) {
         return recipients;
     }
-    // A beat that is relayed holds servers of one cell.
+    // All servers of a relayed heartbeat belong to the same group.
     const std::size_t groups = heartbeatGroupCount(own->second.live.size(), fleet.servers);
     const std::size_t group = heartbeatGroupOf(heartbeat.servers.front().server, groups);
     addGroupMembers(recipients, own->second.live, groups, group, relay.node);
--- a/packages/serving/heartbeat_groups.h
+++ b/packages/serving/heartbeat_groups.h
@@ -8,49 +8,56 @@
 #include <string_view>
 #include <vector>
 
-// Which daemons hear of which server. Beats to everyone would grow with servers times daemons; so the daemons
-// of each failure domain are dealt into cells, the servers too, and an entry hears only of its cell's
-// servers, in all failure domains. A fleet with up to 96 servers and 32 daemons a failure domain is one cell.
-// Both sides work the cells out from the store's records; where their views differ for a moment, an entry
-// hears of too many servers or too few, and asks the others' orderers unheard.
+// Decides which daemons receive heartbeats about which servers. If every daemon received them all, traffic
+// would grow with servers times daemons. Instead, the daemons of each failure domain and all servers are
+// hashed into heartbeat groups, and an entry receives heartbeats only about its own group's servers, in all
+// failure domains. A fleet of up to 96 servers and 32 daemons per failure domain has a single group.
+// Senders and receivers derive the groups from the store's records. While their views differ, an entry
+// receives heartbeats about too many or too few servers; it can still request a slot from the owner of a
+// server that it has no heartbeats about.
 namespace briarhead {
 
-/// Daemons of a failure domain that share a cell, and servers that one daemon hears of, at most about.
+/// Approximate upper bounds, since names are hashed into groups: daemons of one failure domain that share a
+/// group, and servers of a group.
 constexpr std::size_t maxDaemonsPerGroup = 32;
 constexpr std::size_t maxServersPerGroup = 96;
 
-/// Cells of a failure domain with so many daemons, in a fleet with so many servers.
+/// Number of heartbeat groups of a failure domain with `daemons` daemons in a fleet with `servers` servers.
 std::size_t heartbeatGroupCount(std::size_t daemons, std::size_t servers);
+/// The group, out of `groups`, of a daemon or server by its name.
 std::size_t heartbeatGroupOf(std::string_view name, std::size_t groups);
 
-/// The daemons as the store lists them, and the number of servers there.
+/// The size of the fleet according to the store.
 struct fleet_shape
 {
     const daemon_map *daemons = nullptr;
     std::size_t servers = 0;
-    const daemon_map *expired = nullptr; ///< that hear too, but count for nothing; may be null
+    /// Daemons whose record has expired: they still receive heartbeats but don't count towards the number of
+    /// groups. May be null.
+    const daemon_map *expired = nullptr;
 };
 
-/// Cells of a failure domain. Its daemons hear by beats of the servers in their cell.
+/// Number of heartbeat groups in a failure domain.
 std::size_t heartbeatGroupsIn(const fleet_shape &fleet, std::string_view domain);
 
-/// A beat and the daemons that get it.
+/// A heartbeat and the daemons to send it to.
 struct heartbeat_delivery
 {
     fleet_beat heartbeat;
     std::vector<const daemon_record *> recipients;
 };
 
-/// Another failure domain's daemons get beats directly up to this number; beyond, one of them, another each
-/// time, passes them on, and only each third round is sent there: bytes between failure domains are dear, and
-/// its servers are a second choice.
+/// A group of at most this many daemons in another failure domain receives heartbeats directly. For a larger
+/// one a single daemon, a different one each time, relays them, and only every `relayIntervalRounds`-th round
+/// is sent: traffic between failure domains is expensive, and entries there use the servers as a second
+/// choice.
 constexpr std::size_t maxDirectPeers = 3;
 constexpr int relayIntervalRounds = 3;
 
-/// What the daemon `from` sends in a round, of the servers that it gives orders to.
+/// The heartbeats that daemon `from` sends in a round about the servers that it owns.
 std::vector<heartbeat_delivery> planHeartbeats(
     const fleet_shape &fleet, const daemon_record &from, const fleet_beat &heartbeat, int round);
-/// The daemons of its own failure domain that `relay` passes a beat from another one on to.
+/// The daemons of `relay`'s own failure domain that it forwards a heartbeat from another domain to.
 std::vector<const daemon_record *> relayTargets(
     const fleet_shape &fleet, const daemon_record &relay, const fleet_beat &heartbeat);
 
--- a/packages/serving/load_estimate.cpp
+++ b/packages/serving/load_estimate.cpp
@@ -16,7 +16,7 @@
     return inMs(duration) > slowLoadRatio * estimate.fastestMs;
 }
 
-/// How many would have come at full speed where so many took so long.
+/// The capacity that explains why loads took this long with this many in progress.
 double capacityFrom(const load_estimate &estimate, millis duration, double concurrentLoads)
 {
     return std::max(concurrentLoads * estimate.fastestMs / inMs(duration), minLoadCapacity);
@@ -27,7 +27,7 @@
 void recordLoad(load_estimate &estimate, millis duration, double concurrentLoads, millis now)
 {
     if (inMs(duration) < cachedLoadRatio * estimate.fastestMs) {
-        return; // the server had it
+        return; // came from the server's memory
     }
     estimate.fastestMs = std::min(inMs(duration), estimate.fastestMs);
     if (!isSlow(estimate, duration)) {
--- a/packages/serving/load_estimate.h
+++ b/packages/serving/load_estimate.h
@@ -2,46 +2,49 @@
 
 #include "state/clock.h"
 
-// How long an adapter takes from the weight store, which all servers share: alone some hundred ms, and longer
-// in proportion once more are on their way than it delivers at once. Nobody tells how many these are, so each
-// orderer learns it from its own loads, from the beats of the others, and from how many are on their way.
+// Estimates how long it takes to load an adapter from the weight store, which all servers share. Up to some
+// number of concurrent loads, the store's capacity, each takes the same time; beyond, the time grows in
+// proportion. The capacity isn't configured, so each server owner estimates it from its own loads, from the
+// estimates in other owners' heartbeats, and from the number of concurrent loads.
 namespace briarhead {
 
-/// Of an adapter that comes from the weight store alone, in ms: the quickest seen at the first deployments.
+/// Initial estimate of an adapter load without concurrent loads, on the fast side.
 constexpr double initialLoadMs = 250;
-/// Before anything was seen so many are taken to be delivered at once. Too low a start costs next to nothing:
-/// four times as many are let on their way, and each round of quick loads raises it to as many.
+/// Initial estimate of the capacity. Starting too low costs almost nothing: four times as many loads are
+/// allowed at the same time, and each round of fast loads raises the estimate to their number.
 constexpr double initialLoadCapacity = 16;
 constexpr double minLoadCapacity = 4;
-/// With fewer on their way a slow load has another cause: a slow server, an answer that was lost.
+/// With fewer concurrent loads, a slow load has another cause, such as a slow server or a lost response.
 constexpr double minConcurrentLoads = 8;
-/// A load this much slower than the quickest was slowed down by the others.
+/// A load that takes longer than this multiple of the fastest was slowed down by concurrent loads.
 constexpr double slowLoadRatio = 1.3;
-/// A load that takes less than this share of the quickest came from the server's own memory.
+/// A load that takes less than this fraction of the fastest came from the server's own memory.
 constexpr double cachedLoadRatio = 0.5;
-/// Weight of one slow load, and of one that another orderer tells of.
+/// Weights in the moving average, of one slow load and of one peer's estimate.
 constexpr double ownSampleWeight = 0.3;
 constexpr double peerSampleWeight = 0.1;
-/// What was learned is passed on for so long.
+/// How long an estimate is shared with other owners after it was updated.
 constexpr millis estimateLifetime{2'000};
 
+/// What an owner knows about the speed of the weight store.
 struct load_estimate
 {
-    double fastestMs = initialLoadMs;
-    double capacity = initialLoadCapacity; ///< adapters that come at full speed together
-    double concurrentLoads = 0; ///< adapters on their way over all servers, as last counted
-    millis updatedAt; ///< when a load of this daemon's said something of `atOnce`
+    double fastestMs = initialLoadMs; ///< fastest load from the weight store so far
+    double capacity = initialLoadCapacity; ///< concurrent loads that all run at full speed
+    double concurrentLoads = 0; ///< loads in progress over all servers, as last counted
+    millis updatedAt; ///< when a load ordered by this daemon last changed `capacity`
 };
 
-/// A load took so long; `crowd` is the mean number on their way meanwhile.
+/// Records a finished load. `concurrentLoads`: mean number of loads in progress meanwhile.
 void recordLoad(load_estimate &estimate, millis duration, double concurrentLoads, millis now);
-/// A load that is still on its way: it will take longer than it has so far.
+/// Records a load in progress, which will take at least `elapsed`. Lets the estimate fall before slow loads
+/// have finished.
 void recordLoadInProgress(load_estimate &estimate, millis elapsed, double concurrentLoads, millis now);
-/// Another orderer's `atOnce`; 0: it has nothing to tell.
+/// Applies the capacity that another owner shares; 0 means that it has no recent estimate.
 void applyPeerEstimate(load_estimate &estimate, double capacity);
-/// What to pass on, or 0.
+/// The capacity to share with other owners, or 0 if the estimate isn't recent.
 double estimateToShare(const load_estimate &estimate, millis now);
-/// What a load would take that begins now.
+/// The expected duration, in ms, of a load that starts now.
 double expectedLoadMs(const load_estimate &estimate);
 
 }
--- a/packages/serving/node_settings.h
+++ b/packages/serving/node_settings.h
@@ -9,26 +9,26 @@
 
 namespace briarhead {
 
-/// What a daemon is told at its start.
+/// The settings that a daemon is started with.
 struct node_settings
 {
-    std::string node; ///< its name, the same after a restart
+    std::string node; ///< name of the daemon; stays the same across restarts
     std::string failureDomain;
-    peer_address front; ///< for callers
-    peer_address ready; ///< for the question whether it takes callers
-    peer_address peers; ///< for datagrams between daemons
-    peer_address metrics;
-    peer_address store;
+    peer_address front; ///< listens here for callers
+    peer_address ready; ///< listens here for the load balancer's readiness checks
+    peer_address peers; ///< listens here for datagrams and HTTP requests of other daemons
+    peer_address metrics; ///< listens here for scrapes
+    peer_address store; ///< where the store is reached
     millis minLease{1'000}; ///< the shortest lease that the store grants
-    millis orderLease{3'000}; ///< two daemons give a server orders no closer together than this
-    bool serversCheckFencingTokens = true; ///< model servers refuse an order whose fencing token is outdated
-    bool bootstrap = false; ///< the whole system starts for the first time
-    millis drain{2'000}; ///< from the store's word that a server leaves to the last request to it
-    millis shutdown{8'000}; ///< from the signal to end until the process is killed
+    millis orderLease{3'000}; ///< minimum time between the orders of two successive owners of a server
+    bool serversCheckFencingTokens = true; ///< model servers reject orders with an outdated fencing token
+    bool bootstrap = false; ///< the whole system is being started for the first time
+    millis drain{2'000}; ///< after the store lists a server as leaving, requests may reach it for so long
+    millis shutdown{8'000}; ///< from the termination signal until the platform kills the process
     retry_limits retries;
-    quota_rules quota; ///< how exactly client accounts' limits are to be kept
-    /// Whether callers with keys are refused once this daemon can't know whether keys were withdrawn longer
-    /// ago than `maxRevocationDelay`.
+    quota_rules quota; ///< how exactly client accounts' limits are enforced
+    /// Refuse requests that need a key while the configuration has not been confirmed to be the newest for
+    /// longer than `maxRevocationDelay`, because a key may have been revoked since.
     bool strictRevocation = false;
     millis maxRevocationDelay{5'000};
 };
--- a/packages/serving/observed_server.cpp
+++ b/packages/serving/observed_server.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Without a measured speed, the slowest of the first deployments is assumed, tokens a ms.
+/// Prompt tokens read per ms by a server whose speed has not been measured yet: a slow server's speed.
 constexpr double defaultTokensPerMs = 14;
-/// Reading that is assumed ahead at a server without beats: about what a prompt waits on a busy day.
+/// Assumed backlog of a server without heartbeats: about the mean wait of a prompt at high load.
 constexpr double unobservedBacklogMs = 150;
 constexpr double msPerSecond = 1'000;
-/// The share of the time to the first event that a prompt may wait for its turn. The turn is predicted too
-/// dark on average, and who is served a little late fares better than who is sent away: of 0.6, 0.75,
-/// 0.9, 1.1 and 1.4, the mean worth of the first deployments' days is best from 0.9 to 1.1.
+/// The fraction of the latency target that a request may wait for its slot. It is close to 1 because
+/// predicted waits are too long on average, and a response that is slightly late is worth more than a
+/// refusal. Of 0.6, 0.75, 0.9, 1.1 and 1.4, the values 0.9 and 1.1 score best.
 constexpr double maxWaitShare = 0.95;
 
 }
@@ -77,7 +77,7 @@
         : defaultTokensPerMs;
     candidate.backlogMs =
         static_cast<double>(heartbeat.backlogTokens + observed.requestedTokensSince) / tokensPerMs;
-    // Nobody loads there now: only what is known to be resident can be served.
+    // Without an owner nothing can be loaded there, so only resident adapters can be served.
     candidate.excluded = !fresh && candidate.adapter != adapter_residency::Resident;
     return candidate;
 }
@@ -95,7 +95,7 @@
 void rankByHash(std::vector<model_candidate> &candidates, const std::vector<std::string_view> &servers,
     const std::string &adapterKey)
 {
-    // Beyond the ranks that count all are alike, and a fleet may have thousands.
+    // Only the first positions are computed, since a fleet may have thousands of servers.
     for (model_candidate &each : candidates) {
         each.hashRank = maxHashRank;
     }
--- a/packages/serving/observed_server.h
+++ b/packages/serving/observed_server.h
@@ -8,51 +8,56 @@
 #include <string>
 #include <vector>
 
-// A model server as an entry knows it, from the beats of the daemon that gives its orders and from what the
-// entry itself has asked for since.
+// An entry's view of a model server, based on the heartbeats of the server's owner and on the slots that this
+// entry has requested since the latest one.
 namespace briarhead {
 
+/// The latest heartbeat about a model server, and what has happened since.
 struct observed_server
 {
     server_beat heartbeat;
-    std::string owner; ///< node
+    std::string owner; ///< node that sent the heartbeat
     millis receivedAt;
-    std::vector<std::uint32_t> recentAdapters; ///< adapters that beats named as resident, the latest last
-    std::int64_t requestedTokensSince = 0; ///< prompt tokens asked for here since that beat
-    std::uint32_t slotsRequestedSince = 0; ///< places for other adapters asked for here since that beat
+    /// Hashes of the adapters that heartbeats have listed as resident, most recent last.
+    std::vector<std::uint32_t> recentAdapters;
+    std::int64_t requestedTokensSince = 0; ///< prompt tokens of this entry's slot requests since `receivedAt`
+    std::uint32_t slotsRequestedSince = 0; ///< adapter slots that this entry has requested since then
 };
 
-/// A beat older than this says nothing about a server's orderer being alive.
+/// Without a heartbeat for this long, the server's owner may be dead.
 constexpr millis heartbeatFreshFor{1'500};
 
-/// Stands for "MODEL/ADAPTER" in beats.
+/// The hash that stands for "MODEL/ADAPTER" in heartbeats.
 std::uint32_t adapterHash(std::string_view adapterKey);
 
-/// Takes in a beat. Its adapters are what the server remembers, and the oldest drop out: a server keeps the
-/// adapters that it held lately in its memory. No beat names them: an entry has seen them come and go.
+/// Applies a new heartbeat. Servers keep recently evicted adapters in host memory, but heartbeats list only
+/// resident ones, so an entry infers the remembered adapters from earlier heartbeats, up to a maximum number.
 void applyHeartbeat(
     observed_server &observed, const server_beat &heartbeat, const std::string &owner, millis now);
 
+/// Whether the latest heartbeat is recent enough for the server's owner to count as alive.
 bool isFresh(const observed_server &observed, millis now);
 
-/// What the beats say of a server for an adapter ("MODEL/ADAPTER", or the model alone). Domain, failures and
-/// the place in the rendezvous order are the caller's to fill in.
+/// The server as a candidate for an adapter ("MODEL/ADAPTER", or the model alone). `sameDomain`,
+/// `failureRate` and `hashRank` are left for the caller to fill in.
 model_candidate candidateOf(
     const observed_server &observed, const std::string &adapterKey, bool needsAdapter, millis now);
 
-/// A server that no beats tell of, since it is in another cell. Only an adapter's first servers are asked so:
-/// if it is anywhere besides the own cell, it is there.
+/// A candidate for a server in another heartbeat group, about which this entry receives no heartbeats. Such
+/// servers are chosen only in the first positions of the adapter's rendezvous order: if the adapter is
+/// resident outside this entry's group, it is most likely there.
 model_candidate unobservedCandidate(bool needsAdapter);
 
-/// Fills in `hashRank` of each, up to `hashRanksCounted`, by the adapter's rendezvous order over the servers'
-/// ids.
+/// Sets `hashRank` of each candidate to its position in the adapter's rendezvous order over the server ids,
+/// at most `maxHashRank`.
 void rankByHash(std::vector<model_candidate> &candidates, const std::vector<std::string_view> &servers,
     const std::string &adapterKey);
 
-/// A place is asked for: until the next beat tells, what it takes counts as taken.
+/// Records that this entry has requested a slot: until the next heartbeat, the prompt and the adapter slot
+/// count as in use.
 void countSlotRequest(observed_server &observed, std::int64_t promptTokens, adapter_residency adapter);
 
-/// How long a prompt may wait for its turn, from its arrival here.
+/// How long a request may wait for its slot, counted from its arrival, given its latency target.
 millis maxSlotWait(millis target);
 
 }
--- a/packages/serving/orderer_send.cpp
+++ b/packages/serving/orderer_send.cpp
@@ -156,7 +156,7 @@
     if (!order) {
         return;
     }
-    order->holder = m_settings.node;
+    order->owner = m_settings.node;
     order->fence = one.fence;
     one.desk.ledger.open = order;
     one.lastOrder = bootNow();
@@ -200,7 +200,7 @@
         .add("order", order.kind == order_kind::Load ? "load" : "unload")
         .add("adapter", adapterKey(order.model, order.adapter))
         .add("version", order.version)
-        .add("expected", order.expected)
+        .add("expected", order.expectedSequence)
         .add("fence", fence)
         .add("outcome", nameOf(answer));
     m_counters.ordersUnknown += answer == order_result::Unknown ? 1 : 0;
--- a/packages/serving/peer_liveness.h
+++ b/packages/serving/peer_liveness.h
@@ -7,29 +7,31 @@
 #include <string>
 #include <vector>
 
-// Whom of the other daemons this one hears. A daemon that is cut off from the others, but not from the store,
-// keeps its lease there, and with it the records of the servers that it gives orders to: nobody else can ask
-// it for a place, and it can ask nobody. Both sides go by the beats, which come several times a second: the
-// others replace the holder that they don't hear, and who hears nobody sends its callers elsewhere.
+// Failure detection between daemons. A daemon that is cut off from the others, but not from the store, keeps
+// its lease and thereby its ownership of servers, although no other daemon can request slots from it and it
+// can request none itself. Both sides detect this by missing heartbeats: the other daemons replace an owner
+// that has become unresponsive, and a daemon that receives no heartbeats sends its callers elsewhere.
 namespace briarhead {
 
-/// A daemon that beats are due from and that heard none for so long is alone: seven are missing from its own
-/// failure domain, two from another.
+/// A daemon that should receive heartbeats but got no datagram for this long is isolated. By then about seven
+/// heartbeats from its own failure domain or two from another one are missing.
 constexpr millis isolatedAfter{1'000};
-/// A holder that was silent for so long is replaced: ten beats are missing. Without this a holder that is cut
-/// off or stands still keeps its servers from all others until its lease ends, so leases would have to be
-/// short, and each renewal is a call to the store.
+/// An owner without heartbeats for this long is replaced: ten are missing. Otherwise an owner that is cut off
+/// or suspended would block its servers until its lease expires, so leases would have to be short, and each
+/// renewal costs a store call.
 constexpr millis ownerTimeout{1'500};
-/// Further for a holder in another failure domain, whose beats come a third as often.
+/// Added for an owner in another failure domain, whose heartbeats arrive a third as often.
 constexpr millis crossDomainExtraTimeout{1'000};
-/// Those that may replace it try one after the other, so that the first is heard before the second tries.
+/// Candidates try one after the other at this interval, so that the second receives a heartbeat from the
+/// first before it tries itself.
 constexpr millis replacementStep{300};
 constexpr std::size_t maxReplacers = 6;
-/// Who heard less than this share of the holders lately is cut off itself, and replaces nobody.
+/// A daemon that has received heartbeats from less than this share of the owners within `ownerLiveWithin` is
+/// probably cut off itself and replaces nobody.
 constexpr double minLiveOwnerShare = 0.5;
 constexpr millis ownerLiveWithin{700};
 
-/// The daemon whose beats told of a server, and when the last one did.
+/// The owner of a server according to its heartbeats, and when the latest one arrived.
 struct observed_owner
 {
     std::string node;
@@ -38,21 +40,22 @@
 
 using observed_owners = std::map<std::string, observed_owner>; ///< by server
 
-/// Whether most of the holders were heard lately.
+/// Whether enough of the owners have sent a heartbeat recently. False if there are none.
 bool seesMostOwners(const observed_owners &owners, millis now);
 
-/// The daemons that may replace a silent holder, in the order in which they try. `near` are those of the
-/// server's failure domain that hear of it, `all` those of all.
+/// The daemons that may replace an unresponsive owner, in the order in which they try.
 struct replacement_order
 {
     std::vector<std::string> nodes;
-    bool crossDomain = false; ///< they are of other failure domains
+    bool crossDomain = false; ///< the server's failure domain has no other daemon
 };
 
+/// Orders the candidates by rendezvous hash. `near` are the daemons of the server's failure domain in its
+/// heartbeat group; if there are none besides the owner, those of all domains (`all`) are candidates.
 replacement_order replacementOrderOf(const std::string &server, const std::string &owner,
     const std::vector<std::string> &near, const std::vector<std::string> &all);
 
-/// Whether `self` replaces the silent holder now.
+/// Whether it is the turn of `self` to replace the unresponsive owner.
 bool mayReplace(
     const observed_owner &owner, const replacement_order &order, const std::string &self, millis now);
 
--- a/packages/serving/server_ledger.cpp
+++ b/packages/serving/server_ledger.cpp
@@ -299,7 +299,7 @@
     }
     ledger.sequence = report.sequence;
     ledger.proved = true;
-    if (ledger.ghost && ledger.ghost->expected < report.sequence) {
+    if (ledger.ghost && ledger.ghost->expectedSequence < report.sequence) {
         ledger.ghost.reset();
     }
     std::vector<adapter_place> places;
@@ -398,9 +398,9 @@
         // already, is none.
         if (!repeatsLoad(ledger, order)
             && (answer == order_result::Accepted || order.kind == order_kind::Unload)) {
-            ledger.sequence = order.expected + 1;
+            ledger.sequence = order.expectedSequence + 1;
             ledger.acceptedAt = now;
-            if (ledger.ghost && ledger.ghost->expected < ledger.sequence) {
+            if (ledger.ghost && ledger.ghost->expectedSequence < ledger.sequence) {
                 ledger.ghost.reset();
             }
         }
--- a/packages/serving/server_limit.cpp
+++ b/packages/serving/server_limit.cpp
@@ -12,11 +12,11 @@
 
 constexpr double msPerSecond = 1'000;
 constexpr double rounding = 1e-9;
-/// No limit makes a request wait for longer; also where nothing is granted at all.
+/// Upper bound of permitDelay(), also while nothing may be granted.
 constexpr double maxPermitDelayMs = 60'000;
 constexpr std::int64_t maxLimitAgeMs = 24LL * 3'600 * 1'000;
 
-/// Requests a second that this daemon grants.
+/// Permits per second that this daemon may grant.
 double grantRate(const limit_permits &permits)
 {
     return permits.share * std::max(permits.perSecond.value_or(0), minPerSecond);
@@ -76,19 +76,19 @@
         }
         return;
     }
-    const millis heard = known == limits.end() ? now : known->second.heard;
-    limits[server] = {*limit, heard, now + wait};
+    const millis lastSeen = known == limits.end() ? now : known->second.heard;
+    limits[server] = {*limit, lastSeen, now + wait};
 }
 
 void applyPeerLimit(
-    named_limits &limits, const std::string &server, double perSecond, millis heard, millis now)
+    named_limits &limits, const std::string &server, double perSecond, millis seenAt, millis now)
 {
     const auto known = limits.find(server);
     if (known == limits.end()) {
-        limits[server] = {perSecond, heard, now};
-    } else if (heard > known->second.heard) {
+        limits[server] = {perSecond, seenAt, now};
+    } else if (seenAt > known->second.heard) {
         known->second.perSecond = perSecond;
-        known->second.heard = heard;
+        known->second.heard = seenAt;
     }
 }
 
--- a/packages/serving/server_limit.h
+++ b/packages/serving/server_limit.h
@@ -11,9 +11,10 @@
 #include <string>
 #include <string_view>
 
-// The limits that backend servers name in their answers: requests a second, from all daemons together.
+// Rate limits that backend servers announce in their responses, in requests/s from all daemons together.
 namespace briarhead {
 
+/// What a response changed about a server's known limit.
 enum class limit_change : std::uint8_t
 {
     None,
@@ -24,62 +25,65 @@
 
 std::string_view nameOf(limit_change value);
 
-/// Takes in what an answer says. `limit`: as named; none: the answer names none. Only the answer to a request
-/// that was sent after the limit was last heard of ends it: an earlier one may have been written before it.
+/// Applies the limit that a response announces, or its absence. Only a response to a request that was sent
+/// after the limit was last seen withdraws it; an earlier one may have been written before the limit.
 limit_change applyResponseLimit(
     named_limits &limits, const std::string &server, std::optional<double> limit, millis sentAt, millis now);
 
-/// As messages carry it; negative: none.
+/// A limit as it is encoded in messages, in thousandths; negative values mean none.
 std::optional<double> decodeLimit(std::int64_t milli);
-/// When another daemon heard of a limit, by the age that its message gives; an absurd one is cut to the
-/// bounds.
+/// The time at which another daemon saw a limit, from the age in its message. Implausible ages are clamped.
 millis timeFromAge(std::int64_t ageMs, millis now);
 
-/// Takes in what the daemon tells that keeps the limit; none: it is named no more.
+/// Applies the limit, or its withdrawal, as reported by the daemon that grants the server's permits. `wait`:
+/// until the next permit is available.
 void applyOwnerLimit(
     named_limits &limits, const std::string &server, std::optional<double> limit, millis wait, millis now);
-/// Takes in what another daemon heard of it, at that time, where nothing newer is known.
+/// Applies a limit that another daemon saw at `seenAt`, unless a newer one is known.
 void applyPeerLimit(
-    named_limits &limits, const std::string &server, double perSecond, millis heard, millis now);
-/// A turn was asked for: until more is heard it counts as taken.
+    named_limits &limits, const std::string &server, double perSecond, millis seenAt, millis now);
+/// Records that a permit has been requested. It counts as used until the owner reports otherwise.
 void countPermitRequest(named_limit &limit, millis now);
 
-/// The turns within one server's limit, as the daemon keeps them that grants them for all others.
+/// The permits of one server's limit, kept by the server's owner, which grants them to all daemons.
 struct limit_permits
 {
-    std::optional<double> perSecond; ///< none: the server names none
-    millis lastSeen; ///< when it was last named
-    millis withdrawnAt; ///< when it was last found to be named no more
-    quota_bucket bucket;
-    double share = 1; ///< of the limit, that this daemon may grant now
+    std::optional<double> perSecond; ///< empty if the server announces no limit
+    millis lastSeen; ///< when the limit was last announced
+    millis withdrawnAt; ///< when a response last showed that the limit is gone
+    quota_bucket bucket; ///< permits available
+    double share = 1; ///< fraction of the limit that this daemon may grant
 };
 
-/// A limit lower than this is kept as this: without any request nobody would learn that it has risen.
+/// Lower limits are treated as this one. Without any requests nobody would learn that a limit has risen.
 constexpr double minPerSecond = 0.1;
-/// Turns that may be saved up.
+/// Permits that may accumulate: `maxSavedPermits` plus those of `maxSavedSeconds`.
 constexpr double maxSavedPermits = 2;
 constexpr double maxSavedSeconds = 0.1;
-/// Of the limit, for a daemon without proof that no other grants the server's turns by now. With another
-/// one at the whole limit both stay below one and a half of it.
+/// The share that an owner grants while it can't confirm that it still owns the server. Together with a
+/// successor that grants the whole limit this stays below 1.5 times the limit.
 constexpr double unconfirmedShare = 0.4;
 
-/// How long daemons are told that a limit is named no more. One that heard it named within `limitWordLife`
-/// may know better than the daemon that keeps it.
+/// How long heartbeats announce that a limit has been withdrawn.
 constexpr millis withdrawalAnnouncedFor{5'000};
+/// A daemon that has seen a limit in a response within this time ignores the owner's report of withdrawal,
+/// since its own knowledge may be newer.
 constexpr millis recentLimitAge{1'000};
 
-/// Takes in that the limit was named, `at` or a moment before. Nothing is granted ahead under a new one.
+/// Applies a limit that was announced at `seenAt` or shortly before. A new limit starts without permits.
 void applyLimit(limit_permits &permits, double perSecond, millis seenAt, millis now);
-/// An answer names none. `grantedAt`: of the request that it answers.
+/// Withdraws the limit after a response without one, if the request was granted after the limit was last
+/// seen. `grantedAt`: when the owner granted that request.
 void withdrawLimit(limit_permits &permits, millis grantedAt, millis now);
-/// From now on this daemon may grant so much of the limit.
+/// Sets the fraction of the limit that this daemon may grant from now on.
 void setShare(limit_permits &permits, double share, millis now);
-/// How many requests may go now.
+/// The number of requests that may be sent now.
 std::size_t permitsLeft(limit_permits &permits, millis now);
+/// Consumes a permit. Call only if permitsLeft() isn't 0.
 void acquirePermit(limit_permits &permits);
-/// Of a request that never reached the server.
+/// Returns the permit of a request that never reached the server.
 void returnPermit(limit_permits &permits);
-/// Until a request has its turn that waits behind `ahead` others.
+/// The time until a permit is available to a request with `ahead` others in front of it.
 millis permitDelay(const limit_permits &permits, std::size_t ahead, millis now);
 
 }
--- a/packages/serving/server_notice_task.cpp
+++ b/packages/serving/server_notice_task.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Datagrams get lost: news are told several times, so far apart.
+/// Datagrams may be lost, so notices are sent several times at this interval.
 constexpr millis resendInterval{400};
 constexpr int sendsToRelays = 3;
 constexpr int sendsToAll = 2;
@@ -106,16 +106,16 @@
     if (!meta.leaving && meta.pause <= millis{}) {
         return;
     }
-    const bool leaves = meta.leaving && hearLeaving(m_notices, incarnation, bootNow());
-    const bool pauses = hearPause(m_notices, incarnation, m_settings.node, meta.pause, bootNow());
+    const bool newlyLeaving = meta.leaving && hearLeaving(m_notices, incarnation, bootNow());
+    const bool newPause = hearPause(m_notices, incarnation, m_settings.node, meta.pause, bootNow());
     m_log.important("server.says")
         .add("id", id)
         .add("server", server)
         .add("start", incarnation)
         .add("leaving", meta.leaving ? 1 : 0)
         .add("pause_ms", meta.pause)
-        .add("news", leaves || pauses ? 1 : 0);
-    if (!leaves && !pauses) {
+        .add("news", newlyLeaving || newPause ? 1 : 0);
+    if (!newlyLeaving && !newPause) {
         return;
     }
     m_bus.post(server_closed{server});
@@ -124,7 +124,7 @@
         sendNotice(
             {server, incarnation, meta.leaving, meta.pause.count, false}, {owner->second.record.node}, 1);
     }
-    if (leaves) {
+    if (newlyLeaving) {
         const std::vector<std::string> relays = rendezvousOrder(server, reachableDaemons(), noticeRelays);
         sendNotice({server, incarnation, true, 0, true}, relays, sendsToRelays);
     }
@@ -132,9 +132,9 @@
 
 void server_notice_task::onNotice(const std::string &daemon, const word_news &notice)
 {
-    const bool leaves = notice.leaving && hearLeaving(m_notices, notice.start, bootNow());
-    const bool pauses = hearPause(m_notices, notice.start, daemon, millis{notice.pauseMs}, bootNow());
-    if (!leaves && !pauses) {
+    const bool newlyLeaving = notice.leaving && hearLeaving(m_notices, notice.start, bootNow());
+    const bool newPause = hearPause(m_notices, notice.start, daemon, millis{notice.pauseMs}, bootNow());
+    if (!newlyLeaving && !newPause) {
         return;
     }
     m_log.important("server.word_heard")
@@ -144,12 +144,12 @@
         .add("leaving", notice.leaving ? 1 : 0)
         .add("pause_ms", notice.pauseMs);
     m_bus.post(server_closed{notice.server});
-    if (leaves && notice.relay) {
+    if (newlyLeaving && notice.relay) {
         broadcastLeaving(notice);
     }
 }
 
-/// A home's part: all are told, so that they need not send there to hear of it.
+/// Notifies all daemons on behalf of a relay, so that they don't have to learn it from a response.
 void server_notice_task::broadcastLeaving(const word_news &notice)
 {
     sendNotice({notice.server, notice.start, true, 0, false}, reachableDaemons(), sendsToAll);
@@ -162,7 +162,7 @@
     }
 }
 
-/// All daemons that may be reached, this one among them.
+/// All daemons that may be reached, including this one and those whose record has expired.
 std::vector<std::string> server_notice_task::reachableDaemons() const
 {
     std::vector<std::string> nodes = nodesOf(m_store.view().daemons);
--- a/packages/serving/server_notice_task.h
+++ b/packages/serving/server_notice_task.h
@@ -18,36 +18,36 @@
 
 namespace briarhead {
 
-/// Whether a daemon may send a server something.
+/// Whether a daemon may send requests or orders to a server.
 enum class server_access : std::uint8_t
 {
     Open,
-    WithPermit, ///< it names a limit: only what has been granted a turn
-    // Closed from here on: see isClosed().
-    Paused, ///< it wants nothing from the daemon for a while
-    Leaving, ///< by its own word or the store's
-    Removed, ///< the store lists no such server
+    WithPermit, ///< the server announces a rate limit: only requests with a permit
+    // The following are closed, see isClosed().
+    Paused, ///< the server has asked this daemon for a pause
+    Leaving, ///< announced by the server itself or listed in the store
+    Removed, ///< the store doesn't list the server
 };
 
 std::string_view nameOf(server_access value);
 
-/// Whether nothing is to be sent there, granted or not.
+/// Whether nothing may be sent to the server, with or without a permit.
 bool isClosed(server_access access);
-/// Whether a request may be sent; `granted`: it has its turn.
+/// Whether a request may be sent to the server. `granted`: it has a permit.
 bool maySend(server_access access, bool granted);
 
-/// Posted when a server has become closed to some daemon by its own word.
+/// Posted to the bus when a server's notice has closed it to this or another daemon.
 struct server_closed
 {
     std::string server;
 };
 
-/// Daemons that pass the news of a leaving server on to all, first by rendezvous hash.
+/// Number of daemons, first in rendezvous order, that relay the notice of a leaving server to all others.
 constexpr std::size_t noticeRelays = 2;
 
-/// Keeps what servers say of themselves, and answers for every send and grant whether it may be made. Tells
-/// other daemons what concerns them: all that a server leaves, the holder of its record what a server asks of
-/// this daemon.
+/// Keeps the notices that servers give in their responses (leaving, pause, rate limit) and decides whether a
+/// daemon may send to a server. Notifies the server's owner of leaving and pauses, and all daemons of
+/// leaving.
 class server_notice_task
 {
 public:
@@ -56,31 +56,34 @@
 
     void setPort(fleet_port &port);
 
-    server_access accessOf(const backend_server &server) const; ///< for this daemon
+    /// The access that this daemon, or the given one, has to a server.
+    server_access accessOf(const backend_server &server) const;
     server_access accessOf(const std::string &server) const;
     server_access accessOf(const backend_server &server, const std::string &daemon) const;
-    /// What is left of a pause; 0: there is none.
+    /// The remaining pause that the server has asked the daemon for, or 0.
     millis pauseLeft(const backend_server &server, const std::string &daemon) const;
-    /// Whether any server wants a pause from any daemon.
+    /// Whether any server has asked any daemon for a pause that may still be in effect.
     bool anyPauses() const;
 
-    /// Takes in the head of an answer by a start of a server. `id`: of the request it answers; empty: a call
-    /// of this daemon's own.
+    /// Applies the notices in a response from an incarnation of a server. `id` is the id of the caller's
+    /// request, or empty for orders and report requests.
     void onResponse(const std::string &id, const std::string &server, const std::string &incarnation,
         const response_meta &meta);
-    /// What another daemon tells.
+    /// Applies a notice from another daemon.
     void onNotice(const std::string &daemon, const word_news &notice);
-    /// Tells a daemon that doesn't know it that a server leaves, if that is by the server's own word.
+    /// Notifies a daemon that a server is leaving, if the server has announced it itself.
     void notifyLeaving(const std::string &daemon, const backend_server &server);
 
+    /// The rate limits that servers have announced.
     named_limits &limits();
 
 private:
+    /// A notice that is sent several times, since datagrams may be lost.
     struct repeated_notice
     {
         word_news notice;
         std::vector<std::string> recipients;
-        int sendsLeft = 0; ///< times that it is still to be told
+        int sendsLeft = 0;
     };
 
     void sendNotice(word_news notice, const std::vector<std::string> &recipients, int sends);
--- a/tests/serving/server_ledger_test.cpp
+++ b/tests/serving/server_ledger_test.cpp
@@ -63,7 +63,7 @@
 
     order_result carryOut(const server_order &order)
     {
-        if (order.expected != sequence) {
+        if (order.expectedSequence != sequence) {
             return order_result::Conflict;
         }
         if (order.kind == order_kind::Unload) {
@@ -182,11 +182,11 @@
     EXPECT_FALSE(nextOrder(ledger, {}, limitsNow(), {1'100}));
     const auto early = nextOrder(ledger, {}, limitsNow(), {1'245});
     ASSERT_TRUE(early);
-    EXPECT_EQ(early->expected, 5);
+    EXPECT_EQ(early->expectedSequence, 5);
     takeAnswer(ledger, *early, order_result::Accepted, {1'247});
     const auto again = nextOrder(ledger, {}, limitsNow(), {1'280});
     ASSERT_TRUE(again);
-    EXPECT_EQ(again->expected, 5) << "the server doesn't count a load that is on its way already";
+    EXPECT_EQ(again->expectedSequence, 5) << "the server doesn't count a load that is on its way already";
     takeAnswer(ledger, *again, order_result::Holds, {1'282});
     EXPECT_EQ(findPlace(ledger, base, "a1")->state, place_state::Resident);
 }
@@ -337,7 +337,7 @@
     EXPECT_EQ(takenPlaces(ledger), 1);
     const auto next = nextOrder(ledger, want({"a3", "a4"}), limitsNow(), {1'110});
     ASSERT_TRUE(next);
-    EXPECT_EQ(next->expected, 0);
+    EXPECT_EQ(next->expectedSequence, 0);
     takeAnswer(ledger, *next, order_result::Accepted, {1'120});
     EXPECT_EQ(takenPlaces(ledger), 2) << "an order with a lower number does not rule the late one out";
     EXPECT_FALSE(nextOrder(ledger, want({"a4"}), limitsNow(), {1'130}));
