--- a/packages/serving/decision_log.h
+++ b/packages/serving/decision_log.h
@@ -8,33 +8,34 @@
 
 namespace briarhead {
 
-/// Which lines go first when there are too many.
-enum class log_weight : std::uint8_t
+/// Which lines are dropped first when too many are written.
+enum class log_priority : std::uint8_t
 {
-    Ordinary, ///< what went well
-    Important, ///< refusals, failures, changes of belief
+    Ordinary, ///< normal operation; dropped first
+    Important, ///< refusals, failures and changes of state
 };
 
-/// Lines and bytes a second that one process writes at most; a line costs about 10 us of processor time,
-/// so this is under half a percent of a quarter core.
+/// Maximum rate of lines of one process. A line costs about 10 us of CPU time, so this stays below half a
+/// percent of a quarter core.
 constexpr double logLinesPerSecond = 120;
-/// Of these, ordinary lines leave so many to the important ones.
-constexpr double logLinesKept = 40;
+/// Tokens of the rate limit that are reserved for important lines.
+constexpr double logLinesReserved = 40;
 constexpr double logBurstLines = 300;
 constexpr std::size_t logBufferBytes = 64 * 1024;
 
-/// Structured lines on standard output, one JSON object each. Never blocks: what the reader doesn't take is
-/// buffered up to a bound and then dropped, counted, and told of by the next line that goes through.
+/// Writes structured log lines, one JSON object each, to a file descriptor. Never blocks: if the reader is
+/// slow, output is buffered up to `logBufferBytes`; lines beyond that or over the rate limit are dropped, and
+/// the next line written reports how many.
 class decision_log
 {
 public:
     explicit decision_log(int fd, std::string node);
 
-    /// One line, written when it goes out of scope.
+    /// One log line, written when it goes out of scope.
     class line
     {
     public:
-        line(decision_log *log, log_weight weight, std::string_view event);
+        line(decision_log *log, log_priority priority, std::string_view event);
         ~line();
         line(const line &) = delete;
         line &operator=(const line &) = delete;
@@ -48,17 +49,18 @@
 
     private:
         void key(std::string_view name);
-        decision_log *m_log; ///< null: dropped
+        decision_log *m_log; ///< null if the line is dropped
         std::string m_text;
     };
 
     line ordinary(std::string_view event);
     line important(std::string_view event);
+    /// Number of lines dropped so far.
     std::uint64_t dropped() const;
 
 private:
     friend class line;
-    bool take(log_weight weight);
+    bool admit(log_priority priority);
     void write(const std::string &text);
     void flush();
 
@@ -66,9 +68,9 @@
     std::string m_node;
     std::string m_buffer;
     double m_tokens = logBurstLines;
-    millis m_filled;
+    millis m_refilledAt;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_told = 0;
+    std::uint64_t m_droppedReported = 0;
 };
 
 }
