--- a/tests/serving/account_test.cpp
+++ b/tests/serving/account_test.cpp
@@ -41,24 +41,24 @@
             }
         }
     }
-    /// Asks until the answer has a status, with pauses; the answers that it had before.
+    /// Repeats a request until the response has this status. Returns the number of other responses before.
     std::size_t requestsUntil(const std::string &path, const std::string &status)
     {
-        constexpr std::size_t most = 200;
-        for (std::size_t tries = 0; tries < most; ++tries) {
+        constexpr std::size_t maxTries = 200;
+        for (std::size_t tries = 0; tries < maxTries; ++tries) {
             if (statusOf(responseTo(path)) == status) {
                 return tries;
             }
             runRounds(50);
         }
-        ADD_FAILURE() << "never answered " << status;
-        return most;
+        ADD_FAILURE() << "no response with status " << status;
+        return maxTries;
     }
 };
 
 }
 
-TEST_F(account_test, AKeyOfAnAccountLetsItsCallerIn)
+TEST_F(account_test, RequestWithAccountKeyIsServed)
 {
     m_accounts = json::array({account("ana", {"k1", "k2"})});
     m_key = "k2";
@@ -66,7 +66,7 @@
     EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
 }
 
-TEST_F(account_test, AMissingOrUnknownKeyIsRefusedAtOnceAndRunsNowhere)
+TEST_F(account_test, MissingOrUnknownKeyIsRejectedWith401AndRunsNowhere)
 {
     m_accounts = json::array({account("ana", {"k1"})});
     start();
@@ -77,10 +77,9 @@
     EXPECT_EQ(requestsRunOn(m_plain) + requestsRunOn(m_models), 0U);
 }
 
-// A caller's key is passed on to a server, or the caller names another account than its own: whoever reads
-// the server's log could use the key, or would bill the wrong account. A server gets the account and never
-// the key.
-TEST_F(account_test, ServersGetTheAccountAndNeverTheKey)
+// A key forwarded to a server could be read from the server's log and reused. An account name set by the
+// caller would let it bill another account.
+TEST_F(account_test, ServersReceiveTheAccountButNeverTheKey)
 {
     m_accounts = json::array({account("ana", {"k1"})});
     m_key = "k1";
@@ -99,7 +98,7 @@
     }
 }
 
-TEST_F(account_test, AnOpenRouteNeedsNoKeyAndNamesNoAccount)
+TEST_F(account_test, AnonymousRouteNeedsNoKeyAndSendsNoAccount)
 {
     m_accounts = json::array({account("ana", {"k1"})});
     m_fields = {{"X-Briarhead-Tenant", "ana"}};
@@ -110,7 +109,7 @@
     expectNoAccountSent();
 }
 
-TEST_F(account_test, AConfigurationWithoutAccountsAsksForNoKeyAndPassesNoneOn)
+TEST_F(account_test, WithoutAccountsNoKeyIsRequiredOrForwarded)
 {
     m_key = "k1";
     m_fields = {{"X-Briarhead-Tenant", "ana"}};
@@ -119,9 +118,7 @@
     expectNoAccountSent();
 }
 
-// An operator takes a key away. The daemon hears of it as of any change, and from then on the key opens
-// nothing.
-TEST_F(account_test, AWithdrawnKeyOpensNothingOnceTheVersionIsInForce)
+TEST_F(account_test, RevokedKeyIsRejectedOnceTheConfigurationIsInForce)
 {
     m_accounts = json::array({account("ana", {"k1", "k2"})});
     m_key = "k1";
@@ -134,31 +131,31 @@
     EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
 }
 
-// The store's item with the configuration is kept and passed on to other daemons. They get hashes: nothing
-// that one daemon tells another holds a key.
-TEST_F(account_test, WhatDaemonsKeepAndTellOfAConfigurationHoldsNoKey)
+// Daemons keep the configuration item of the store and send it to each other. It must contain only hashes of
+// keys.
+TEST_F(account_test, ConfigurationThatDaemonsStoreAndSendContainsNoKeys)
 {
     m_accounts = json::array({account("ana", {"very-secret-key"})});
     start();
     const auto peer = http_testing::raw_socket::connectTo(m_settings.peers.port);
     peer->send("GET /news?after=0 HTTP/1.1\r\nHost: n1\r\nConnection: close\r\n\r\n");
-    std::string seen;
+    std::string received;
     EXPECT_TRUE(runUntil([&] {
-        return !peer->receive(seen);
+        return !peer->receive(received);
     }));
-    EXPECT_EQ(seen.find("very-secret-key"), std::string::npos);
-    const std::string hidden = platform::hideKeys(m_store.items["op/config"].value);
-    EXPECT_EQ(hidden.find("very-secret-key"), std::string::npos);
+    EXPECT_EQ(received.find("very-secret-key"), std::string::npos);
+    const std::string hashed = platform::hideKeys(m_store.items["op/config"].value);
+    EXPECT_EQ(hashed.find("very-secret-key"), std::string::npos);
     error why;
-    const auto config = platform::readConfig(hidden, why);
+    const auto config = platform::readConfig(hashed, why);
     ASSERT_TRUE(config) << message(why);
     EXPECT_EQ(config->accountOfKey.count(keyHash("very-secret-key")), 1U);
     EXPECT_EQ(platform::hideKeys(R"({"apiKeys": ["half of a)"), "");
 }
 
-// A daemon that hears of no changes can't know whether keys were withdrawn. Where the operator asks for it,
-// it refuses what needs a key; what needs none goes on.
-TEST_F(account_test, WhereStrictADaemonThatCantKnowOfWithdrawnKeysRefusesThem)
+// A daemon that has lost the store can't know whether keys have been revoked. With strictRevocation it
+// refuses requests that need a key.
+TEST_F(account_test, WithStrictRevocationRequestsWithKeysAreRefusedWhileTheStoreIsLost)
 {
     m_accounts = json::array({account("ana", {"k1"})});
     m_key = "k1";
@@ -173,9 +170,7 @@
     requestsUntil("/once/x", "200");
 }
 
-// An account has used up its limit. Its next request is told so at once, with when to come back, and runs
-// nowhere; another account's is served.
-TEST_F(account_test, AnAccountOverItsLimitIsToldSoAndAnotherOneIsServed)
+TEST_F(account_test, AccountOverItsLimitGets429WithRetryAfterWhileOthersAreServed)
 {
     json ana = account("ana", {"k1"});
     ana["ratePerS"] = 0.01;
@@ -185,15 +180,15 @@
     m_key = "k1";
     start();
     requestsUntil("/once/x", "429");
-    const std::string last = responseTo("/once/x");
-    EXPECT_EQ(statusOf(last), "429");
-    EXPECT_NE(last.find("Retry-After: "), std::string::npos);
-    EXPECT_LE(requestsRunOn(m_plain), 1U); // its burst
+    const std::string response = responseTo("/once/x");
+    EXPECT_EQ(statusOf(response), "429");
+    EXPECT_NE(response.find("Retry-After: "), std::string::npos);
+    EXPECT_LE(requestsRunOn(m_plain), 1U); // the account's burst
     m_key = "k2";
     EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
 }
 
-TEST(Accounts, AnAccountsRankGoesBeforeItsRoutes)
+TEST(Accounts, RankOfTheAccountOverridesRankOfTheRoute)
 {
     route matchedRoute;
     matchedRoute.rank = 2;
@@ -204,9 +199,9 @@
     EXPECT_EQ(rankOf(matchedRoute, &ana), 0);
 }
 
-// Tokens are counted as announced; a request that announces none counts as a plain one, and one of whose
-// numbers one can't be read counts by the other.
-TEST(Accounts, ARequestCountsWhatItAnnounces)
+// A request without token counts costs the account's default. If only one of the two counts can't be parsed,
+// the other one is used.
+TEST(Accounts, RequestCostsTheTokensThatItAnnounces)
 {
     const auto unitsWith = [](const std::vector<http_field> &tokens) {
         front_request raw;
@@ -231,7 +226,7 @@
     EXPECT_EQ(unitsOf(byRequests, {}), 1);
 }
 
-TEST(Accounts, TwoKeysInOneRequestAreRefusedWithTheRemedy)
+TEST(Accounts, RequestWithTwoKeysIsRejectedWithAnErrorThatSaysWhatToDo)
 {
     front_request raw;
     raw.head.method = "GET";
@@ -243,31 +238,30 @@
     EXPECT_NE(message(why).find("send one"), std::string::npos) << message(why);
 }
 
-TEST(Accounts, AnUnusableAccountIsNamedWithTheRemedy)
+TEST(Accounts, InvalidAccountIsNamedInTheError)
 {
-    const auto whyNot = [](const json &accounts) {
+    const auto errorFor = [](const json &accounts) {
         error why;
         return configWith(accounts, why) ? std::string() : message(why);
     };
     const json named{{"name", "ana"}};
-    json wrong = named;
-    wrong["ratePerS"] = -1;
-    EXPECT_NE(whyNot(json::array({wrong})).find("ana"), std::string::npos);
-    wrong["ratePerS"] = "many";
-    EXPECT_NE(whyNot(json::array({wrong})).find("rate"), std::string::npos);
-    EXPECT_NE(whyNot(json::array({json{{"apiKeys", {"k"}}}})).find("no name"), std::string::npos);
-    EXPECT_NE(whyNot(json::array({named, named})).find("two accounts"), std::string::npos);
+    json invalid = named;
+    invalid["ratePerS"] = -1;
+    EXPECT_NE(errorFor(json::array({invalid})).find("ana"), std::string::npos);
+    invalid["ratePerS"] = "many";
+    EXPECT_NE(errorFor(json::array({invalid})).find("rate"), std::string::npos);
+    EXPECT_NE(errorFor(json::array({json{{"apiKeys", {"k"}}}})).find("no name"), std::string::npos);
+    EXPECT_NE(errorFor(json::array({named, named})).find("two accounts"), std::string::npos);
     json unlimited = named;
     unlimited["ratePerS"] = 0;
     unlimited["apiKeys"] = json::array();
-    EXPECT_EQ(whyNot(json::array({unlimited})), "");
+    EXPECT_EQ(errorFor(json::array({unlimited})), "");
     unlimited["ratePerS"] = 1e300;
-    EXPECT_EQ(whyNot(json::array({unlimited})), "");
+    EXPECT_EQ(errorFor(json::array({unlimited})), "");
 }
 
-// A key stands with two accounts. The configuration stays usable, the key counts for the first, and the
-// operator is told.
-TEST(Accounts, AKeyThatTwoAccountsHoldCountsForTheFirst)
+// The configuration stays usable, and a warning tells the operator which accounts share a key.
+TEST(Accounts, KeyOfTwoAccountsBelongsToTheFirstAndGivesAWarning)
 {
     error why;
     const auto config = configWith(json::array({account("ana", {"k"}), account("eva", {"k", "e"})}), why);
@@ -278,9 +272,8 @@
     EXPECT_EQ(config->warnings[0].find("\"k\""), std::string::npos);
 }
 
-// Whatever bytes stand in the key's field, or in the accounts of a configuration: nothing crashes, and no key
-// that isn't an account's lets anybody in.
-RC_GTEST_PROP(Accounts, NoBytesLetAnybodyInButAKey, (const std::string &bytes))
+// Arbitrary bytes in the key's field or in the accounts of a configuration must not crash the parser.
+RC_GTEST_PROP(Accounts, OnlyAKeyOfAnAccountIsAccepted, (const std::string &bytes))
 {
     front_request raw;
     raw.head.method = "GET";
@@ -294,9 +287,9 @@
     const auto config = configWith(json::array({account("ana", {"the-key"})}), why);
     const auth_result caller = authenticate(*config, config->routes[0], request->keyHash);
     RC_ASSERT((caller.status == auth_status::Accepted) == (bytes == "the-key"));
-    const json odd{{"name", bytes.empty() ? "x" : "n"},
+    const json malformed{{"name", bytes.empty() ? "x" : "n"},
         {"apiKeys", json::array({1, nullptr, json::array({"k"})})}, {"ratePerS", nullptr}};
-    (void)configWith(json::array({odd, 7}), why);
+    (void)configWith(json::array({malformed, 7}), why);
     (void)platform::hideKeys("{\"tenants\":[" + bytes + "],\"apiKeys\":1}");
 }
 
--- a/tests/serving/backend_standin.cpp
+++ b/tests/serving/backend_standin.cpp
@@ -11,7 +11,7 @@
 using json = nlohmann::json;
 
 constexpr int streamEvents = 4;
-/// From the start of a run that ends the server to that end.
+/// How long a fatal request runs before it crashes the server.
 constexpr millis fatalRunTime{60};
 
 std::string valueOf(const front_request &request, const char *name)
@@ -43,8 +43,8 @@
 std::string backend_standin::entry(const std::string &state) const
 {
     json object{{"service", m_service},
-        {"address", "127.0.0.1:" + std::to_string(advertised == 0 ? port : advertised)}, {"zone", "z"},
-        {"slots", 4}, {"state", state}, {"models", json::array()}};
+        {"address", "127.0.0.1:" + std::to_string(advertisedPort == 0 ? port : advertisedPort)},
+        {"zone", "z"}, {"slots", 4}, {"state", state}, {"models", json::array()}};
     if (startedAtMs != 0) {
         object["born"] = startedAtMs;
     }
@@ -64,7 +64,7 @@
     }
 }
 
-std::optional<std::string> backend_standin::overLimit(const std::string &excused) const
+std::optional<std::string> backend_standin::findLimitViolation(const std::string &excused) const
 {
     std::vector<millis> times;
     times.reserve(arrivals.size());
@@ -76,7 +76,7 @@
     return briarhead::findLimitViolation(limits, times, bootNow());
 }
 
-/// Fields of an answer, with what the server says of itself.
+/// Adds the server's notices to the header fields of a response.
 std::vector<http_field> backend_standin::withNotices(
     std::vector<http_field> fields, const std::string &requestId)
 {
@@ -95,12 +95,12 @@
     ++rejected;
     auto fields =
         withNotices({{"X-Briarhead-Not-Executed", "1"}, {"X-Briarhead-Request-Id", requestId}}, requestId);
-    if (now == mood::Sheds && !pauseText.empty()) {
+    if (currentBehavior == behavior::Sheds && !pauseText.empty()) {
         fields.push_back({"Retry-After", pauseText});
         const double seconds = std::strtod(pauseText.c_str(), nullptr);
         sentNotices.push_back({requestId, bootNow(), false, {static_cast<std::int64_t>(seconds * 1'000)}});
     }
-    reply.respond(now == mood::Sheds ? 503 : 429, fields, "");
+    reply.respond(currentBehavior == behavior::Sheds ? 503 : 429, fields, "");
 }
 
 void backend_standin::onRequest(const front_request &request, const std::shared_ptr<front_reply> &reply)
@@ -111,7 +111,7 @@
     } else if (request.head.target == "/v1/order") {
         onOrder(request, reply);
     } else if (request.head.target == "/v1/report") {
-        ++reports;
+        ++reportRequests;
         arrivals.push_back({"", bootNow()});
         if (m_modelLoadedAt && bootNow() >= *m_modelLoadedAt) {
             holdsModel = true;
@@ -145,7 +145,7 @@
     }));
 }
 
-/// The status of its answer.
+/// Executes an order and returns the status of the response.
 int backend_standin::applyOrder(const json &order)
 {
     if (order.at("fenceToken").get<std::uint64_t>() < fence) {
@@ -207,7 +207,7 @@
         reply->respond(421, withNotices(signedFields), "");
         return;
     }
-    if (now == mood::Sheds || now == mood::Busy) {
+    if (currentBehavior == behavior::Sheds || currentBehavior == behavior::Busy) {
         reject(requestId, *reply);
         return;
     }
@@ -219,37 +219,37 @@
     }
     const std::string after = valueOf(request, "last-event-id");
     const int first = after.empty() ? 1 : std::stoi(after) + 1;
-    switch (now) {
-    case mood::Fails:
+    switch (currentBehavior) {
+    case behavior::Fails:
         reply->respond(500, withNotices(signedFields, requestId), "broken");
         return;
-    case mood::Unsigned:
+    case behavior::Unsigned:
         reply->respond(200, {{"X-Briarhead-Request-Id", requestId}}, "not signed");
         return;
-    case mood::AnswersAnother:
+    case behavior::UsesWrongRequestId:
         reply->respond(200,
             {{"X-Briarhead-Request-Id", "of-another"}, {"X-Briarhead-Server-Stamp", "by-" + id}},
             "another's");
         return;
-    case mood::Resets:
+    case behavior::Resets:
         reply->abort();
         return;
-    case mood::Silent:
+    case behavior::Silent:
         reply->onGone([this] {
             ++callersGone;
         });
         m_held.emplace_back(requestId, reply);
         return;
-    case mood::Slow:
-        m_timers.push_back(m_loop.timer(slowness, {}, [this, reply, model, requestId, first] {
+    case behavior::Slow:
+        m_timers.push_back(m_loop.timer(responseDelay, {}, [this, reply, model, requestId, first] {
             respond(reply, requestId, model.empty() ? 0 : first);
         }));
         return;
-    case mood::HoldsStream:
+    case behavior::HoldsStream:
         respondWithStream(reply, requestId, first, first + 1);
         m_held.emplace_back(requestId, reply);
         return;
-    case mood::CutsStream:
+    case behavior::CutsStream:
         respondWithStream(reply, requestId, first, first + 1);
         reply->write("id: 99\ndata: ha");
         reply->abort();
@@ -264,11 +264,11 @@
     const std::string &requestId, const std::shared_ptr<front_reply> &reply, bool stream)
 {
     if (stream) {
-        respondWithStream(reply, requestId, 1, 0); // the head alone
+        respondWithStream(reply, requestId, 1, 0); // only the head
     }
     m_held.emplace_back(requestId, reply);
     m_timers.push_back(m_loop.timer(fatalRunTime, {}, [this, requestId] {
-        // Posted, since the call ends this stand-in and with it this timer.
+        // Posted, because the call destroys this object and thereby this timer.
         m_loop.post([call = onFatal, requestId] {
             call(requestId);
         });
--- a/tests/serving/backend_standin.h
+++ b/tests/serving/backend_standin.h
@@ -15,68 +15,70 @@
 
 namespace briarhead {
 
-/// Stands in for a backend server of the platform: runs requests, carries orders out, tells of itself. What a
-/// test wants of it is set in the fields.
+/// Simulates a backend server of the platform: runs requests, executes orders and returns reports. Tests
+/// control and observe it through its public fields.
 class backend_standin
 {
 public:
     backend_standin(loop &eventLoop, std::string serverId, std::string service);
 
-    /// Its entry in the store.
+    /// The server's entry in the store.
     std::string entry(const std::string &state = "ready") const;
     void respondWithStream(
         const std::shared_ptr<front_reply> &reply, const std::string &requestId, int from, int to);
 
-    /// Names a limit in its answers from now on, or none.
+    /// Announces a limit, or none, in all responses from now on.
     void setLimit(std::optional<double> perSecond);
-    /// Whether it got more than its limits allow, all daemons taken together; in words. Requests whose ids
-    /// begin as `excused` don't count.
-    std::optional<std::string> overLimit(const std::string &excused = "-") const;
+    /// Describes the first violation of the server's limits by all daemons together, if any. Requests whose
+    /// ids start with `excused` are not counted.
+    std::optional<std::string> findLimitViolation(const std::string &excused = "-") const;
 
-    /// Answers the requests that were held while Silent.
+    /// Responds to the requests that were received while Silent.
     void respondToHeld(const std::string &body);
 
-    enum class mood : std::uint8_t
+    /// What the server does with requests. "Run" means that it executes them.
+    enum class behavior : std::uint8_t
     {
         Serves,
-        Sheds, ///< 503, not run
-        Busy, ///< 429, not run, for requests; its other answers are well
-        Slow, ///< answers after `slowness`
-        Fails, ///< 500, run
-        Unsigned, ///< 200 without the server's signature
-        AnswersAnother, ///< runs it, and its answer has another request's id and body
-        Resets, ///< runs it and closes the connection without an answer
-        Silent, ///< runs it and never answers
+        Sheds, ///< returns 503 without running requests
+        Busy, ///< returns 429 without running requests; orders and reports work normally
+        Slow, ///< responds after `responseDelay`
+        Fails, ///< runs requests and returns 500
+        Unsigned, ///< returns 200 without the server's signature
+        UsesWrongRequestId, ///< runs requests and returns another request's id and body
+        Resets, ///< runs requests and closes the connection without a response
+        Silent, ///< runs requests and never responds
         CutsStream, ///< closes the connection after the second event
-        HoldsStream, ///< sends two events and goes on for ever
+        HoldsStream, ///< sends two events and keeps the stream open
     };
-    mood now = mood::Serves;
+    behavior currentBehavior = behavior::Serves;
     std::string id;
-    std::int64_t startedAtMs = 0; ///< told where it isn't 0
-    std::set<std::string> adapters; ///< held
-    bool holdsModel = true;
-    millis modelLoadTime; ///< a load of the base model is under way for so long
-    std::size_t reports = 0; ///< asked for
+    std::int64_t startedAtMs = 0; ///< included in the entry and in reports unless it is 0
+    std::set<std::string> adapters; ///< resident
+    bool holdsModel = true; ///< the base model is loaded
+    millis modelLoadTime; ///< duration of a load of the base model
+    std::size_t reportRequests = 0; ///< number received
     std::int64_t sequence = 0;
     std::uint64_t fence = 0;
-    std::vector<front_request> ran;
-    std::vector<millis> ranAt; ///< when each of those began
+    std::vector<front_request> ran; ///< requests that were run
+    std::vector<millis> ranAt; ///< when each of them began
     std::vector<nlohmann::json> orders;
-    std::vector<received_request> arrivals; ///< requests and reports asked for, also those turned away
-    std::vector<limit_period> limits; ///< that it named
-    std::string limitText; ///< named in answers; empty: none
-    bool leaving = false; ///< says so in its answers
-    std::string pauseText; ///< asked for in answers that turn a request away with 503; empty: none
-    std::vector<sent_notice> sentNotices; ///< that it leaves, or a pause
-    std::size_t callersGone = 0; ///< callers that went away
-    std::size_t rejected = 0; ///< requests that it did not take, Busy or Sheds
-    millis slowness{700};
-    millis orderTime; ///< from an order, which is carried out at once, to its answer
+    std::vector<received_request> arrivals; ///< requests and report requests, including rejected ones
+    std::vector<limit_period> limits; ///< limits announced so far
+    std::string limitText; ///< limit announced in responses; empty for none
+    bool leaving = false; ///< announce in responses that the server is leaving
+    std::string pauseText; ///< pause requested in 503 responses; empty for none
+    std::vector<sent_notice> sentNotices; ///< of leaving and of pauses
+    std::size_t callersGone = 0; ///< requests whose connection was closed while Silent
+    std::size_t rejected = 0; ///< requests rejected while Busy or Sheds
+    millis responseDelay{700};
+    millis orderTime; ///< delay of the response to an order, which itself takes effect at once
     std::uint16_t port = 0;
-    std::uint16_t advertised = 0; ///< in its entry, where daemons reach it by another port
-    std::size_t maxAdapters = 0; ///< held at a time
-    std::string fatalBody; ///< a request with this body ends the server once it runs; empty: none does
-    /// Told of such a run, by the request's id, a moment after it began; whoever set it ends the stand-in.
+    std::uint16_t advertisedPort = 0; ///< port in the entry, if daemons connect through a proxy; 0: `port`
+    std::size_t maxAdapters = 0; ///< largest number of adapters resident at the same time
+    std::string fatalBody; ///< a request with this body crashes the server; empty for none
+    /// Called with the request's id shortly after a fatal request began to run. The callee destroys this
+    /// object.
     std::function<void(const std::string &requestId)> onFatal;
 
 private:
@@ -88,14 +90,14 @@
     void run(const front_request &request, const std::shared_ptr<front_reply> &reply);
     void runFatalRequest(
         const std::string &requestId, const std::shared_ptr<front_reply> &reply, bool stream);
-    /// A stream from `firstEvent` on; 0: a plain answer.
+    /// Sends a stream that begins at `firstEvent`, or a plain response if it is 0.
     void respond(const std::shared_ptr<front_reply> &reply, const std::string &requestId, int firstEvent);
 
     loop &m_loop;
-    std::optional<millis> m_modelLoadedAt; ///< a load of the base model ends then
+    std::optional<millis> m_modelLoadedAt; ///< when the load of the base model in progress ends
     std::string m_service;
     std::unique_ptr<front_server> m_server;
-    std::vector<std::pair<std::string, std::shared_ptr<front_reply>>> m_held; ///< by request id
+    std::vector<std::pair<std::string, std::shared_ptr<front_reply>>> m_held; ///< request ids and replies
     std::vector<std::shared_ptr<void>> m_timers;
 };
 
--- a/tests/serving/decisions_test.cpp
+++ b/tests/serving/decisions_test.cpp
@@ -26,7 +26,7 @@
         arrived + millis{5'000}, arrived + millis{1'000}};
 }
 
-place_queue queueOf(int slots = 64, std::int64_t memory = 120'000)
+place_queue queueWith(int slots = 64, std::int64_t memory = 120'000)
 {
     place_queue queue;
     queue.slots = slots;
@@ -39,73 +39,72 @@
     return true;
 }
 
-std::vector<std::string> letInNow(place_queue &queue, millis now)
+std::vector<std::string> admittedNow(place_queue &queue, millis now)
 {
     std::vector<waiting_prompt> late;
     std::vector<std::string> ids;
-    for (const waiting_prompt &one : letIn(queue, always, late, now)) {
-        ids.push_back(one.id);
+    for (const waiting_prompt &each : letIn(queue, always, late, now)) {
+        ids.push_back(each.id);
     }
     return ids;
 }
 
 }
 
-// Many prompts arrive at once (a burst). A user would see every stream on the server stutter while all of
-// them are read between its tokens: only as much is let in as keeps the server reading, the rest waits its
-// turn.
-TEST(PlaceQueue, LetsInOnlyWhatKeepsTheServerReading)
+// In a burst, reading all prompts at once would pause every stream on the server. Only as many are admitted
+// as keep the server reading; the rest are queued.
+TEST(SlotQueue, AdmitsOnlyAsManyPromptsAsKeepTheServerReading)
 {
-    place_queue queue = queueOf();
+    place_queue queue = queueWith();
     for (int i = 0; i < 4; ++i) {
         EXPECT_TRUE(admit(queue, prompt("p" + std::to_string(i), 2'000, start), start).taken);
     }
-    EXPECT_EQ(letInNow(queue, start).size(), 1U) << "170 ms at 14 tokens a ms are 2,380 tokens";
+    EXPECT_EQ(admittedNow(queue, start).size(), 1U) << "170 ms at 14 tokens/ms are 2,380 tokens";
     firstToken(queue, "p0", start + millis{140});
-    EXPECT_EQ(letInNow(queue, start + millis{140}), std::vector<std::string>{"p1"});
+    EXPECT_EQ(admittedNow(queue, start + millis{140}), std::vector<std::string>{"p1"});
 }
 
-// The largest prompts are over the window by themselves. A user with one would never be served.
-TEST(PlaceQueue, ThePromptLargerThanTheWindowGoesAloneAndIsNotOvertakenForEver)
+// A prompt that is larger than the window by itself would otherwise never be served.
+TEST(SlotQueue, PromptLargerThanTheWindowIsAdmittedAlone)
 {
-    place_queue queue = queueOf();
+    place_queue queue = queueWith();
     ASSERT_TRUE(admit(queue, prompt("large", 7'000, start), start).taken);
     ASSERT_TRUE(admit(queue, prompt("small", 300, start + millis{1}), start).taken);
-    EXPECT_EQ(letInNow(queue, start), std::vector<std::string>{"large"});
-    EXPECT_TRUE(letInNow(queue, start).empty()) << "what reads stutters under more";
+    EXPECT_EQ(admittedNow(queue, start), std::vector<std::string>{"large"});
+    EXPECT_TRUE(admittedNow(queue, start).empty()) << "the window is exceeded already";
 }
 
-// A queue is longer than a caller can wait. It is told so at once, not when its time is over.
-TEST(PlaceQueue, RefusesAtOnceWhatWouldComeTooLate)
+// The queue is longer than the caller can wait, so it is refused at once instead of after its wait.
+TEST(SlotQueue, RefusesAtOnceAPromptWhoseWaitWouldBeTooLong)
 {
-    place_queue queue = queueOf();
-    int taken = 0;
+    place_queue queue = queueWith();
+    int enqueued = 0;
     for (int i = 0; i < 30; ++i) {
-        taken += admit(queue, prompt("p" + std::to_string(i), 2'000, start), start).taken ? 1 : 0;
+        enqueued += admit(queue, prompt("p" + std::to_string(i), 2'000, start), start).taken ? 1 : 0;
     }
-    EXPECT_EQ(taken, 6) << "750 ms at 14 tokens a ms, and the one whose turn comes right then";
+    EXPECT_EQ(enqueued, 6) << "750 ms at 14 tokens/ms, and the prompt that starts right then";
     const admission refused = admit(queue, prompt("q", 2'000, start), start);
     EXPECT_FALSE(refused.taken);
     EXPECT_GT(refused.wait.count, 750);
 }
 
-TEST(PlaceQueue, TheMostUrgentGoesFirstThenWhoCameFirst)
+TEST(SlotQueue, AdmitsByRankAndThenInOrderOfArrival)
 {
-    place_queue queue = queueOf();
+    place_queue queue = queueWith();
     ASSERT_TRUE(admit(queue, prompt("late", 100, start + millis{2}, 1), start).taken);
     ASSERT_TRUE(admit(queue, prompt("early", 100, start, 1), start).taken);
     ASSERT_TRUE(admit(queue, prompt("urgent", 100, start + millis{3}, 0), start).taken);
-    EXPECT_EQ(letInNow(queue, start + millis{3}), (std::vector<std::string>{"urgent", "early", "late"}));
+    EXPECT_EQ(admittedNow(queue, start + millis{3}), (std::vector<std::string>{"urgent", "early", "late"}));
 }
 
-// For some seconds more prompts arrive than a server can read (a burst, or a neighbour's crash). In order of
-// arrival the queue grows until everyone's first event comes just too late, and stays like that. Most users
-// would wait in vain; so those who can still be on time go before those who can't.
-TEST(PlaceQueue, AnOverloadedServerKeepsMostOnTime)
+// For some seconds more prompts arrive than the server can read. In order of arrival, the queue would grow
+// until every first event came too late. Prompts that can still meet their target are therefore admitted
+// first.
+TEST(SlotQueue, OverloadedServerMeetsTheTargetOfMostPrompts)
 {
-    place_queue queue = queueOf();
+    place_queue queue = queueWith();
     constexpr std::int64_t tokens = 2'000;
-    constexpr millis readTime{140}; // 2,000 tokens at the 14 tokens a ms assumed at first
+    constexpr millis readTime{140}; // 2,000 tokens at the initial estimate of 14 tokens/ms
     int onTime = 0;
     int read = 0;
     std::string reading;
@@ -119,15 +118,15 @@
             (void)ended(queue, reading, now);
             reading.clear();
         }
-        if ((now - start).count % 110 == 0) { // 1.27 times what the server can read
+        if ((now - start).count % 110 == 0) { // 1.27 times the rate at which the server can read
             waiting_prompt next = prompt("p" + std::to_string(now.count), tokens, now);
-            next.startBy = now + millis{1'400}; // served late rather than not at all
+            next.startBy = now + millis{1'400}; // prefers a late response to a refusal
             (void)admit(queue, next, now);
         }
-        const auto in = letInNow(queue, now);
-        ASSERT_LE(in.size(), 1U);
-        if (!in.empty()) {
-            reading = in.front();
+        const auto admitted = admittedNow(queue, now);
+        ASSERT_LE(admitted.size(), 1U);
+        if (!admitted.empty()) {
+            reading = admitted.front();
             readingEnds = now + readTime;
         }
     }
@@ -135,59 +134,58 @@
     EXPECT_GT(onTime, read * 9 / 10) << "of " << read;
 }
 
-// A more urgent kind is never behind a less urgent one, also when it is late already.
-TEST(PlaceQueue, AnUrgentPromptThatIsLateGoesBeforeALessUrgentOneThatIsNot)
+TEST(SlotQueue, UrgentPromptPastItsTargetIsAdmittedBeforeALessUrgentOne)
 {
-    place_queue queue = queueOf();
+    place_queue queue = queueWith();
     waiting_prompt late = prompt("late", 100, start, 0);
     late.targetAt = start;
     ASSERT_TRUE(admit(queue, prompt("ordinary", 100, start, 1), start).taken);
     ASSERT_TRUE(admit(queue, late, start).taken);
-    EXPECT_EQ(letInNow(queue, start), (std::vector<std::string>{"late", "ordinary"}));
+    EXPECT_EQ(admittedNow(queue, start), (std::vector<std::string>{"late", "ordinary"}));
 }
 
-TEST(PlaceQueue, NeverFillsMemoryOrSlots)
+TEST(SlotQueue, NeverExceedsMemoryOrSlots)
 {
-    place_queue queue = queueOf(2, 5'000);
+    place_queue queue = queueWith(2, 5'000);
     for (int i = 0; i < 4; ++i) {
         ASSERT_TRUE(admit(queue, prompt("p" + std::to_string(i), 100, start), start).taken);
     }
-    EXPECT_EQ(letInNow(queue, start).size(), 2U);
-    place_queue tight = queueOf(64, 1'000);
+    EXPECT_EQ(admittedNow(queue, start).size(), 2U);
+    place_queue tight = queueWith(64, 1'000);
     ASSERT_TRUE(admit(tight, prompt("a", 700, start), start).taken);
     ASSERT_TRUE(admit(tight, prompt("b", 300, start), start).taken);
-    EXPECT_EQ(letInNow(tight, start).size(), 1U);
+    EXPECT_EQ(admittedNow(tight, start).size(), 1U);
 }
 
-// Word of an end is a datagram and may be lost. A user would see a server that looks full for ever.
-TEST(PlaceQueue, AGrantWhoseEndWasLostEndsByItsDeadline)
+// The datagram that reports the end of a request may be lost. Without expiry the slot would stay occupied.
+TEST(SlotQueue, GrantExpiresAtItsDeadlineIfItsEndIsNotReported)
 {
-    place_queue queue = queueOf();
+    place_queue queue = queueWith();
     ASSERT_TRUE(admit(queue, prompt("a", 100, start), start).taken);
-    ASSERT_EQ(letInNow(queue, start).size(), 1U);
+    ASSERT_EQ(admittedNow(queue, start).size(), 1U);
     EXPECT_TRUE(expired(queue, start + millis{5'000}).empty());
     EXPECT_EQ(expired(queue, start + millis{6'000}).size(), 1U);
     EXPECT_TRUE(queue.running.empty());
 }
 
-TEST(PlaceQueue, LearnsHowFastAServerReads)
+TEST(SlotQueue, LearnsTheReadingSpeedOfAServer)
 {
-    place_queue queue = queueOf();
+    place_queue queue = queueWith();
     millis now = start;
     for (int i = 0; i < 40; ++i) {
         const std::string id = "p" + std::to_string(i);
         ASSERT_TRUE(admit(queue, prompt(id, 2'000, now), now).taken);
-        ASSERT_EQ(letInNow(queue, now).size(), 1U);
-        now = now + millis{400}; // a slow server: 5 tokens a ms
+        ASSERT_EQ(admittedNow(queue, now).size(), 1U);
+        now = now + millis{400}; // a slow server: 5 tokens/ms
         firstToken(queue, id, now);
         ASSERT_TRUE(ended(queue, id, now));
     }
     EXPECT_NEAR(queue.speed, 5, 0.5);
 }
 
-RC_GTEST_PROP(PlaceQueue, CountsEachPromptOnce, ())
+RC_GTEST_PROP(SlotQueue, CountsEachPromptOnce, ())
 {
-    place_queue queue = queueOf();
+    place_queue queue = queueWith();
     std::set<std::string> open;
     millis now = start;
     for (int i = 0; i < 60; ++i) {
@@ -202,8 +200,8 @@
         case 1: {
             std::vector<waiting_prompt> late;
             letIn(queue, always, late, now);
-            for (const waiting_prompt &one : late) {
-                open.erase(one.id);
+            for (const waiting_prompt &each : late) {
+                open.erase(each.id);
             }
             break;
         }
@@ -217,9 +215,9 @@
     }
 }
 
-// More adapters are in use at once than there are places (demand moves on, rare adapters are asked for). A
-// user of a rare adapter would be sent away when each popular one took a further place to save a short wait.
-TEST(ChooseServer, ACopyIsMadeOnlyForALongWait)
+// More adapters are in use than there are slots. If popular adapters were copied to save short waits,
+// requests for rare ones would be refused.
+TEST(ChooseServer, AdapterIsCopiedOnlyIfTheWaitIsLong)
 {
     model_candidate home;
     home.adapter = adapter_residency::Resident;
@@ -233,9 +231,8 @@
     EXPECT_EQ(chooseModelServer({home, idle}, shortResponse), 1U);
 }
 
-// Demand for one adapter grows until its server is late. Its users would wait there, while a copy that all of
-// them share costs each of them little of what it takes from others.
-TEST(ChooseServer, AnAdapterThatIsMuchAskedForIsCopiedSooner)
+// The cost of a copy is shared by all requests that use it.
+TEST(ChooseServer, PopularAdapterIsCopiedAtAShorterWait)
 {
     model_candidate home;
     home.adapter = adapter_residency::Resident;
@@ -247,17 +244,17 @@
     prompt_shape prompt = shortResponse;
     home.recentUses = 2;
     prompt.copyCostShare = copyCostShareOf({home, idle});
-    EXPECT_EQ(chooseModelServer({home, idle}, prompt), 0U) << "two uses of late";
+    EXPECT_EQ(chooseModelServer({home, idle}, prompt), 0U) << "two recent uses";
     home.recentUses = 60;
     prompt.copyCostShare = copyCostShareOf({home, idle});
-    EXPECT_EQ(chooseModelServer({home, idle}, prompt), 1U) << "sixty";
+    EXPECT_EQ(chooseModelServer({home, idle}, prompt), 1U) << "sixty recent uses";
     home.backlogMs = 200;
-    EXPECT_EQ(chooseModelServer({home, idle}, prompt), 0U) << "its own load takes longer than the wait";
+    EXPECT_EQ(chooseModelServer({home, idle}, prompt), 0U) << "loading the copy takes longer than the wait";
 }
 
-// Each cold adapter goes to the same server each time, which still has it in memory and loads it in a tenth
-// of the time; spread over all servers, each load would come from the weight store.
-TEST(ChooseServer, AColdAdapterGoesToItsFirstServerWithAnOpenPlace)
+// A server that loaded the adapter before may still have it in host memory and loads it in a tenth of the
+// time.
+TEST(ChooseServer, AbsentAdapterIsLoadedByItsFirstServerInRendezvousOrderWithAnOpenSlot)
 {
     model_candidate second;
     second.availableSlots = 1;
@@ -270,10 +267,8 @@
     EXPECT_EQ(chooseModelServer({second, first}, shortResponse), 0U);
 }
 
-// Long answers run beside many short ones. A user who waits for a long answer would see it stutter each time
-// a prompt is read in between: short ones keep away from it, the longer their prompt the more, and the long
-// ones gather.
-TEST(ChooseServer, ShortAnswersKeepAwayFromLongOnesWhichGather)
+// A long response pauses each time a prompt is read on its server, for longer with longer prompts.
+TEST(ChooseServer, ShortResponsesAvoidServersWithLongOnesWhileLongOnesPreferThem)
 {
     model_candidate withLong;
     withLong.adapter = adapter_residency::Resident;
@@ -284,13 +279,13 @@
     EXPECT_EQ(chooseModelServer({withLong, without}, longResponse), 0U);
     EXPECT_EQ(chooseModelServer({withLong, without}, shortResponse), 1U);
     EXPECT_EQ(chooseModelServer({withLong, without}, {500, false, 1}), 0U)
-        << "a small prompt hardly disturbs";
+        << "a short prompt causes only a short pause";
     EXPECT_GT(*costOf(withLong, {6'000, false, 1}), *costOf(withLong, shortResponse));
 }
 
-// Long answers hold their adapters' places for seconds. A user of a rare adapter who asks for one more would
-// be sent to where they gather, three times in a row, and be refused each time for want of a place.
-TEST(ChooseServer, ALongAnswerDoesNotGatherWhereNoPlaceIsOpen)
+// Long responses occupy adapter slots for seconds. Another long one would be sent to such servers three times
+// in a row and be refused each time.
+TEST(ChooseServer, LongResponseIsNotAttractedByAServerWithoutAnOpenSlot)
 {
     model_candidate full;
     full.longResponses = 8;
@@ -302,64 +297,62 @@
     EXPECT_EQ(chooseModelServer({full, open}, longResponse), 0U);
 }
 
-// A rare adapter yielded its place a moment ago and is asked for again. Fetched by another server it would
-// take ten times as long and slow the weight store down for all; the server that remembers it is asked,
-// unless its queue is long.
-TEST(ChooseServer, AServerThatRemembersTheAdapterGoesBeforeOneThatFetchesIt)
+// The adapter was evicted recently. Loading it elsewhere, from the weight store, would take ten times as long
+// and slow down other loads.
+TEST(ChooseServer, ServerThatRemembersTheAdapterIsPreferredUnlessItsQueueIsLong)
 {
     observed_server observed;
-    server_beat beat;
-    beat.server = "s1";
-    beat.held = true;
-    beat.openPlaces = 1;
-    beat.adapters = {{adapterHash("m/a1"), false}, {adapterHash("m/a2"), true}};
-    applyHeartbeat(observed, beat, "n1", start);
-    beat.adapters = {{adapterHash("m/a3"), false}};
-    applyHeartbeat(observed, beat, "n1", start);
-    const model_candidate knows = candidateOf(observed, "m/a1", true, observed.receivedAt);
-    EXPECT_EQ(knows.adapter, adapter_residency::Remembered);
+    server_beat heartbeat;
+    heartbeat.server = "s1";
+    heartbeat.held = true;
+    heartbeat.openPlaces = 1;
+    heartbeat.adapters = {{adapterHash("m/a1"), false}, {adapterHash("m/a2"), true}};
+    applyHeartbeat(observed, heartbeat, "n1", start);
+    heartbeat.adapters = {{adapterHash("m/a3"), false}};
+    applyHeartbeat(observed, heartbeat, "n1", start);
+    const model_candidate remembering = candidateOf(observed, "m/a1", true, observed.receivedAt);
+    EXPECT_EQ(remembering.adapter, adapter_residency::Remembered);
     EXPECT_EQ(candidateOf(observed, "m/a2", true, observed.receivedAt).adapter, adapter_residency::Absent)
         << "never seen resident";
-    model_candidate fetches;
-    fetches.availableSlots = 1;
-    EXPECT_EQ(chooseModelServer({fetches, knows}, shortResponse), 1U);
-    model_candidate busy = knows;
+    model_candidate fetching;
+    fetching.availableSlots = 1;
+    EXPECT_EQ(chooseModelServer({fetching, remembering}, shortResponse), 1U);
+    model_candidate busy = remembering;
     busy.backlogMs = 1'000;
-    EXPECT_EQ(chooseModelServer({fetches, busy}, shortResponse), 0U);
+    EXPECT_EQ(chooseModelServer({fetching, busy}, shortResponse), 0U);
     for (int i = 0; i < 100; ++i) {
-        beat.adapters = {{adapterHash("m/b" + std::to_string(i)), false}};
-        applyHeartbeat(observed, beat, "n1", start);
+        heartbeat.adapters = {{adapterHash("m/b" + std::to_string(i)), false}};
+        applyHeartbeat(observed, heartbeat, "n1", start);
     }
     EXPECT_EQ(candidateOf(observed, "m/a1", true, observed.receivedAt).adapter, adapter_residency::Absent)
-        << "forgotten by now";
+        << "no longer remembered";
     EXPECT_LE(observed.recentAdapters.size(), rememberedAdapters);
 }
 
-// What is long differs by deployment: one announces 90 and 522 tokens, another 205 and 955. With a limit
-// between the first two all of the second's were long and gathered on few servers, whose users were refused
-// for want of places.
-TEST(ChooseServer, WhatIsALongAnswerGoesByWhatIsAskedFor)
+// Regression: with a fixed threshold between the 90 and 522 tokens of one deployment, all responses of
+// another one, with 205 and 955 tokens, counted as long. They were put on few servers, which had too few
+// slots.
+TEST(ChooseServer, ResponseIsLongComparedWithTheCurrentMix)
 {
-    const auto mixOf = [](std::int64_t few, std::int64_t many, int manyOfTen) {
+    const auto mixWith = [](std::int64_t shortLength, std::int64_t longLength, int longOfTen) {
         response_mix mix;
         for (int i = 0; i < 400; ++i) {
-            recordOutputLength(mix, i * 7 % 10 < manyOfTen ? many : few);
+            recordOutputLength(mix, i * 7 % 10 < longOfTen ? longLength : shortLength);
         }
         return mix;
     };
-    const response_mix first = mixOf(90, 522, 2);
+    const response_mix first = mixWith(90, 522, 2);
     EXPECT_FALSE(isLongResponse(first, 90));
     EXPECT_TRUE(isLongResponse(first, 522));
     EXPECT_EQ(shapeOf(first, 2'400, 522).separation, 1);
-    const response_mix second = mixOf(205, 955, 6);
+    const response_mix second = mixWith(205, 955, 6);
     EXPECT_FALSE(isLongResponse(second, 205));
     EXPECT_TRUE(isLongResponse(second, 955));
-    EXPECT_EQ(shapeOf(second, 2'400, 955).separation, 0)
-        << "the most are long: they can't keep to themselves";
-    EXPECT_FALSE(isLongResponse(mixOf(300, 300, 5), 300)) << "all alike";
+    EXPECT_EQ(shapeOf(second, 2'400, 955).separation, 0) << "too many long responses to separate them";
+    EXPECT_FALSE(isLongResponse(mixWith(300, 300, 5), 300)) << "all have the same length";
 }
 
-TEST(ChooseServer, AServerThatFailsIsLeftAloneAndTriedAgainLater)
+TEST(ChooseServer, FailingServerIsAvoidedAndTriedAgainLater)
 {
     server_health health;
     for (int i = 0; i < 10; ++i) {
@@ -376,7 +369,7 @@
     EXPECT_EQ(chooseModelServer({failing, loaded}, shortResponse), 0U);
 }
 
-TEST(ChooseServer, NothingIsChosenThatCannotServe)
+TEST(ChooseServer, ServersThatCannotServeAreNeverChosen)
 {
     model_candidate leaving;
     leaving.excluded = true;
@@ -388,7 +381,7 @@
     EXPECT_FALSE(choosePlainServer({out}));
 }
 
-TEST(ChooseServer, PlainRequestsStayInTheirFailureDomainUntilItsServerIsBusy)
+TEST(ChooseServer, PlainRequestsStayInTheirFailureDomainUntilItsServerIsLoaded)
 {
     plain_candidate near;
     near.sameDomain = true;
@@ -401,9 +394,9 @@
     EXPECT_EQ(choosePlainServer({far, near}), 0U);
 }
 
-// Servers fail in numbers and clients repeat at once. The bound on repeats is one for all daemons together,
-// whatever each of them sees.
-RC_GTEST_PROP(RepeatBudget, AllDaemonsTogetherStayUnderTheBound, ())
+// Many servers fail at the same time. The retry budget holds for all daemons together, however the requests
+// are distributed among them.
+RC_GTEST_PROP(ServiceRetryBudget, AllDaemonsTogetherStayWithinTheBudget, ())
 {
     const retry_limits limits{0.2, 50, {10'000}};
     const auto daemons = *rc::gen::inRange<std::size_t>(1, 10);
@@ -413,19 +406,19 @@
     std::size_t retries = 0;
     for (int i = 0; i < 400; ++i) {
         now = now + millis{*rc::gen::inRange(0, 20)};
-        service_retry_budget &one = budgets[*rc::gen::inRange<std::size_t>(0, daemons)];
-        countRequest(one, "service", limits, now);
+        service_retry_budget &budget = budgets[*rc::gen::inRange<std::size_t>(0, daemons)];
+        countRequest(budget, "service", limits, now);
         ++requests;
         for (int attempt = *rc::gen::inRange(0, 4); attempt > 0; --attempt) {
-            retries += tryAcquireRetry(one, "service", limits, daemons, now) ? 1 : 0;
+            retries += tryAcquireRetry(budget, "service", limits, daemons, now) ? 1 : 0;
         }
     }
     RC_ASSERT(static_cast<double>(retries) <= 0.2 * static_cast<double>(requests) + 50);
 }
 
-// A server dies in the middle of an event. A user would see half an event, or the same one twice, when
-// another server goes on: only whole events are passed on, and the last whole one is where it goes on.
-TEST(EventStream, PassesOnWholeEventsOnly)
+// If a server dies in the middle of an event and another one resumes the stream, the caller must not receive
+// a partial event or the same event twice.
+TEST(EventStream, ReturnsOnlyCompleteEvents)
 {
     event_stream stream;
     EXPECT_EQ(extractEvents(stream, "id: 1\ndata: x\n\nid: 2\nda"), "id: 1\ndata: x\n\n");
@@ -435,7 +428,7 @@
     EXPECT_TRUE(stream.partial.empty());
 }
 
-RC_GTEST_PROP(EventStream, AnyCutGivesTheSameEvents, ())
+RC_GTEST_PROP(EventStream, EventsDoNotDependOnHowTheBytesAreSplit, ())
 {
     std::string text;
     const int events = *rc::gen::inRange(1, 6);
@@ -444,17 +437,17 @@
         text.append("id:").append(std::to_string(i)).append(end).append("data: z").append(end).append(end);
     }
     event_stream stream;
-    std::string passed;
+    std::string received;
     for (std::size_t at = 0; at < text.size();) {
         const auto size = *rc::gen::inRange<std::size_t>(1, 12);
-        passed += extractEvents(stream, std::string_view(text).substr(at, size));
+        received += extractEvents(stream, std::string_view(text).substr(at, size));
         at += size;
     }
-    RC_ASSERT(passed == text);
+    RC_ASSERT(received == text);
     RC_ASSERT(stream.lastId == std::to_string(events));
 }
 
-TEST(Routes, TheLongestPrefixOfTheHostDecides)
+TEST(Routes, RouteWithTheLongestMatchingPrefixOfTheHostIsChosen)
 {
     serving_config config;
     config.routes.push_back({.name = "wide", .host = "a.example", .prefix = "/x/", .services = {{"s1", 1}}});
@@ -467,7 +460,7 @@
     EXPECT_EQ(findRoute(config, "b.example", "/x/"), nullptr);
 }
 
-TEST(Routes, ASplitIsKeptByWeightAndStableForARequest)
+TEST(Routes, TrafficSplitFollowsTheWeightsAndIsStableForARequest)
 {
     route split;
     split.name = "r";
--- a/tests/serving/edge_fixture.h
+++ b/tests/serving/edge_fixture.h
@@ -32,10 +32,10 @@
     int m_adapterSlots = 2;
     int m_promptTokens = 500;
     int m_lastId = 0;
-    std::map<std::string, std::set<std::string>> m_initialAdapters; ///< adapters, by model server
-    nlohmann::json m_accounts; ///< client accounts of the configuration; null: it has none
-    std::string m_key; ///< that callers send; empty: none
-    std::vector<http_field> m_fields; ///< that callers send besides
+    std::map<std::string, std::set<std::string>> m_initialAdapters; ///< resident adapters, by model server
+    nlohmann::json m_accounts; ///< client accounts of the configuration; null if it has none
+    std::string m_key; ///< API key that callers send; empty if they send none
+    std::vector<http_field> m_fields; ///< additional header fields that callers send
 
     void start()
     {
@@ -67,7 +67,7 @@
             return m_store.items.count("briarhead/orderer/m-1") == 1
                 && m_store.items.count("briarhead/orderer/m-2") == 1;
         }));
-        runRounds(500); // its beat, and the wait for others' running requests
+        runRounds(500); // for the first heartbeat, and for reports of running requests from other entries
     }
     void putConfig(int version)
     {
@@ -113,21 +113,21 @@
     std::string responseTo(const std::string &path, const std::string &adapter = "")
     {
         const auto caller = sendRequest(path, adapter);
-        std::string seen;
+        std::string received;
         EXPECT_TRUE(runUntil([&] {
-            return !caller->receive(seen);
+            return !caller->receive(received);
         }));
-        return seen;
+        return received;
     }
     std::string readiness()
     {
         const auto balancer = http_testing::raw_socket::connectTo(m_settings.ready.port);
         balancer->send("GET /v1/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-        std::string seen;
+        std::string received;
         EXPECT_TRUE(runUntil([&] {
-            return !balancer->receive(seen);
+            return !balancer->receive(received);
         }));
-        return seen.substr(9, 3);
+        return received.substr(9, 3);
     }
     std::size_t requestsRunOn(const std::vector<std::unique_ptr<backend_standin>> &servers) const
     {
@@ -137,10 +137,10 @@
         }
         return sum;
     }
-    void setMood(std::vector<std::unique_ptr<backend_standin>> &servers, backend_standin::mood behavior)
+    void setBehavior(std::vector<std::unique_ptr<backend_standin>> &servers, backend_standin::behavior value)
     {
         for (const auto &server : servers) {
-            server->now = behavior;
+            server->currentBehavior = value;
         }
     }
 };
--- a/tests/serving/edge_limit_test.cpp
+++ b/tests/serving/edge_limit_test.cpp
@@ -10,7 +10,7 @@
 class edge_limit_test : public edge_test
 {
 protected:
-    /// Leaves p-1 as the one plain server and m-1 as the one model server.
+    /// Leaves p-1 as the only plain server and m-1 as the only model server.
     void drainSecondOfEach()
     {
         m_store.put("servers/p-2", m_plain[1]->entry("draining"));
@@ -30,8 +30,9 @@
 
 }
 
-// A daemon that had lost the store granted a server's whole limit beside its successor.
-TEST_F(edge_limit_test, AHolderWhoseLeaseMayHaveEndedGrantsLessThanHalf)
+// Regression: an owner that had lost the store granted the whole limit of a server while its successor did so
+// too.
+TEST_F(edge_limit_test, OwnerWithoutConfirmedLeaseGrantsLessThanHalfOfTheLimit)
 {
     start();
     drainSecondOfEach();
@@ -45,11 +46,11 @@
     sendMany("/safe/x", {3'000});
     const double rate = static_cast<double>(m_plain[0]->ran.size() - before) * 1'000
         / static_cast<double>((bootNow() - from).count);
-    EXPECT_LT(rate, 20 * unconfirmedShare + 2) << "two saved turns, and what is on its way";
+    EXPECT_LT(rate, 20 * unconfirmedShare + 2) << "two saved permits, and requests in flight";
 }
 
-// A daemon that had been replaced granted on until its view of the store told it.
-TEST_F(edge_limit_test, WhoHearsOfItsSuccessorGrantsNothing)
+// Regression: an owner that had been replaced kept granting permits until it learned of it from the store.
+TEST_F(edge_limit_test, OwnerGrantsNothingAfterAHeartbeatOfItsSuccessor)
 {
     start();
     other_daemon successor(m_store, m_loop, m_settings.peers, "n2", "m-2");
@@ -62,7 +63,7 @@
         return successor.lastResponse.verdict == place_verdict::Granted;
     }));
     EXPECT_EQ(successor.lastResponse.limitMilli, 50'000);
-    m_client.trouble = store_trouble::Silent; // its own claim of the record must not answer for it
+    m_client.trouble = store_trouble::Silent; // keeps this daemon from claiming the server again
     successor.lastResponse = {};
     ASSERT_TRUE(runUntil([&] {
         successor.sendHeartbeatAsSuccessor("m-1");
@@ -72,15 +73,15 @@
     EXPECT_EQ(successor.lastResponse.why, refusal::Limited);
 }
 
-// A new holder didn't know of a limit that the daemons that asked it had been told of; and an answer's word
-// of a limit reached nobody but the daemon that sent the request.
-TEST_F(edge_limit_test, AHolderIsToldByAsksAndAfterAnswers)
+// Regression: a limit announced in a response was known only to the daemon that had sent the request, and a
+// new owner didn't learn the limits that other daemons knew.
+TEST_F(edge_limit_test, OwnerLearnsLimitsFromPermitRequestsAndReports)
 {
     start();
     other_daemon owner(m_store, m_loop, m_settings.peers, "n2", "p-1");
     drainSecondOfEach();
     m_plain[0]->setLimit(4);
-    EXPECT_EQ(statusOf(responseTo("/safe/x")), "200"); // it has no limit yet, as far as anybody knows
+    EXPECT_EQ(statusOf(responseTo("/safe/x")), "200"); // no daemon knows the limit yet
     ASSERT_TRUE(runUntil([&] {
         return !owner.limitReports.empty();
     }));
@@ -94,8 +95,8 @@
     EXPECT_EQ(m_plain[0]->ran.size(), 1U);
 }
 
-// A daemon that had not heard of a limit by an answer of its own sent as before.
-TEST_F(edge_limit_test, BeatsTellOfLimits)
+// Regression: a daemon that had not received a response with the limit itself kept sending without permits.
+TEST_F(edge_limit_test, LimitsAreSharedByHeartbeats)
 {
     start();
     other_daemon other(m_store, m_loop, m_settings.peers, "n2", "p-1");
@@ -117,35 +118,35 @@
     EXPECT_EQ(m_plain[0]->ran.size(), 0U);
 }
 
-// The orderer of a server that names a limit is dead, and requests for what it holds went there without a
-// place, from each daemon as many as it had callers.
-TEST_F(edge_limit_test, WithoutItsOrdererALimitedServerGetsNothing)
+// Regression: after the owner of a server with a limit had died, every daemon sent requests for resident
+// adapters there without permits.
+TEST_F(edge_limit_test, LimitedModelServerReceivesNothingWithoutALiveOwner)
 {
     m_settings.serversCheckFencingTokens = false;
     m_initialAdapters["m-1"] = {"a1"};
     start();
-    other_daemon silent(m_store, m_loop, m_settings.peers, "n2", "m-1");
-    other_daemon heard(m_store, m_loop, m_settings.peers, "n3", "m-2");
+    other_daemon deadOwner(m_store, m_loop, m_settings.peers, "n2", "m-1");
+    other_daemon liveOwner(m_store, m_loop, m_settings.peers, "n3", "m-2");
     runRounds(300);
-    silent.setResident("m0/a1");
+    deadOwner.setResident("m0/a1");
     const auto withLimit = [&](std::vector<limit_beat> limits) {
-        silent.limits = std::move(limits);
-        silent.sendHeartbeat();
-        const millis stale = bootNow() + heartbeatFreshFor + millis{200};
-        while (bootNow() < stale) {
-            heard.sendHeartbeat();
+        deadOwner.limits = std::move(limits);
+        deadOwner.sendHeartbeat();
+        const millis staleAt = bootNow() + heartbeatFreshFor + millis{200};
+        while (bootNow() < staleAt) {
+            liveOwner.sendHeartbeat();
             runRounds(100);
         }
         responseTo("/gen/x", "a1");
         return m_models[0]->ran.size();
     };
     EXPECT_EQ(withLimit({{"m-1", 4'000, 0}}), 0U);
-    EXPECT_EQ(withLimit({{"m-1", -1, 0}}), 1U) << "without a limit what it holds is still served";
+    EXPECT_EQ(withLimit({{"m-1", -1, 0}}), 1U) << "without a limit, resident adapters are still served";
 }
 
-// Questions for a server's report went on four times a second while its weights loaded, whatever limit it
-// named.
-TEST_F(edge_limit_test, ReportsTakeTurnsToo)
+// Regression: while a server loaded its weights, report requests were sent four times a second regardless of
+// its limit.
+TEST_F(edge_limit_test, ReportRequestsNeedPermitsToo)
 {
     start();
     backend_standin &server = *m_models[0];
@@ -153,14 +154,14 @@
     server.holdsModel = false;
     server.adapters.clear();
     server.modelLoadTime = millis{4'500};
-    ++server.startedAtMs; // it starts again, and holds nothing
+    ++server.startedAtMs; // simulates a restart with nothing resident
     ++server.sequence;
     m_store.put("servers/" + server.id, server.entry());
-    const std::size_t before = server.reports;
+    const std::size_t before = server.reportRequests;
     ASSERT_TRUE(runUntil([&] {
         return server.holdsModel;
     }));
-    EXPECT_LE(server.reports - before, 4'500U / 1'000U + 4U);
+    EXPECT_LE(server.reportRequests - before, 4'500U / 1'000U + 4U);
 }
 
 }
--- a/tests/serving/edge_notices_test.cpp
+++ b/tests/serving/edge_notices_test.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-using mood = backend_standin::mood;
+using behavior = backend_standin::behavior;
 
-/// A daemon whose servers say of themselves that they leave, or want nothing for a while.
-class edge_words_test : public edge_test
+/// A daemon whose servers announce that they are leaving or ask for a pause.
+class edge_notice_test : public edge_test
 {
 protected:
     void startWithAdapter(const std::string &adapter)
@@ -21,29 +21,31 @@
     void drainSecond(std::vector<std::unique_ptr<backend_standin>> &servers)
     {
         m_store.put("servers/" + servers[1]->id, servers[1]->entry("draining"));
-        runRounds(800); // until the store's news are here
+        runRounds(800); // until the store's update has arrived
     }
     static void shed(backend_standin &server, const std::string &pause)
     {
-        server.now = mood::Sheds;
+        server.currentBehavior = behavior::Sheds;
         server.pauseText = pause;
     }
     static std::size_t callsTo(const backend_standin &server)
     {
         return server.arrivals.size() + server.orders.size();
     }
-    std::string retryAfterOf(const std::string &answer)
+    std::string retryAfterOf(const std::string &response)
     {
-        const std::size_t at = answer.find("Retry-After: ");
-        return at == std::string::npos ? "" : answer.substr(at + 13, answer.find('\r', at) - at - 13);
+        const std::size_t start = response.find("Retry-After: ");
+        return start == std::string::npos
+            ? ""
+            : response.substr(start + 13, response.find('\r', start) - start - 13);
     }
 };
 
 }
 
-// Its own word that a server leaves was overruled by the store, which still listed it as ready, or listed it
-// again after a lapse.
-TEST_F(edge_words_test, LeavingOutlivesTheStoresListing)
+// Regression: a server's leaving notice was overridden by the store, which still listed it as ready or listed
+// it again after its entry had expired.
+TEST_F(edge_notice_test, LeavingServerStaysClosedWhateverTheStoreLists)
 {
     start();
     drainSecond(m_plain);
@@ -60,8 +62,9 @@
     EXPECT_EQ(m_plain[0]->ran.size(), 1U);
 }
 
-// A server that started again under its id stayed closed for what its earlier start had said.
-TEST_F(edge_words_test, ANewStartIsOpenWhateverTheOneBeforeSaid)
+// Regression: a server that had restarted under the same id stayed closed because of its previous
+// incarnation's notice.
+TEST_F(edge_notice_test, NewIncarnationOfALeavingServerIsOpen)
 {
     start();
     drainSecond(m_plain);
@@ -75,8 +78,8 @@
     EXPECT_EQ(statusOf(responseTo("/safe/x")), "200");
 }
 
-// Reports and orders of a server's orderer went on while it wanted nothing from that daemon.
-TEST_F(edge_words_test, InAPauseAServerGetsNeitherReportsNorOrders)
+// Regression: a server's owner kept sending report requests and orders during the pause.
+TEST_F(edge_notice_test, PausedServerReceivesNoReportRequestsOrOrders)
 {
     startWithAdapter("a1");
     for (const auto &server : m_models) {
@@ -87,19 +90,19 @@
         return std::all_of(m_models.begin(), m_models.end(), [](const auto &server) {
             return !server->sentNotices.empty();
         });
-    })) << "it was sent to both in turn";
+    })) << "both servers were tried";
     runRounds(100);
     const std::size_t before = callsTo(*m_models[0]) + callsTo(*m_models[1]);
     const millis end = bootNow() + millis{1'000};
     while (bootNow() < end) {
-        EXPECT_EQ(statusOf(responseTo("/gen/x", "a7")), "503") << "not there, and not to be loaded now";
+        EXPECT_EQ(statusOf(responseTo("/gen/x", "a7")), "503") << "not resident, and must not be loaded now";
         runRounds(20);
     }
     EXPECT_EQ(callsTo(*m_models[0]) + callsTo(*m_models[1]), before);
 }
 
-// A pause was forgotten when the server's entry lapsed, and a leaving server's last start was taken for news.
-TEST_F(edge_words_test, APauseHoldsThroughALapseOfTheEntry)
+// Regression: a pause was forgotten when the server's entry in the store expired.
+TEST_F(edge_notice_test, PauseStaysInEffectWhenTheEntryExpiresAndReturns)
 {
     start();
     drainSecond(m_plain);
@@ -117,8 +120,8 @@
     EXPECT_EQ(m_plain[0]->arrivals.size(), before);
 }
 
-// A server that is closed was tried again for what may be repeated.
-TEST_F(edge_words_test, ARepeatGoesToAServerThatIsOpen)
+// Regression: idempotent requests were retried on servers that had asked for a pause.
+TEST_F(edge_notice_test, PausedServersAreNotRetried)
 {
     start();
     shed(*m_plain[0], "5");
@@ -133,19 +136,19 @@
     EXPECT_LE(m_plain[1]->arrivals.size(), 1U);
 }
 
-// Places went to a daemon that a server wanted nothing from.
-TEST_F(edge_words_test, AnOrdererGrantsNoPlaceToADaemonThatIsToPause)
+// Regression: an owner granted slots to a daemon that the server had asked for a pause.
+TEST_F(edge_notice_test, OwnerRefusesSlotsToAPausedDaemonUntilThePauseEnds)
 {
     startWithAdapter("a1");
     other_daemon paused(m_store, m_loop, m_settings.peers, "n2", "m-9");
-    other_daemon free(m_store, m_loop, m_settings.peers, "n3", "m-8");
+    other_daemon unpaused(m_store, m_loop, m_settings.peers, "n3", "m-8");
     runRounds(300);
     paused.send(word_news{"m-1", "m-1", false, 1'500, false});
     runRounds(20);
     paused.sendSlotRequestAs("x", "m-1");
-    free.sendSlotRequestAs("y", "m-1");
+    unpaused.sendSlotRequestAs("y", "m-1");
     ASSERT_TRUE(runUntil([&] {
-        return paused.responsesReceived > 0 && free.lastResponse.verdict == place_verdict::Granted;
+        return paused.responsesReceived > 0 && unpaused.lastResponse.verdict == place_verdict::Granted;
     }));
     EXPECT_EQ(paused.lastResponse.verdict, place_verdict::Refused);
     EXPECT_EQ(paused.lastResponse.why, refusal::Paused);
@@ -154,16 +157,16 @@
     ASSERT_TRUE(runUntil([&] {
         paused.sendSlotRequestAs("z", "m-1");
         return paused.lastResponse.verdict == place_verdict::Granted;
-    })) << "a pause ends by itself";
+    })) << "the pause expires";
 }
 
-// What waited at an orderer was granted to a daemon after the server had asked that daemon for a pause.
-TEST_F(edge_words_test, WhatWaitsForAPlaceIsRefusedOnceItsDaemonIsToPause)
+// Regression: an owner granted a queued slot request after the server had asked that daemon for a pause.
+TEST_F(edge_notice_test, QueuedSlotRequestIsRefusedOnceItsDaemonIsPaused)
 {
     startWithAdapter("a1");
     other_daemon entry(m_store, m_loop, m_settings.peers, "n2", "m-9");
     runRounds(300);
-    for (int i = 0; i < 4; ++i) { // all places are taken
+    for (int i = 0; i < 4; ++i) { // occupies all slots
         entry.sendSlotRequestAs("running" + std::to_string(i), "m-1");
     }
     ASSERT_TRUE(runUntil([&] {
@@ -181,40 +184,40 @@
     EXPECT_EQ(entry.lastResponse.why, refusal::Paused);
 }
 
-// A daemon that had a place, or waited for one, sent there though the server had said meanwhile that it
-// leaves.
-TEST_F(edge_words_test, NeitherAGrantNorAWaitOutlivesTheWord)
+// Regression: a daemon that held or waited for a slot sent the request although the server had announced
+// meanwhile that it was leaving.
+TEST_F(edge_notice_test, GrantedSlotIsNotUsedAfterALeavingNotice)
 {
     startWithAdapter("a1");
-    other_daemon orderer(m_store, m_loop, m_settings.peers, "n2", "m-2");
-    orderer.setResident("m0/a1");
+    other_daemon owner(m_store, m_loop, m_settings.peers, "n2", "m-2");
+    owner.setResident("m0/a1");
     runRounds(300);
     m_store.put("servers/m-1", m_models[0]->entry("draining"));
     for (int i = 0; i < 4; ++i) {
-        orderer.sendHeartbeat();
+        owner.sendHeartbeat();
         runRounds(100);
     }
     const auto caller = sendRequest("/gen/x", "a1");
     ASSERT_TRUE(runUntil([&] {
-        return !orderer.slotRequests.empty();
+        return !owner.slotRequests.empty();
     }));
-    orderer.send(word_news{"m-2", "m-2", true, 0, false});
+    owner.send(word_news{"m-2", "m-2", true, 0, false});
     place_answer granted;
-    granted.id = orderer.slotRequests.front().id;
+    granted.id = owner.slotRequests.front().id;
     granted.server = "m-2";
     granted.verdict = place_verdict::Granted;
-    orderer.send(granted);
-    std::string seen;
+    owner.send(granted);
+    std::string received;
     EXPECT_TRUE(runUntil([&] {
-        return !caller->receive(seen);
+        return !caller->receive(received);
     }));
-    EXPECT_EQ(statusOf(seen), "503") << seen;
+    EXPECT_EQ(statusOf(received), "503") << received;
     EXPECT_EQ(m_models[1]->ran.size(), 0U);
-    EXPECT_FALSE(orderer.slotEvents.empty()) << "its place is given back";
+    EXPECT_FALSE(owner.slotEvents.empty()) << "its slot is released";
 }
 
-// Daemons that had no answer of a leaving server went on sending there.
-TEST_F(edge_words_test, ALeavingServerIsToldToAllAndHeardFromAny)
+// Regression: daemons that had received no response from a leaving server kept sending to it.
+TEST_F(edge_notice_test, LeavingNoticesAreSentToAllDaemonsAndAppliedFromAny)
 {
     start();
     other_daemon other(m_store, m_loop, m_settings.peers, "n2", "m-9");
@@ -224,13 +227,13 @@
     for (int i = 0; i < 10 && m_plain[0]->sentNotices.size() + m_plain[1]->sentNotices.size() < 2; ++i) {
         responseTo("/safe/x");
     }
-    const auto knows = [&other](const std::string &server) {
-        return std::any_of(other.notices.begin(), other.notices.end(), [&](const word_news &news) {
-            return news.leaving && news.start == server;
+    const auto wasNotified = [&other](const std::string &server) {
+        return std::any_of(other.notices.begin(), other.notices.end(), [&](const word_news &notice) {
+            return notice.leaving && notice.start == server;
         });
     };
     EXPECT_TRUE(runUntil([&] {
-        return knows("p-1") && knows("p-2");
+        return wasNotified("p-1") && wasNotified("p-2");
     }));
     other.send(word_news{"m-1", "m-1", true, 0, false});
     other.send(word_news{"m-2", "m-2", true, 0, false});
@@ -239,37 +242,37 @@
     EXPECT_EQ(requestsRunOn(m_models), 0U);
 }
 
-// An orderer refused what was meant for a leaving server without a word why, so that each request asked it
-// anew.
-TEST_F(edge_words_test, AnOrdererTellsWhoAsksThatTheServerLeaves)
+// Regression: an owner refused slots on a leaving server without sending the notice, so that the entry asked
+// again for each request.
+TEST_F(edge_notice_test, OwnerSendsLeavingNoticeWithARefusal)
 {
     start();
-    other_daemon first(m_store, m_loop, m_settings.peers, "n2", "m-9");
+    other_daemon entry(m_store, m_loop, m_settings.peers, "n2", "m-9");
     runRounds(300);
-    first.send(word_news{"m-1", "m-1", true, 0, false});
+    entry.send(word_news{"m-1", "m-1", true, 0, false});
     runRounds(50);
-    first.sendSlotRequestAs("x", "m-1");
+    entry.sendSlotRequestAs("x", "m-1");
     ASSERT_TRUE(runUntil([&] {
-        return first.responsesReceived > 0 && !first.notices.empty();
+        return entry.responsesReceived > 0 && !entry.notices.empty();
     }));
-    EXPECT_EQ(first.lastResponse.why, refusal::ServerLeaving);
-    EXPECT_TRUE(first.notices.back().leaving);
+    EXPECT_EQ(entry.lastResponse.why, refusal::ServerLeaving);
+    EXPECT_TRUE(entry.notices.back().leaving);
 }
 
-// A server's word that it leaves came in the answer to a question of its orderer's own, and was not read.
-TEST_F(edge_words_test, ReportsAndAnswersToOrdersAreReadToo)
+// Regression: notices in responses to report requests and orders were ignored.
+TEST_F(edge_notice_test, NoticesInReportResponsesAreApplied)
 {
     startWithAdapter("a1");
     m_models[0]->leaving = true;
     m_models[0]->holdsModel = false;
-    ++m_models[0]->startedAtMs; // its orderer asks for a report
+    ++m_models[0]->startedAtMs; // makes its owner request a report
     m_store.put("servers/m-1", m_models[0]->entry());
     ASSERT_TRUE(runUntil([&] {
         return !m_models[0]->sentNotices.empty();
     }));
     runRounds(50);
     m_store.put("servers/m-2", m_models[1]->entry("draining"));
-    runRounds(800); // until the store's news are here
+    runRounds(800); // until the store's update has arrived
     EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "503");
     EXPECT_EQ(requestsRunOn(m_models), 0U);
 }
--- a/tests/serving/edge_process_test.cpp
+++ b/tests/serving/edge_process_test.cpp
@@ -20,9 +20,9 @@
 
 using http_testing::freePort;
 using http_testing::raw_socket;
-using mood = backend_standin::mood;
+using behavior = backend_standin::behavior;
 
-/// The real program as a process of its own, with the store and the servers in this one.
+/// Runs the real program as a separate process, with the store and the servers in this one.
 class edge_process_test : public http_testing::http_fixture
 {
 protected:
@@ -90,23 +90,23 @@
         }
         ASSERT_TRUE(m_isReady) << logText();
     }
-    /// Whether the process says that it takes callers; never waits.
+    /// Whether the process reports that it is ready. Doesn't wait.
     bool ready()
     {
         const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
         raw_socket probe(fd);
         const sockaddr_in address = http_testing::loopbackAddress(m_ready);
         (void)connect(fd, reinterpret_cast<const sockaddr *>(&address), sizeof(address));
-        std::string seen;
-        for (int i = 0; i < 50 && seen.find("\r\n\r\n") == std::string::npos; ++i) {
+        std::string received;
+        for (int i = 0; i < 50 && received.find("\r\n\r\n") == std::string::npos; ++i) {
             runRounds(1);
             if (i == 1) {
-                const std::string ask = "GET /v1/ready HTTP/1.1\r\nHost: h\r\n\r\n";
-                (void)::send(fd, ask.data(), ask.size(), MSG_NOSIGNAL);
+                const std::string request = "GET /v1/ready HTTP/1.1\r\nHost: h\r\n\r\n";
+                (void)::send(fd, request.data(), request.size(), MSG_NOSIGNAL);
             }
-            probe.receive(seen);
+            probe.receive(received);
         }
-        return seen.starts_with("HTTP/1.1 200");
+        return received.starts_with("HTTP/1.1 200");
     }
     std::unique_ptr<raw_socket> sendRequest(const std::string &path, bool model)
     {
@@ -119,11 +119,11 @@
     }
     std::string readResponse(raw_socket &caller)
     {
-        std::string seen;
+        std::string received;
         EXPECT_TRUE(runUntil([&] {
-            return !caller.receive(seen);
+            return !caller.receive(received);
         })) << logText();
-        return seen;
+        return received;
     }
     orderer_record ownershipRecord() const
     {
@@ -153,13 +153,11 @@
 
 }
 
-// An instance is replaced while it serves. Its user's stream runs to its end, its server's orders go to
-// whoever comes next, and it leaves in order.
-TEST_F(edge_process_test, ATerminatedProcessEndsItsStreamsAndGivesItsServersUp)
+TEST_F(edge_process_test, TerminatedProcessCompletesItsRequestsAndReleasesItsServers)
 {
     startProcess();
     ASSERT_EQ(ownershipRecord().node, "n1");
-    m_plain.now = mood::Silent;
+    m_plain.currentBehavior = behavior::Silent;
     const auto caller = sendRequest("/once/x", false);
     ASSERT_TRUE(runUntil([&] {
         return m_plain.ran.size() == 1;
@@ -168,18 +166,18 @@
     EXPECT_TRUE(runUntil([&] {
         return m_store.items.count("briarhead/daemon/n1") == 0;
     })) << logText();
-    EXPECT_EQ(ownershipRecord().node, "") << "given up, for the next one to take";
+    EXPECT_EQ(ownershipRecord().node, "") << "released, for another daemon to claim";
     EXPECT_FALSE(ready());
     m_plain.respondToHeld("late but whole");
-    const std::string answer = readResponse(*caller);
-    EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer;
-    EXPECT_TRUE(answer.ends_with("late but whole"));
+    const std::string response = readResponse(*caller);
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 200")) << response;
+    EXPECT_TRUE(response.ends_with("late but whole"));
     EXPECT_EQ(exitStatus(), 0) << logText();
 }
 
-// All processes are killed at once; the store still has the records of before. The restarted one takes its
-// former server at once, under a higher token, and a user is served.
-TEST_F(edge_process_test, AKilledProcessTakesItsFormerServersUnderAHigherToken)
+// After a kill the store still has the process's ownership records. The restarted process must not have to
+// wait for their lease to expire.
+TEST_F(edge_process_test, RestartedProcessTakesItsServersAtOnceWithAHigherFencingToken)
 {
     startProcess();
     const auto first = sendRequest("/gen/x", true);
@@ -195,37 +193,34 @@
     EXPECT_GT(m_model.fence, before);
 }
 
-// A user complains about a stream that broke off. From its id and the log alone: the server that died, and
-// why it was not tried elsewhere.
-TEST_F(edge_process_test, TheLogTellsWhyAStreamBrokeOff)
+// From the log alone, an operator can find out which server cut off the stream with a given request id.
+TEST_F(edge_process_test, LogExplainsWhyAStreamWasCutOff)
 {
     startProcess();
-    m_model.now = mood::CutsStream;
+    m_model.currentBehavior = behavior::CutsStream;
     const auto caller = sendRequest("/gen/x", true);
     EXPECT_EQ(readResponse(*caller).find("0\r\n\r\n"), std::string::npos);
     const std::string story = storyText(tellStory(logText(), "id1"));
-    for (const char *part : {"request.accepted", "request.routed", "request.sent", "request.broken",
+    for (const char *expected : {"request.accepted", "request.routed", "request.sent", "request.broken",
              "\"server\":\"m-1\"", "\"last_event\":\"2\"", "request.ended", "cut_off"}) {
-        EXPECT_NE(story.find(part), std::string::npos) << part << '\n' << story;
+        EXPECT_NE(story.find(expected), std::string::npos) << expected << '\n' << story;
     }
     EXPECT_EQ(story.find("missing:"), std::string::npos) << story;
 }
 
-// A user is refused while a server is full. The log has the server's word and when the user was told to come
-// back.
-TEST_F(edge_process_test, TheLogTellsWhyARequestWasRefused)
+// The log has the reason and the Retry-After time that the caller received.
+TEST_F(edge_process_test, LogExplainsWhyARequestWasRefused)
 {
     startProcess();
-    m_plain.now = mood::Sheds;
+    m_plain.currentBehavior = behavior::Sheds;
     EXPECT_TRUE(readResponse(*sendRequest("/once/x", false)).starts_with("HTTP/1.1 503"));
     const std::string story = storyText(tellStory(logText(), "id1"));
     EXPECT_NE(story.find("the server did not take it"), std::string::npos) << story;
     EXPECT_NE(story.find("come_back_ms"), std::string::npos) << story;
 }
 
-// A user of an adapter gets the version before: an operator has named a new one, and the server still holds
-// the old. The log has when the version was heard of, and that it was asked for.
-TEST_F(edge_process_test, TheLogTellsWhichVersionWasAskedFor)
+// The log shows when a new adapter version became known, and which version was requested from the server.
+TEST_F(edge_process_test, LogShowsWhichAdapterVersionWasRequested)
 {
     startProcess();
     m_store.put("op/version/m0.a1", R"({"model":"m0","adapter":"a1","version":5})");
--- a/tests/serving/edge_test.cpp
+++ b/tests/serving/edge_test.cpp
@@ -16,61 +16,61 @@
 
 using http_testing::freePort;
 using http_testing::raw_socket;
-using mood = backend_standin::mood;
+using behavior = backend_standin::behavior;
 
 }
 
-TEST_F(edge_test, APlainRequestIsServedWithTheServersSignature)
+TEST_F(edge_test, PlainRequestIsServedWithTheServersSignature)
 {
     start();
-    const std::string answer = responseTo("/once/x");
-    EXPECT_EQ(statusOf(answer), "200") << answer;
-    EXPECT_NE(answer.find("X-Briarhead-Server-Stamp: by-p-"), std::string::npos);
+    const std::string response = responseTo("/once/x");
+    EXPECT_EQ(statusOf(response), "200") << response;
+    EXPECT_NE(response.find("X-Briarhead-Server-Stamp: by-p-"), std::string::npos);
     EXPECT_EQ(statusOf(responseTo("/nowhere/x")), "404");
 }
 
-TEST_F(edge_test, ARequestWaitsForItsAdapterAndStreamsItsEvents)
+TEST_F(edge_test, ModelRequestWaitsForItsAdapterAndStreamsItsEvents)
 {
     start();
-    const std::string answer = responseTo("/gen/x", "a7");
-    EXPECT_EQ(statusOf(answer), "200") << answer;
-    EXPECT_NE(answer.find("id: 4"), std::string::npos);
-    EXPECT_TRUE(answer.ends_with("0\r\n\r\n"));
+    const std::string response = responseTo("/gen/x", "a7");
+    EXPECT_EQ(statusOf(response), "200") << response;
+    EXPECT_NE(response.find("id: 4"), std::string::npos);
+    EXPECT_TRUE(response.ends_with("0\r\n\r\n"));
     EXPECT_EQ(requestsRunOn(m_models), 1U);
 }
 
-// A server runs a request that may run once, and its answer is lost. A user would have their order placed
-// twice if it were sent again, or be told that it wasn't placed.
-TEST_F(edge_test, WhatMayRunOnceIsNeverSentTwiceNorCalledNotRun)
+// If the response is lost, sending the request again could execute it twice, and a refusal would claim that
+// it was not executed.
+TEST_F(edge_test, NonIdempotentRequestFailsWithoutRetryWhenItsResponseIsLost)
 {
     start();
-    setMood(m_plain, mood::Resets);
+    setBehavior(m_plain, behavior::Resets);
     EXPECT_EQ(statusOf(responseTo("/once/x")), "502");
     EXPECT_EQ(requestsRunOn(m_plain), 1U);
 }
 
-TEST_F(edge_test, AnIdempotentRequestGoesToAnotherServerAfterAFailure)
+TEST_F(edge_test, IdempotentRequestIsRetriedOnAnotherServerAfterAFailure)
 {
     start();
-    m_plain[0]->now = mood::Fails;
-    m_plain[1]->now = mood::Resets;
+    m_plain[0]->currentBehavior = behavior::Fails;
+    m_plain[1]->currentBehavior = behavior::Resets;
     for (int i = 0; i < 6; ++i) {
         responseTo("/safe/x");
     }
     EXPECT_GT(m_plain[0]->ran.size(), 0U);
     EXPECT_GT(m_plain[1]->ran.size(), 0U);
-    setMood(m_plain, mood::Fails);
-    const std::string failed = responseTo("/safe/x");
-    EXPECT_EQ(statusOf(failed), "500") << "the server's own failure, with its signature";
-    EXPECT_NE(failed.find("X-Briarhead-Server-Stamp"), std::string::npos);
+    setBehavior(m_plain, behavior::Fails);
+    const std::string response = responseTo("/safe/x");
+    EXPECT_EQ(statusOf(response), "500") << "the server's own failure response, with its signature";
+    EXPECT_NE(response.find("X-Briarhead-Server-Stamp"), std::string::npos);
 }
 
-// A server says for a while that it is busy, though its health is good. A user of what may go to one server
-// only would be sent away half of the time: after a few such answers the other server gets the requests.
-TEST_F(edge_test, ABusyServerIsLeftAlone)
+// One of two servers responds "busy" to everything. Requests that may be sent to one server only would be
+// refused half of the time, so after a few such responses all go to the other server.
+TEST_F(edge_test, BusyServerIsAvoided)
 {
     start();
-    m_plain[0]->now = mood::Busy;
+    m_plain[0]->currentBehavior = behavior::Busy;
     for (int i = 0; i < 24; ++i) {
         EXPECT_EQ(statusOf(responseTo("/once/x")), "200");
     }
@@ -78,12 +78,11 @@
     EXPECT_EQ(requestsRunOn(m_plain), 24U);
 }
 
-// A server has become slow. What it has answered is delivered, also late, and what waits there counts as its
-// load, so that a user's next request goes elsewhere.
-TEST_F(edge_test, ASlowServersAnswersAreDeliveredAndOthersGetTheRest)
+// Requests in flight on a slow server count as its load, so that further requests go to the other server.
+TEST_F(edge_test, SlowServersResponsesAreDeliveredAndNewRequestsGoElsewhere)
 {
     start();
-    m_plain[0]->now = mood::Slow;
+    m_plain[0]->currentBehavior = behavior::Slow;
     std::vector<std::unique_ptr<raw_socket>> callers;
     for (int i = 0; i < 4; ++i) {
         callers.push_back(sendRequest("/once/x", ""));
@@ -91,23 +90,21 @@
     }
     EXPECT_LE(m_plain[0]->ran.size(), 2U);
     for (const auto &caller : callers) {
-        std::string seen;
+        std::string received;
         EXPECT_TRUE(runUntil([&] {
-            return !caller->receive(seen);
+            return !caller->receive(received);
         }));
-        EXPECT_EQ(statusOf(seen), "200") << seen;
-        EXPECT_NE(seen.find("served by p-"), std::string::npos);
+        EXPECT_EQ(statusOf(received), "200") << received;
+        EXPECT_NE(received.find("served by p-"), std::string::npos);
     }
     EXPECT_EQ(requestsRunOn(m_plain), 4U);
 }
 
-// Users complain that they are sent away. The metrics alone say how many, of which kind and why, and that the
-// streams that were served did not stutter.
-TEST_F(edge_test, TheMetricsTellWhyRequestsAreRefused)
+TEST_F(edge_test, MetricsCountRequestsByKindOutcomeAndReasonOfRefusal)
 {
     start();
     EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
-    setMood(m_plain, mood::Sheds);
+    setBehavior(m_plain, behavior::Sheds);
     EXPECT_EQ(statusOf(responseTo("/once/x")), "503");
     EXPECT_EQ(statusOf(responseTo("/nowhere/x")), "404");
     const auto scrape = raw_socket::connectTo(m_settings.metrics.port);
@@ -127,22 +124,21 @@
     }
 }
 
-// A server hands out the answer of an earlier request, signed and whole. A user would get another's answer.
-TEST_F(edge_test, AnAnswerWithAnothersIdReachesNobody)
+// A server returns the complete and signed response to a different request, for instance of another caller.
+TEST_F(edge_test, ResponseWithAnotherRequestIdIsNotForwarded)
 {
     start();
-    setMood(m_plain, mood::AnswersAnother);
+    setBehavior(m_plain, behavior::UsesWrongRequestId);
     for (const char *path : {"/once/x", "/safe/x"}) {
-        const std::string answer = responseTo(path);
-        EXPECT_NE(statusOf(answer).front(), '2') << answer;
-        EXPECT_EQ(answer.find("another's"), std::string::npos) << answer;
+        const std::string response = responseTo(path);
+        EXPECT_NE(statusOf(response).front(), '2') << response;
+        EXPECT_EQ(response.find("another's"), std::string::npos) << response;
     }
 }
 
-// Machines are added until the fleet falls into two cells, and the beats of a server that another daemon
-// orders end for this one. Taken for a server without an orderer it would get requests without a place: more
-// than it bears.
-TEST_F(edge_test, AServerOfAnotherCellGetsNothingWithoutAPlace)
+// The fleet grows until it is split into two heartbeat groups, and heartbeats about a server in the other
+// group stop. If its owner were considered dead, the server would be overloaded by requests without slots.
+TEST_F(edge_test, ServerMovedToAnotherHeartbeatGroupReceivesNothingWithoutASlot)
 {
     constexpr std::size_t cells = 2;
     const std::string other = heartbeatGroupOf("m-1", cells) != heartbeatGroupOf("n1", cells) ? "m-1" : "m-2";
@@ -166,54 +162,52 @@
         const std::string node = "further-" + std::to_string(i);
         m_store.put("briarhead/daemon/" + node, encode(daemon_record{node, "127.0.0.1", 9, "z", 1}));
     }
-    runRounds(2'500); // far beyond the time after which a beat is stale
+    runRounds(2'500); // much longer than heartbeatFreshFor
     responseTo("/gen/x", "a1");
     for (const auto &server : m_models) {
         EXPECT_TRUE(server->id != other || server->ran.empty());
     }
 }
 
-// A daemon is cut off from the store, not from the others: its lease ends and its record goes. Its users
-// would be served nothing, since nobody told it of servers any more or answered what it asked.
-TEST_F(edge_test, ADaemonWhoseRecordLapsedIsToldAndAnswered)
+// A daemon that is cut off from the store only loses its lease and record, but still has callers. It could
+// not serve them if the other daemons stopped sending it heartbeats and slot responses.
+TEST_F(edge_test, DaemonWithExpiredRecordStillReceivesHeartbeatsAndSlotResponses)
 {
     start();
-    other_daemon cut(m_store, m_loop, m_settings.peers, "n2", "m-2");
+    other_daemon disconnected(m_store, m_loop, m_settings.peers, "n2", "m-2");
     runRounds(800);
     m_store.remove("briarhead/daemon/n2");
-    runRounds(1'500); // until this is known
-    cut.heartbeatsReceived = 0;
-    cut.sendSlotRequest("m-1");
+    runRounds(1'500); // until the daemon has seen the removal
+    disconnected.heartbeatsReceived = 0;
+    disconnected.sendSlotRequest("m-1");
     EXPECT_TRUE(runUntil([&] {
-        return cut.heartbeatsReceived >= 3 && cut.responsesReceived >= 1;
+        return disconnected.heartbeatsReceived >= 3 && disconnected.responsesReceived >= 1;
     }));
 }
 
-// A machine is cut off from the others with the record of a server, while its lease in the store lives on.
-// Its users elsewhere would wait for places that nobody grants; a daemon that hears the others takes the
-// server.
-TEST_F(edge_test, ASilentHolderIsReplaced)
+// An owner is cut off from the other daemons, but keeps its lease in the store. Requests for slots on its
+// server would remain unanswered until a daemon that receives the other heartbeats replaces it.
+TEST_F(edge_test, UnresponsiveOwnerIsReplaced)
 {
     start();
-    other_daemon silent(m_store, m_loop, m_settings.peers, "n2", "m-1");
-    other_daemon heard(m_store, m_loop, m_settings.peers, "n3", "m-2");
-    silent.sendHeartbeat();
+    other_daemon unresponsive(m_store, m_loop, m_settings.peers, "n2", "m-1");
+    other_daemon responsive(m_store, m_loop, m_settings.peers, "n3", "m-2");
+    unresponsive.sendHeartbeat();
     const auto ownerOf = [this](const std::string &server) {
         error why;
         const auto record = decodeOrderer(m_store.items.at("briarhead/orderer/" + server).value, why);
         return record ? record->node : std::string();
     };
     EXPECT_TRUE(runUntil([&] {
-        heard.sendHeartbeat();
+        responsive.sendHeartbeat();
         return ownerOf("m-1") == "n1";
     }));
     EXPECT_EQ(ownerOf("m-2"), "n3");
 }
 
-// The machine itself is cut off from the others. Its users would wait for places until they are given up: the
-// balancer is told to send them elsewhere, and those who come are sent there at once. Plain requests need no
-// place and are served.
-TEST_F(edge_test, WhoHearsNobodySendsItsCallersElsewhere)
+// This daemon is cut off from the others. Model requests would wait for slots in vain, so they are refused
+// with a short Retry-After and the readiness check fails. Plain requests need no slot and are served.
+TEST_F(edge_test, IsolatedDaemonIsNotReadyAndRefusesModelRequestsAtOnce)
 {
     start();
     other_daemon first(m_store, m_loop, m_settings.peers, "n2", "m-1");
@@ -223,10 +217,10 @@
     runRounds(1'400);
     EXPECT_EQ(readiness(), "503");
     const millis before = bootNow();
-    const std::string answer = responseTo("/gen/x", "a1");
-    EXPECT_EQ(statusOf(answer), "503");
-    EXPECT_NE(answer.find("Retry-After: 0.05"), std::string::npos) << answer;
-    EXPECT_NE(answer.find("Connection: close"), std::string::npos) << answer;
+    const std::string response = responseTo("/gen/x", "a1");
+    EXPECT_EQ(statusOf(response), "503");
+    EXPECT_NE(response.find("Retry-After: 0.05"), std::string::npos) << response;
+    EXPECT_NE(response.find("Connection: close"), std::string::npos) << response;
     EXPECT_LT((bootNow() - before).count, 400);
     EXPECT_EQ(statusOf(responseTo("/safe/x")), "200");
     first.sendHeartbeat();
@@ -236,100 +230,99 @@
     EXPECT_EQ(readiness(), "200");
 }
 
-// One server runs a request and loses its answer, the others are gone. "Not run" would be a lie.
-TEST_F(edge_test, AfterASendThatMayHaveRunNothingIsCalledNotRun)
+// One server runs the request and loses the response, the other one rejects it. A refusal would wrongly claim
+// that the request did not run.
+TEST_F(edge_test, RequestThatMayHaveRunFailsInsteadOfBeingRefused)
 {
     start();
-    m_plain[0]->now = mood::Resets;
-    m_plain[1]->now = mood::Sheds;
+    m_plain[0]->currentBehavior = behavior::Resets;
+    m_plain[1]->currentBehavior = behavior::Sheds;
     for (int i = 0; i < 4; ++i) {
         const std::size_t before = requestsRunOn(m_plain);
-        const std::string answer = responseTo("/safe/x");
-        EXPECT_EQ(statusOf(answer), requestsRunOn(m_plain) > before ? "502" : "503");
+        const std::string response = responseTo("/safe/x");
+        EXPECT_EQ(statusOf(response), requestsRunOn(m_plain) > before ? "502" : "503");
     }
     EXPECT_GT(requestsRunOn(m_plain), 0U);
 }
 
-// A server says that it did not run a request. The user is told so at once, with when to come back, and not
-// kept waiting.
-TEST_F(edge_test, WhatNoServerTookIsRefusedAtOnce)
+TEST_F(edge_test, RequestRejectedByAllServersIsRefusedAtOnceWithRetryAfter)
 {
     start();
-    setMood(m_plain, mood::Sheds);
+    setBehavior(m_plain, behavior::Sheds);
     const millis before = bootNow();
-    const std::string answer = responseTo("/once/x");
-    EXPECT_EQ(statusOf(answer), "503");
-    EXPECT_NE(answer.find("Retry-After: 0."), std::string::npos);
+    const std::string response = responseTo("/once/x");
+    EXPECT_EQ(statusOf(response), "503");
+    EXPECT_NE(response.find("Retry-After: 0."), std::string::npos);
     EXPECT_LT((bootNow() - before).count, 2'000) << "long before its deadline of 4 s";
     EXPECT_EQ(requestsRunOn(m_plain), 0U);
 }
 
-// A server answers without its signature. A user would take bytes for an answer that no server vouches for.
-TEST_F(edge_test, AnAnswerWithoutASignatureIsNoSuccess)
+// An unsigned response may not come from the server at all.
+TEST_F(edge_test, UnsignedResponseIsNotForwarded)
 {
     start();
-    setMood(m_plain, mood::Unsigned);
-    const std::string answer = responseTo("/once/x");
-    EXPECT_EQ(statusOf(answer), "502");
-    EXPECT_EQ(answer.find("not signed"), std::string::npos);
+    setBehavior(m_plain, behavior::Unsigned);
+    const std::string response = responseTo("/once/x");
+    EXPECT_EQ(statusOf(response), "502");
+    EXPECT_EQ(response.find("not signed"), std::string::npos);
 }
 
-// A server breaks off a stream in the middle of an event. Where the stream may be resumed, the user's goes on
-// at another server right behind the last whole event; each event comes once.
-TEST_F(edge_test, AResumableStreamGoesOnAtAnotherServer)
+// A server cuts a stream off in the middle of an event. Another server continues behind the last complete
+// event, so that the caller receives each event once.
+TEST_F(edge_test, ResumableStreamContinuesOnAnotherServer)
 {
     m_initialAdapters["m-1"] = {"a1"};
     start();
-    m_models[0]->now = mood::CutsStream;
-    const std::string seen = responseTo("/resume/x", "a1");
+    m_models[0]->currentBehavior = behavior::CutsStream;
+    const std::string received = responseTo("/resume/x", "a1");
     for (const char *event : {"id: 1\n", "id: 2\n", "id: 3\n", "id: 4\n"}) {
-        EXPECT_NE(seen.find(event), std::string::npos) << event;
-        EXPECT_EQ(seen.find(event), seen.rfind(event)) << event;
+        EXPECT_NE(received.find(event), std::string::npos) << event;
+        EXPECT_EQ(received.find(event), received.rfind(event)) << event;
     }
-    EXPECT_EQ(seen.find("id: 99"), std::string::npos);
-    EXPECT_TRUE(seen.ends_with("0\r\n\r\n"));
+    EXPECT_EQ(received.find("id: 99"), std::string::npos);
+    EXPECT_TRUE(received.ends_with("0\r\n\r\n"));
     EXPECT_EQ(requestsRunOn(m_models), 2U);
 }
 
-// A stream goes on at a second server, and runs there for long. Its prompt has been read, but the daemon that
-// lets prompts in there was not told: the next user's prompt would wait for the end of the stream.
-TEST_F(edge_test, AResumedStreamsPromptCountsAsReadAtItsNewServer)
+// Regression: the owner of the second server wasn't notified of a resumed stream's first event. It considered
+// the prompt unread, and the next prompt had to wait for the end of the stream.
+TEST_F(edge_test, PromptOfAResumedStreamCountsAsReadOnTheNewServer)
 {
     m_initialAdapters["m-1"] = {"a1"};
     m_promptTokens = 2'000; // two of them are more than is let in at once
     start();
-    m_models[0]->now = mood::CutsStream;
-    m_models[1]->now = mood::HoldsStream;
+    m_models[0]->currentBehavior = behavior::CutsStream;
+    m_models[1]->currentBehavior = behavior::HoldsStream;
     const auto caller = sendRequest("/resume/x", "a1");
-    std::string seen;
+    std::string received;
     ASSERT_TRUE(runUntil([&] {
-        caller->receive(seen);
-        return seen.find("id: 4\n") != std::string::npos;
-    })) << seen;
+        caller->receive(received);
+        return received.find("id: 4\n") != std::string::npos;
+    })) << received;
     m_store.put("servers/m-1", m_models[0]->entry("draining"));
     runRounds(50);
-    m_models[1]->now = mood::Serves;
+    m_models[1]->currentBehavior = behavior::Serves;
     EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
     EXPECT_EQ(m_models[1]->ran.size(), 2U);
 }
 
-// The same where it may not be resumed: the user must see that the answer is not whole.
-TEST_F(edge_test, AnotherStreamEndsVisiblyCutOff)
+// The caller must notice that the response is incomplete.
+TEST_F(edge_test, NonResumableStreamEndsWithoutFinalChunkWhenCutOff)
 {
     m_initialAdapters["m-1"] = {"a1"};
     start();
-    setMood(m_models, mood::CutsStream);
-    const std::string seen = responseTo("/gen/x", "a1");
-    EXPECT_NE(seen.find("id: 2\n"), std::string::npos);
-    EXPECT_EQ(seen.find("0\r\n\r\n"), std::string::npos);
+    setBehavior(m_models, behavior::CutsStream);
+    const std::string received = responseTo("/gen/x", "a1");
+    EXPECT_NE(received.find("id: 2\n"), std::string::npos);
+    EXPECT_EQ(received.find("0\r\n\r\n"), std::string::npos);
     EXPECT_EQ(requestsRunOn(m_models), 1U);
 }
 
-// A user leaves; the server would go on for nobody and hold a slot that others wait for.
-TEST_F(edge_test, WhenTheCallerLeavesItsServerStopsWorking)
+// Otherwise the server would continue for nobody and occupy a slot that other requests wait for.
+TEST_F(edge_test, RequestIsCancelledOnItsServerWhenTheCallerDisconnects)
 {
     start();
-    setMood(m_plain, mood::Silent);
+    setBehavior(m_plain, behavior::Silent);
     auto caller = sendRequest("/once/x");
     ASSERT_TRUE(runUntil([&] {
         return requestsRunOn(m_plain) == 1;
@@ -340,21 +333,19 @@
     }));
 }
 
-// A server falls silent. The answer comes at the route's time limit, not later, and doesn't promise that
-// nothing ran.
-TEST_F(edge_test, ASilentServerIsAnsweredForAtTheRoutesTimeout)
+TEST_F(edge_test, UnresponsiveServerGives504AtTheRoutesTimeout)
 {
     m_timeoutMs = 600;
     start();
-    setMood(m_plain, mood::Silent);
+    setBehavior(m_plain, behavior::Silent);
     const millis before = bootNow();
     EXPECT_EQ(statusOf(responseTo("/once/x")), "504");
     EXPECT_GE((bootNow() - before).count, 590);
 }
 
-// A new version of an adapter is named. From then on a user's request carries it, so that a server which
-// still has the old one refuses instead of answering with it.
-TEST_F(edge_test, ANamedVersionIsAskedForByName)
+// Requests carry the adapter version that the store has announced, so that a server which still has an older
+// one rejects them.
+TEST_F(edge_test, AnnouncedAdapterVersionIsSentToTheServer)
 {
     start();
     m_store.put("op/version/m0.a1", R"({"model":"m0","adapter":"a1","version":5})");
@@ -367,22 +358,21 @@
     EXPECT_EQ(*version, "5");
 }
 
-// Every place of every server is used by a stream that still runs. A user of another adapter is refused at
-// once with when to come back, and no adapter in use is thrown out for it.
-TEST_F(edge_test, WithoutAPlaceForItsAdapterARequestIsRefusedAtOnce)
+// All adapter slots are used by running streams. No adapter in use is evicted for the new request.
+TEST_F(edge_test, RequestWithoutAnAdapterSlotIsRefusedAtOnceWithRetryAfter)
 {
     m_adapterSlots = 1;
     start();
-    setMood(m_models, mood::Silent);
+    setBehavior(m_models, behavior::Silent);
     const auto first = sendRequest("/gen/x", "a1");
     const auto second = sendRequest("/gen/x", "a2");
     ASSERT_TRUE(runUntil([&] {
         return requestsRunOn(m_models) == 2;
     }));
     const millis before = bootNow();
-    const std::string answer = responseTo("/gen/x", "a3");
-    EXPECT_EQ(statusOf(answer), "503") << answer;
-    EXPECT_NE(answer.find("Retry-After"), std::string::npos);
+    const std::string response = responseTo("/gen/x", "a3");
+    EXPECT_EQ(statusOf(response), "503") << response;
+    EXPECT_NE(response.find("Retry-After"), std::string::npos);
     EXPECT_LT((bootNow() - before).count, 1'000);
     for (const auto &server : m_models) {
         for (const auto &order : server->orders) {
@@ -391,13 +381,13 @@
     }
 }
 
-// The daemon loses the store, and another may claim its servers once its lease has ended. On servers that
-// check no tokens it gives no order past that; what they hold is served all the same.
-TEST_F(edge_test, WithoutAProvedLeaseNothingIsOrderedOnServersThatCheckNoTokens)
+// After the daemon has lost the store, another daemon may claim its servers once its lease has expired. If
+// servers don't check fencing tokens, it must not send orders after that. Resident adapters are still served.
+TEST_F(edge_test, WithoutValidLeaseNoOrdersGoToServersThatDoNotCheckFencingTokens)
 {
     m_settings.serversCheckFencingTokens = false;
     start();
-    runRounds(2'600); // a new daemon waits for the lease of one that it may not have seen
+    runRounds(2'600); // a new daemon waits for the lease of a possible earlier owner to expire
     ASSERT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
     m_client.trouble = store_trouble::Silent;
     runRounds(2'600);
@@ -409,18 +399,18 @@
     EXPECT_EQ(orders(), before);
     EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "200");
     m_client.trouble = store_trouble::None;
-    std::string last;
-    for (int tries = 0; last != "200" && tries < 80; ++tries) {
-        last = statusOf(responseTo("/gen/x", "a2"));
+    std::string status;
+    for (int tries = 0; status != "200" && tries < 80; ++tries) {
+        status = statusOf(responseTo("/gen/x", "a2"));
         runRounds(100);
     }
-    EXPECT_EQ(last, "200");
+    EXPECT_EQ(status, "200");
 }
 
-// A daemon comes back from a cut: its lease has ended, another daemon has claimed its servers, and it is
-// granted a new lease before it has read the store. The new lease proves nothing of records that went with
-// the old one; two daemons would order the same servers.
-TEST_F(edge_test, ANewLeaseProvesNoRecordsOfTheOldOne)
+// After a disconnection the daemon's lease has expired, another daemon has claimed its servers, and it is
+// granted a new lease before it has read the store. If it took the new lease as a confirmation of its old
+// records, two daemons would send orders to the same servers.
+TEST_F(edge_test, NewLeaseDoesNotConfirmOwnershipUnderTheOldOne)
 {
     m_settings.serversCheckFencingTokens = false;
     start();
@@ -443,9 +433,9 @@
     EXPECT_EQ(orders(), before);
 }
 
-// Both model servers start again under their ids: empty, and with their counts at 0. A user whose adapter was
-// there is served once it has been loaded anew, and not refused by a server that is believed to hold it.
-TEST_F(edge_test, AServerThatStartsAgainUnderItsIdIsOrderedAnew)
+// Both model servers restart under the same ids, with nothing resident and their sequences at 0. The daemon
+// must not assume that adapters are still resident there.
+TEST_F(edge_test, AdaptersAreLoadedAgainAfterAServerRestartsUnderItsId)
 {
     start();
     for (const char *adapter : {"a1", "a2", "a3"}) {
@@ -458,14 +448,14 @@
         server->fence = 0;
         m_store.put("servers/" + server->id, server->entry());
     }
-    runRounds(1'200); // the pause between two watches, and a report
+    runRounds(1'200); // the pause between two watches, and a report request
     for (const char *adapter : {"a1", "a2", "a3"}) {
         EXPECT_EQ(statusOf(responseTo("/gen/x", adapter)), "200");
     }
 }
 
-// The same where servers check tokens: they are their own guard, and users of other adapters are served on.
-TEST_F(edge_test, WithoutTheStoreOrdersGoOnWhereServersCheckTokens)
+// Servers that check fencing tokens reject orders of outdated owners themselves.
+TEST_F(edge_test, WithoutTheStoreOrdersContinueIfServersCheckFencingTokens)
 {
     start();
     m_client.trouble = store_trouble::Silent;
@@ -473,9 +463,8 @@
     EXPECT_EQ(statusOf(responseTo("/gen/x", "a2")), "200");
 }
 
-// A server's address is taken over by another one. It refuses what names the server before, and nothing runs
-// there.
-TEST_F(edge_test, AServerWithAReusedAddressRunsNothingOfAnothers)
+// A new server uses the address of an earlier one. It rejects requests that name the earlier one.
+TEST_F(edge_test, ServerWithReusedAddressRunsNoRequestsForTheEarlierServer)
 {
     start();
     for (const auto &server : m_plain) {
@@ -485,55 +474,53 @@
     EXPECT_EQ(requestsRunOn(m_plain), 0U);
 }
 
-// A request waits for a place while, elsewhere, the third server ends under its like. It is refused at once
-// and not held towards its deadline; that it has not run is true.
-TEST_F(edge_test, ARequestThatWaitsIsRefusedOnceServersAreKnownToHaveEndedUnderIt)
+// While a request waits for a slot, another daemon reports the third server crash caused by the same request.
+// It is refused at once instead of at its deadline.
+TEST_F(edge_test, WaitingRequestIsRefusedOnceItIsKnownToCrashServers)
 {
     start();
     other_daemon first(m_store, m_loop, m_settings.peers, "n2", "m-1");
     other_daemon second(m_store, m_loop, m_settings.peers, "n3", "m-2");
-    const auto beats = m_loop.timer({100}, {100}, [&] {
+    const auto heartbeats = m_loop.timer({100}, {100}, [&] {
         first.sendHeartbeat();
         second.sendHeartbeat();
     });
     runRounds(300);
-    const auto caller = sendRequest("/gen/x", "a1"); // neither of them answers
+    const auto caller = sendRequest("/gen/x", "a1"); // neither owner responds
     runRounds(60);
-    const crash_news news{fingerprintOf({{}, "POST", "h", "/gen/x", "hi"}), {"s1", "s2", "s3"}};
-    first.send(news);
-    std::string seen;
+    const crash_news report{fingerprintOf({{}, "POST", "h", "/gen/x", "hi"}), {"s1", "s2", "s3"}};
+    first.send(report);
+    std::string received;
     EXPECT_TRUE(runUntil([&] {
-        return !caller->receive(seen);
+        return !caller->receive(received);
     }));
-    EXPECT_EQ(statusOf(seen), "503") << seen;
-    EXPECT_NE(seen.find("servers ended under this request"), std::string::npos) << seen;
-    const std::size_t at = seen.find("Retry-After: ");
-    ASSERT_NE(at, std::string::npos) << seen;
-    const double wait = std::stod(seen.substr(at + std::strlen("Retry-After: ")));
-    EXPECT_GT(wait, 5) << "until it is tried again, not until something else passes";
+    EXPECT_EQ(statusOf(received), "503") << received;
+    EXPECT_NE(received.find("servers ended under this request"), std::string::npos) << received;
+    const std::size_t at = received.find("Retry-After: ");
+    ASSERT_NE(at, std::string::npos) << received;
+    const double wait = std::stod(received.substr(at + std::strlen("Retry-After: ")));
+    EXPECT_GT(wait, 5) << "until the next probe, not the Retry-After of transient causes";
     EXPECT_LE(wait, static_cast<double>(trialWaits[0].count) / 1'000);
     EXPECT_EQ(requestsRunOn(m_models), 0U);
 }
 
-// One plain server has just ended, and the other one is full. The caller got that one's 503 as it was,
-// without when to come back: all servers had been tried, and the answer of the last one was passed on though
-// it had run nothing.
-TEST_F(edge_test, WhenTheLastServerIsFullTheCallerIsToldWhenToComeBack)
+// Regression: with one plain server down and the other one overloaded, the 503 of the last server tried was
+// forwarded to the caller without Retry-After.
+TEST_F(edge_test, RefusalHasRetryAfterWhenTheLastServerTriedIsOverloaded)
 {
     start();
     m_plain[0].reset();
-    m_plain[1]->now = mood::Sheds;
+    m_plain[1]->currentBehavior = behavior::Sheds;
     for (int i = 0; i < 8; ++i) {
-        const std::string seen = responseTo("/once/x");
-        EXPECT_EQ(statusOf(seen), "503");
-        EXPECT_NE(seen.find("Retry-After: "), std::string::npos) << seen;
+        const std::string received = responseTo("/once/x");
+        EXPECT_EQ(statusOf(received), "503");
+        EXPECT_NE(received.find("Retry-After: "), std::string::npos) << received;
     }
 }
 
-// A load of the base model takes seconds. Asking its server all the while whether it is done costs processor
-// time on both sides, and health checks have a price: the number of reports goes by the load's length, not by
-// the speed of the net.
-TEST_F(edge_test, ALoadIsAskedAfterAFewTimesASecondHoweverLongItTakes)
+// While a base model loads, which takes seconds, each report request costs CPU time on both sides. Their
+// number must depend on the duration of the load and not on the network latency.
+TEST_F(edge_test, ReportsAreRequestedOnlyAFewTimesPerSecondDuringALoad)
 {
     start();
     for (const int loadMs : {700, 3'900}) {
@@ -541,21 +528,21 @@
         server.holdsModel = false;
         server.adapters.clear();
         server.modelLoadTime = millis{loadMs};
-        ++server.startedAtMs; // it starts again, and holds nothing
+        ++server.startedAtMs; // simulates a restart with nothing resident
         ++server.sequence;
         m_store.put("servers/" + server.id, server.entry());
-        const std::size_t before = server.reports;
+        const std::size_t before = server.reportRequests;
         runUntil([&] {
             return server.holdsModel;
         });
         EXPECT_TRUE(server.holdsModel);
-        EXPECT_LE(server.reports - before, static_cast<std::size_t>(loadMs) / 250 + 8) << loadMs;
+        EXPECT_LE(server.reportRequests - before, static_cast<std::size_t>(loadMs) / 250 + 8) << loadMs;
     }
 }
 
-// An order was on its way when this daemon took the record anew, under another token: its answer was passed
-// over, and nothing was ordered there any more.
-TEST_F(edge_test, AnOrderOnItsWayWhenTheRecordIsTakenAnewHoldsUpNoOther)
+// Regression: if the daemon's ownership record was renewed under another fencing token while an order was in
+// flight, the response was ignored and no further order was ever sent to that server.
+TEST_F(edge_test, OrderInFlightDuringAChangeOfFencingTokenBlocksNoLaterOrders)
 {
     start();
     for (const auto &server : m_models) {
@@ -567,11 +554,11 @@
     }));
     const std::string key = "briarhead/orderer/" + m_models[m_models[0]->orders.empty() ? 1 : 0]->id;
     m_store.put(key, m_store.items.at(key).value);
-    std::string seen;
+    std::string received;
     EXPECT_TRUE(runUntil([&] {
-        return !caller->receive(seen);
+        return !caller->receive(received);
     }));
-    EXPECT_EQ(statusOf(seen), "200") << seen;
+    EXPECT_EQ(statusOf(received), "200") << received;
     EXPECT_EQ(statusOf(responseTo("/gen/x", "a8")), "200");
 }
 
--- a/tests/serving/heartbeat_groups_test.cpp
+++ b/tests/serving/heartbeat_groups_test.cpp
@@ -24,72 +24,73 @@
 
 fleet fleetOf(std::size_t daemons, std::size_t domains, std::size_t servers)
 {
-    fleet made;
+    fleet result;
     for (std::size_t i = 0; i < daemons; ++i) {
         const std::string node = "entry-" + std::to_string(i);
-        made.daemons[node] = {node, "10.0.0.1", 7'000, "domain-" + std::to_string(i % domains), 1};
+        result.daemons[node] = {node, "10.0.0.1", 7'000, "domain-" + std::to_string(i % domains), 1};
     }
     for (std::size_t i = 0; i < servers; ++i) {
-        made.servers.push_back("i-" + std::to_string(i * 7'919));
+        result.servers.push_back("i-" + std::to_string(i * 7'919));
     }
-    return made;
+    return result;
 }
 
-server_beat beatFor(const std::string &server)
+server_beat serverHeartbeatOf(const std::string &server)
 {
-    server_beat beat;
-    beat.server = server;
+    server_beat heartbeat;
+    heartbeat.server = server;
     for (int i = 0; i < 5; ++i) {
-        beat.adapters.push_back({adapterHash(server + std::to_string(i)), false});
+        heartbeat.adapters.push_back({adapterHash(server + std::to_string(i)), false});
     }
-    return beat;
+    return heartbeat;
 }
 
-/// The beats of one daemon that gives the orders of `servers`.
-fleet_beat beatOf(const std::vector<std::string> &servers)
+/// The heartbeat of a daemon that owns `servers`.
+fleet_beat fleetHeartbeatOf(const std::vector<std::string> &servers)
 {
-    fleet_beat beat;
+    fleet_beat heartbeat;
     for (const std::string &server : servers) {
-        beat.servers.push_back(beatFor(server));
+        heartbeat.servers.push_back(serverHeartbeatOf(server));
     }
-    return beat;
+    return heartbeat;
 }
 
-/// Who hears of a server in one relayed round, directly or passed on; each at most once.
+/// The daemons that receive heartbeats about a server in a round with relays, directly or relayed.
 std::multiset<std::string> recipientsOf(
-    const fleet &built, const daemon_record &owner, const std::string &server)
+    const fleet &simulated, const daemon_record &owner, const std::string &server)
 {
-    std::multiset<std::string> heard;
+    std::multiset<std::string> recipients;
     for (const heartbeat_delivery &delivery :
-        planHeartbeats(built.shape(), owner, beatOf({server}), relayIntervalRounds)) {
-        for (const daemon_record *to : delivery.recipients) {
-            heard.insert(to->node);
+        planHeartbeats(simulated.shape(), owner, fleetHeartbeatOf({server}), relayIntervalRounds)) {
+        for (const daemon_record *recipient : delivery.recipients) {
+            recipients.insert(recipient->node);
             if (delivery.heartbeat.relay) {
-                for (const daemon_record *further : relayTargets(built.shape(), *to, delivery.heartbeat)) {
-                    heard.insert(further->node);
+                for (const daemon_record *relayed :
+                    relayTargets(simulated.shape(), *recipient, delivery.heartbeat)) {
+                    recipients.insert(relayed->node);
                 }
             }
         }
     }
-    return heard;
+    return recipients;
 }
 
-/// What daemons send for a server in a round, in bytes. `limited`: each server names a limit.
+/// The mean number of bytes that daemons send per server and round. `limited`: each server announces a limit.
 double bytesOf(std::size_t daemons, std::size_t domains, std::size_t servers, bool limited = false)
 {
-    const fleet built = fleetOf(daemons, domains, servers);
+    const fleet simulated = fleetOf(daemons, domains, servers);
     double bytes = 0;
     std::size_t next = 0;
-    for (const auto &[node, record] : built.daemons) {
+    for (const auto &[node, record] : simulated.daemons) {
         for (std::size_t i = 0; i * daemons < servers; ++i) {
-            const std::string &server = built.servers[next++ % servers];
-            fleet_beat beat = beatOf({server});
+            const std::string &server = simulated.servers[next++ % servers];
+            fleet_beat heartbeat = fleetHeartbeatOf({server});
             if (limited) {
-                beat.limits.push_back({server, 1'700, 580});
+                heartbeat.limits.push_back({server, 1'700, 580});
             }
             for (int round = 1; round <= relayIntervalRounds; ++round) {
                 for (const heartbeat_delivery &delivery :
-                    planHeartbeats(built.shape(), record, beat, round)) {
+                    planHeartbeats(simulated.shape(), record, heartbeat, round)) {
                     bytes += static_cast<double>(encode(fleet_datagram{node, 1, delivery.heartbeat}).size())
                         * static_cast<double>(delivery.recipients.size());
                 }
@@ -101,43 +102,41 @@
 
 }
 
-// On a small deployment everyone hears of every server, once a round.
-TEST(BeatCells, ASmallFleetIsOneCell)
+TEST(HeartbeatGroups, InASmallFleetEveryDaemonReceivesEachHeartbeatOnce)
 {
     const fleet small = fleetOf(80, 4, 94);
     const daemon_record &owner = small.daemons.begin()->second;
-    const auto heard = recipientsOf(small, owner, small.servers.front());
-    EXPECT_EQ(heard.size(), small.daemons.size() - 1);
-    EXPECT_EQ(std::set<std::string>(heard.begin(), heard.end()).size(), heard.size());
+    const auto received = recipientsOf(small, owner, small.servers.front());
+    EXPECT_EQ(received.size(), small.daemons.size() - 1);
+    EXPECT_EQ(std::set<std::string>(received.begin(), received.end()).size(), received.size());
     EXPECT_EQ(heartbeatGroupsIn(small.shape(), "domain-1"), 1U);
 }
 
-// A fleet grows. Each daemon still hears of about as many servers, in all failure domains, and each server is
-// heard of by someone in each.
-TEST(BeatCells, ADaemonHearsOfItsCellsServersInEachFailureDomain)
+// The number of servers per daemon stays about the same in a larger fleet, and each server is known to
+// daemons in all failure domains.
+TEST(HeartbeatGroups, InALargeFleetHeartbeatsReachTheServersGroupInEachFailureDomain)
 {
     const fleet large = fleetOf(300, 4, 220);
     const std::size_t groups = heartbeatGroupsIn(large.shape(), "domain-0");
     EXPECT_EQ(groups, 3U);
     const daemon_record &owner = large.daemons.begin()->second;
-    std::map<std::string, std::size_t> heardBy;
+    std::map<std::string, std::size_t> receivedBy;
     for (const std::string &server : large.servers) {
         std::set<std::string> domains;
         for (const std::string &node : recipientsOf(large, owner, server)) {
-            ++heardBy[node];
+            ++receivedBy[node];
             domains.insert(large.daemons.at(node).failureDomain);
             EXPECT_EQ(heartbeatGroupOf(node, groups), heartbeatGroupOf(server, groups));
         }
         EXPECT_EQ(domains.size(), 4U) << server;
     }
-    for (const auto &[node, count] : heardBy) {
+    for (const auto &[node, count] : receivedBy) {
         EXPECT_LT(count, 2 * large.servers.size() / groups) << node;
     }
 }
 
-// What a daemon sends for each server must not grow with the fleet: beats to everyone would be 15 times as
-// many at 1,200 daemons as at 80.
-TEST(BeatCells, ADaemonsBytesDoNotGrowWithTheFleet)
+// Heartbeats to every daemon would be 15 times as many at 1,200 daemons as at 80.
+TEST(HeartbeatGroups, HeartbeatBytesPerServerDoNotGrowWithTheFleet)
 {
     const double current = bytesOf(80, 4, 94);
     const double larger = bytesOf(300, 4, 300);
@@ -148,8 +147,7 @@
     EXPECT_LT(largest, 1.2 * current);
 }
 
-// What limits of servers add must not grow with the fleet either, though each server names one.
-TEST(BeatCells, LimitsAddBytesThatDoNotGrowWithTheFleet)
+TEST(HeartbeatGroups, BytesForLimitsDoNotGrowWithTheFleet)
 {
     const auto added = [](std::size_t daemons, std::size_t domains, std::size_t servers) {
         return bytesOf(daemons, domains, servers, true) - bytesOf(daemons, domains, servers);
@@ -164,9 +162,9 @@
     EXPECT_LT(largest, 1.2 * current);
 }
 
-// An adapter is nowhere in the own cell. Its first server by rendezvous, in another cell, may have it, so it
-// is asked although nothing is known of it; servers of other cells further down the order are not.
-TEST(BeatCells, AnAdaptersFirstServersAreAskedUnheard)
+// The adapter isn't resident in this entry's heartbeat group. A server of another group is a candidate only
+// in the first positions of the adapter's rendezvous order, where the adapter is probably resident.
+TEST(HeartbeatGroups, FirstServersInRendezvousOrderAreChosenWithoutHeartbeats)
 {
     model_candidate near;
     near.availableSlots = 2;
@@ -179,7 +177,7 @@
     EXPECT_EQ(chooseModelServer({near, home}, prompt), 0U);
     near.adapter = adapter_residency::Resident;
     home.hashRank = 0;
-    EXPECT_EQ(chooseModelServer({near, home}, prompt), 0U) << "a copy in the own cell comes first";
+    EXPECT_EQ(chooseModelServer({near, home}, prompt), 0U) << "a copy in the entry's own group is preferred";
 }
 
 }
--- a/tests/serving/limit_check.h
+++ b/tests/serving/limit_check.h
@@ -6,32 +6,32 @@
 #include <string>
 #include <vector>
 
-// Holds what a server got against the limit that it named.
+// Checks the requests that a server received against the rate limits that it had announced.
 namespace briarhead {
 
-/// A limit that a server names for a while.
+/// A period during which a server announces a limit.
 struct limit_period
 {
     millis from;
-    millis until; ///< 0: still
+    millis until; ///< 0 if the period hasn't ended
     double perSecond = 0;
 };
 
-/// A request that reached a server, whatever became of it.
+/// A request that reached a server, whether it was run or not.
 struct received_request
 {
-    std::string id; ///< of the caller's attempt; empty: a question of a daemon's own
+    std::string id; ///< of the caller's request; empty for report requests
     millis at;
 };
 
-/// From the naming of a limit until daemons have to keep to it, the length of the windows that count, and
-/// what they may hold.
+/// Daemons have to keep a limit from `limitReactionTime` after it was first announced. In any window of
+/// length `limitWindow` there may be `maxLimitOverage` times the limit, plus `limitSlackRequests` requests.
 constexpr millis limitReactionTime{3'000};
 constexpr millis limitWindow{4'000};
 constexpr double maxLimitOverage = 1.5;
 constexpr double limitSlackRequests = 5;
 
-/// The first window with more arrivals than its spell allows, in words; nothing: all is within.
+/// Describes the first window with more arrivals than its period allows, or returns nothing.
 std::optional<std::string> findLimitViolation(
     const std::vector<limit_period> &periods, std::vector<millis> arrivals, millis now);
 
--- a/tests/serving/notice_check.h
+++ b/tests/serving/notice_check.h
@@ -8,33 +8,31 @@
 #include <string>
 #include <vector>
 
-// Holds what a server got against what it had said of itself: that it leaves, and that it wants nothing from
-// a daemon for a while.
+// Checks the requests that a server received against its notices: that it is leaving, and that it wants a
+// daemon to pause.
 namespace briarhead {
 
-/// An answer that said so.
+/// A notice that a server sent in a response.
 struct sent_notice
 {
-    std::string id; ///< of the request that it answered
+    std::string id; ///< of the request that was responded to
     millis at;
     bool leaving = false;
-    millis pause; ///< 0: none
+    millis pause; ///< requested pause; 0 for none
 };
 
-/// From such an answer until the daemon that got it has to go by it, and the requests that may come in a
-/// pause.
+/// The time within which a daemon has to react to a notice, and the requests that are tolerated in a pause.
 constexpr millis leavingReactionTime{2'000};
 constexpr millis pauseReactionTime{500};
 constexpr std::size_t maxRequestsInPause = 2;
 
-/// The daemon that sent a request, by its id; empty: what it sent doesn't count.
+/// Returns the daemon that sent a request, by its id, or an empty string if the request is not to be counted.
 using sender_of = std::function<std::string(const std::string &id, millis at)>;
 
-/// The first request that reached a server too long after its daemon was told that the server leaves, in
-/// words.
+/// Describes the first request that a daemon sent too long after it was notified that the server is leaving.
 std::optional<std::string> findSendAfterLeaving(const std::vector<sent_notice> &notices,
     const std::vector<received_request> &arrivals, const sender_of &senderOf);
-/// The first pause in which too many requests came from the daemon that was asked for it, in words.
+/// Describes the first pause in which the daemon that was asked for it sent too many requests.
 std::optional<std::string> findSendInPause(const std::vector<sent_notice> &notices,
     const std::vector<received_request> &arrivals, const sender_of &senderOf);
 
--- a/tests/serving/other_daemon.h
+++ b/tests/serving/other_daemon.h
@@ -11,8 +11,7 @@
 
 namespace briarhead {
 
-/// Another daemon, as far as this one hears of it: it lives by the store, holds the record of a server, and
-/// is heard when it beats.
+/// Simulates another daemon: it is registered in the store, owns a server, and sends and receives datagrams.
 class other_daemon
 {
 public:
@@ -41,7 +40,7 @@
         heartbeat.limits = limits;
         m_port->send(m_to, {m_node, 1, heartbeat});
     }
-    /// As the daemon that took a server's record later than any other.
+    /// Sends a heartbeat as the server's newest owner, with the highest fencing token.
     void sendHeartbeatAsSuccessor(const std::string &server)
     {
         server_beat heartbeat = m_heartbeat;
@@ -75,8 +74,8 @@
     }
     int heartbeatsReceived = 0;
     int responsesReceived = 0;
-    std::vector<limit_beat> limits; ///< that its beats tell of
-    std::vector<limit_beat> limitsReceived; ///< in the latest beat that told of any
+    std::vector<limit_beat> limits; ///< sent in its heartbeats
+    std::vector<limit_beat> limitsReceived; ///< from the latest heartbeat that had any
     std::vector<place_ask> slotRequests;
     std::vector<limit_note> limitReports;
     std::vector<place_note> slotEvents;
--- a/tests/serving/peer_liveness_test.cpp
+++ b/tests/serving/peer_liveness_test.cpp
@@ -18,33 +18,33 @@
     return nodes;
 }
 
-int tryingNow(millis silence, int daemons)
+/// The number of daemons that may replace an owner which has been silent for this long.
+int replacersAfter(millis silence, int daemons)
 {
     const observed_owner owner{"n0", now - silence};
     const std::vector<std::string> all = names(daemons);
     const replacement_order order = replacementOrderOf("i-1", owner.node, all, all);
-    int trying = 0;
+    int replacing = 0;
     for (const std::string &node : all) {
-        trying += mayReplace(owner, order, node, now) ? 1 : 0;
+        replacing += mayReplace(owner, order, node, now) ? 1 : 0;
     }
-    return trying;
+    return replacing;
 }
 
 }
 
-// A machine is cut off with a server's record. Its users would wait for places that nobody grants until the
-// cut heals; if all others claimed the server at once, hundreds of calls would reach the store.
-TEST(PeerHearing, ASilentHolderIsReplacedByOneAfterTheOther)
+// If all daemons tried to replace an unresponsive owner at once, the store would receive hundreds of calls.
+TEST(PeerLiveness, CandidatesReplaceAnUnresponsiveOwnerOneAfterTheOther)
 {
     for (const int daemons : {3, 200, 1'200}) {
-        EXPECT_EQ(tryingNow(ownerTimeout - millis{1}, daemons), 0);
-        EXPECT_EQ(tryingNow(ownerTimeout, daemons), 1);
-        EXPECT_LE(tryingNow({60'000}, daemons), static_cast<int>(maxReplacers));
+        EXPECT_EQ(replacersAfter(ownerTimeout - millis{1}, daemons), 0);
+        EXPECT_EQ(replacersAfter(ownerTimeout, daemons), 1);
+        EXPECT_LE(replacersAfter({60'000}, daemons), static_cast<int>(maxReplacers));
     }
 }
 
-// The machine itself is cut off. It would take the servers of everybody else, who all look silent to it.
-TEST(PeerHearing, WhoHearsFewReplacesNobody)
+// To a daemon that is cut off itself, all owners look unresponsive, and it would claim all their servers.
+TEST(PeerLiveness, DaemonWithoutHeartbeatsFromMostOwnersReplacesNone)
 {
     observed_owners owners;
     for (int i = 0; i < 10; ++i) {
@@ -56,9 +56,9 @@
     EXPECT_FALSE(seesMostOwners({}, now));
 }
 
-// A server's failure domain has no other daemon. Its users would go on waiting, were only daemons of that
-// domain asked to replace the holder.
-TEST(PeerHearing, WithoutOthersNearbyDaemonsOfOtherDomainsDo)
+// If only daemons of the server's failure domain could replace the owner, an only daemon there would never be
+// replaced.
+TEST(PeerLiveness, DaemonsOfOtherDomainsReplaceTheOnlyDaemonOfADomain)
 {
     const std::vector<std::string> all = names(4);
     const replacement_order order = replacementOrderOf("i-1", "n0", {"n0"}, all);
--- a/tests/serving/server_limit_test.cpp
+++ b/tests/serving/server_limit_test.cpp
@@ -14,15 +14,15 @@
 namespace {
 
 constexpr millis begin{1'000'000};
-constexpr std::int64_t pumpMs = 20; ///< how often holders look at what waits
+constexpr std::int64_t pumpMs = 20; ///< interval at which owners grant permits
 
-/// A daemon that grants the turns of a server for as long as it believes that it may.
+/// A daemon that grants a server's permits as long as it considers itself the server's owner.
 struct granting_daemon
 {
     limit_permits permits;
     std::vector<millis> granted;
 
-    /// Grants all it can.
+    /// Grants all permits that are available.
     void pump(millis now)
     {
         for (std::size_t left = permitsLeft(permits, now); left > 0; --left) {
@@ -32,7 +32,7 @@
     }
 };
 
-place_ask askOf(const std::string &id, millis maxWait)
+place_ask slotRequestFor(const std::string &id, millis maxWait)
 {
     place_ask request;
     request.id = id;
@@ -43,21 +43,20 @@
     return request;
 }
 
-place_desk plainDesk(double perSecond, millis now)
+place_desk plainScheduler(double perSecond, millis now)
 {
-    place_desk desk;
-    desk.plain = true;
-    desk.ledger.server = "s";
-    desk.queue.slots = 1'000'000;
-    applyLimit(desk.limit, perSecond, now, now);
-    return desk;
+    place_desk scheduler;
+    scheduler.plain = true;
+    scheduler.ledger.server = "s";
+    scheduler.queue.slots = 1'000'000;
+    applyLimit(scheduler.limit, perSecond, now, now);
+    return scheduler;
 }
 
 }
 
-// A holder that was cut off goes on granting beside its successor, and both are asked for more than they
-// have.
-RC_GTEST_PROP(ServerLimit, TwoHoldersStayWithinTheRuleWhereOneCantProveItsRecord, ())
+// An owner that has been cut off keeps granting beside its successor, and demand exceeds the limit on both.
+RC_GTEST_PROP(ServerLimit, TwoOwnersStayWithinTheAllowanceIfOneIsUnconfirmed, ())
 {
     const double perSecond = static_cast<double>(*rc::gen::inRange(0, 4'000))
         / static_cast<double>(*rc::gen::element(1, 20, 1'000));
@@ -84,15 +83,15 @@
     }
     std::vector<millis> all = first.granted;
     all.insert(all.end(), second.granted.begin(), second.granted.end());
-    // A limit below the least that is kept is not judged: the slack bears it.
-    const double judged = std::max(perSecond, minPerSecond);
-    RC_ASSERT(findLimitViolation({{begin - limitReactionTime, {}, judged}}, all, begin + millis{30'000})
-                  .value_or("")
+    // Lower limits are treated as minPerSecond.
+    const double effectiveLimit = std::max(perSecond, minPerSecond);
+    RC_ASSERT(
+        findLimitViolation({{begin - limitReactionTime, {}, effectiveLimit}}, all, begin + millis{30'000})
+            .value_or("")
         == "");
 }
 
-// What lies within the limit is used, whatever its size.
-TEST(ServerLimit, ASteadyDemandGetsNearlyAllOfIt)
+TEST(ServerLimit, SteadyDemandIsGrantedNearlyTheWholeLimit)
 {
     for (const double perSecond : {0.3, 1.0, 7.5, 100.0, 900.0}) {
         granting_daemon daemon;
@@ -105,8 +104,8 @@
     }
 }
 
-// One daemon's callers got all turns at once after a quiet time.
-TEST(ServerLimit, NothingMuchIsSavedUp)
+// Regression: after an idle period, one daemon's callers got all accumulated permits at once.
+TEST(ServerLimit, OnlyAFewPermitsAccumulateWhileIdle)
 {
     granting_daemon daemon;
     applyLimit(daemon.permits, 10, begin, begin);
@@ -114,8 +113,8 @@
     EXPECT_EQ(daemon.granted.size(), 3U);
 }
 
-// Nothing is granted ahead when a limit is first named, or named by a server whose holder has just begun.
-TEST(ServerLimit, ANewLimitBeginsWithoutTurns)
+// Applies to a newly announced limit and to a new owner.
+TEST(ServerLimit, NewLimitStartsWithoutPermits)
 {
     limit_permits permits;
     applyLimit(permits, 2, begin, begin);
@@ -125,8 +124,8 @@
     EXPECT_EQ(permitsLeft(permits, begin + millis{500}), 1U);
 }
 
-// A limit that rose was taken for risen before: turns flowed in at the new rate for the time before.
-TEST(ServerLimit, ARiseCountsFromWhenItIsHeard)
+// Regression: when a limit rose, permits were added at the new rate for the time before.
+TEST(ServerLimit, RaisedLimitAppliesFromWhenItIsSeen)
 {
     limit_permits permits;
     applyLimit(permits, 0.1, begin, begin);
@@ -135,8 +134,9 @@
     EXPECT_EQ(permitsLeft(permits, begin + millis{1'100}), 10U);
 }
 
-// An answer that was written before the limit was named came after one that names it, and ended it.
-TEST(ServerLimit, OnlyAnAnswerToALaterGrantEndsIt)
+// Regression: a response that had been written before the limit was announced arrived after one that
+// announced it, and withdrew the limit.
+TEST(ServerLimit, OnlyAResponseToALaterGrantWithdrawsTheLimit)
 {
     limit_permits permits;
     applyLimit(permits, 1, begin, begin);
@@ -146,22 +146,22 @@
     EXPECT_FALSE(permits.perSecond);
     EXPECT_GT(permitsLeft(permits, begin + millis{60}), 1'000U);
     applyLimit(
-        permits, 1, begin + millis{5}, begin + millis{70}); // an entry that heard of it last before its end
+        permits, 1, begin + millis{5}, begin + millis{70}); // an entry that saw it before its withdrawal
     EXPECT_FALSE(permits.perSecond);
     applyLimit(permits, 1, begin + millis{65}, begin + millis{70});
     EXPECT_TRUE(permits.perSecond);
 
-    named_limits known;
-    EXPECT_EQ(applyResponseLimit(known, "s", 1, begin, begin + millis{5}), limit_change::Announced);
-    EXPECT_EQ(applyResponseLimit(known, "s", {}, begin + millis{4}, begin + millis{6}), limit_change::None);
-    EXPECT_EQ(applyResponseLimit(known, "s", 2, begin, begin + millis{7}), limit_change::Changed);
+    named_limits limits;
+    EXPECT_EQ(applyResponseLimit(limits, "s", 1, begin, begin + millis{5}), limit_change::Announced);
+    EXPECT_EQ(applyResponseLimit(limits, "s", {}, begin + millis{4}, begin + millis{6}), limit_change::None);
+    EXPECT_EQ(applyResponseLimit(limits, "s", 2, begin, begin + millis{7}), limit_change::Changed);
     EXPECT_EQ(
-        applyResponseLimit(known, "s", {}, begin + millis{8}, begin + millis{9}), limit_change::Withdrawn);
-    EXPECT_TRUE(known.empty());
+        applyResponseLimit(limits, "s", {}, begin + millis{8}, begin + millis{9}), limit_change::Withdrawn);
+    EXPECT_TRUE(limits.empty());
 }
 
-// A server with a limit of nothing would never be asked again whether it still names it.
-TEST(ServerLimit, AtALimitOfNothingOneRequestGoesNowAndThen)
+// Without any requests nobody would learn that the limit has risen.
+TEST(ServerLimit, AtALimitOfZeroARequestIsGrantedEveryTenSeconds)
 {
     granting_daemon daemon;
     applyLimit(daemon.permits, 0, begin, begin);
@@ -171,30 +171,32 @@
     EXPECT_EQ(daemon.granted.size(), 6U);
 }
 
-// 1,200 daemons with a caller each asked for a server that takes two requests a second: each sent its own.
-TEST(ServerLimit, SmallerThanOneRequestADaemonItIsSharedAllTheSame)
+// Regression: if the limit was lower than the number of daemons, each daemon sent its own requests. Here
+// 1,200 daemons share a server that accepts two requests per second.
+TEST(ServerLimit, LimitBelowOneRequestPerDaemonIsKeptByAllTogether)
 {
-    place_desk desk = plainDesk(2, begin);
+    place_desk scheduler = plainScheduler(2, begin);
     std::vector<millis> sent;
     std::size_t refused = 0;
     constexpr int daemons = 1'200;
     for (std::int64_t at = 0; at < 30'000; at += pumpMs) {
         const millis now = begin + millis{at};
-        for (int i = 0; i < daemons / 50; ++i) { // each daemon once a second
+        for (int i = 0; i < daemons / 50; ++i) { // one request per daemon and second
             const std::string id = std::to_string(at) + '.' + std::to_string(i);
-            const place_answer answer = askDesk(desk, "n" + std::to_string(i), askOf(id, {300}), now);
-            if (answer.verdict == place_verdict::Refused) {
+            const place_answer response =
+                askDesk(scheduler, "n" + std::to_string(i), slotRequestFor(id, {300}), now);
+            if (response.verdict == place_verdict::Refused) {
                 ++refused;
-                EXPECT_EQ(answer.why, refusal::Limited);
-                EXPECT_EQ(answer.limitMilli, 2'000);
-                EXPECT_GE(answer.comeBackMs, shortestComeBack.count);
-                EXPECT_LE(answer.comeBackMs, 1'000) << "a further turn is half a second away";
+                EXPECT_EQ(response.why, refusal::Limited);
+                EXPECT_EQ(response.limitMilli, 2'000);
+                EXPECT_GE(response.comeBackMs, shortestComeBack.count);
+                EXPECT_LE(response.comeBackMs, 1'000) << "the next permit is available in half a second";
             }
         }
-        for (const desk_answer &each : answersDue(desk, now)) {
+        for (const desk_answer &each : answersDue(scheduler, now)) {
             if (each.answer.verdict == place_verdict::Granted) {
                 sent.push_back(now);
-                takeNote(desk, {each.answer.id, "s", place_event::Ended}, now);
+                takeNote(scheduler, {each.answer.id, "s", place_event::Ended}, now);
             }
         }
     }
@@ -205,87 +207,89 @@
     EXPECT_GT(refused, 30'000U);
 }
 
-// Limits are told to those who hear of a server anyway: a few bytes more for each server that names one,
-// whatever the number of daemons and of other servers.
-TEST(ServerLimit, CostsBytesOnlyForServersThatNameOne)
+// Limits are sent along with heartbeats and slot requests: a few bytes for each server that announces one,
+// whatever the number of daemons and other servers.
+TEST(ServerLimit, LimitAddsFewBytesToMessages)
 {
-    fleet_datagram beat{"edge-zg-dubrava-1", 1, fleet_beat{}};
-    const std::size_t without = encode(beat).size();
-    std::get<fleet_beat>(beat.body).limits.push_back({"i-ef064fa758", 1'700, 580});
-    EXPECT_LE(encode(beat).size() - without, 20U);
-    const place_ask ask = askOf("9c41d07be2a35f68", {300});
-    place_ask limited = ask;
+    fleet_datagram datagram{"edge-zg-dubrava-1", 1, fleet_beat{}};
+    const std::size_t without = encode(datagram).size();
+    std::get<fleet_beat>(datagram.body).limits.push_back({"i-ef064fa758", 1'700, 580});
+    EXPECT_LE(encode(datagram).size() - without, 20U);
+    const place_ask request = slotRequestFor("9c41d07be2a35f68", {300});
+    place_ask limited = request;
     limited.limitMilli = 1'700;
     limited.limitAgeMs = 120;
     EXPECT_LE(
-        encode(fleet_datagram{"n", 1, limited}).size() - encode(fleet_datagram{"n", 1, ask}).size(), 4U);
-    EXPECT_LE(encode(fleet_datagram{"n", 1, limit_note{ask.id, "i-ef064fa758", 1'700}}).size(), 64U);
+        encode(fleet_datagram{"n", 1, limited}).size() - encode(fleet_datagram{"n", 1, request}).size(), 4U);
+    EXPECT_LE(encode(fleet_datagram{"n", 1, limit_note{request.id, "i-ef064fa758", 1'700}}).size(), 64U);
 }
 
-// A turn of a request that never reached the server was lost, and at a low limit a caller with it.
-TEST(ServerLimit, ATurnOfWhatWasNotSentIsUsableAgainOnce)
+// Regression: the permit of a request that never reached the server was lost, and at a low limit another
+// request was refused for it.
+TEST(ServerLimit, PermitOfAnUnsentRequestIsReturnedOnce)
 {
-    place_desk desk = plainDesk(1, begin);
+    place_desk scheduler = plainScheduler(1, begin);
     const millis now = begin + millis{1'000};
-    EXPECT_EQ(askDesk(desk, "n", askOf("a", {300}), now).verdict, place_verdict::Queued);
-    EXPECT_EQ(answersDue(desk, now).size(), 1U);
-    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), now).verdict, place_verdict::Refused);
-    takeNote(desk, {"a", "s", place_event::Unsent}, now);
-    takeNote(desk, {"a", "s", place_event::Unsent}, now);
-    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), now).verdict, place_verdict::Queued);
-    EXPECT_EQ(answersDue(desk, now).size(), 1U);
-    EXPECT_EQ(askDesk(desk, "n", askOf("c", {300}), now).verdict, place_verdict::Refused);
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("a", {300}), now).verdict, place_verdict::Queued);
+    EXPECT_EQ(answersDue(scheduler, now).size(), 1U);
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("b", {300}), now).verdict, place_verdict::Refused);
+    takeNote(scheduler, {"a", "s", place_event::Unsent}, now);
+    takeNote(scheduler, {"a", "s", place_event::Unsent}, now);
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("b", {300}), now).verdict, place_verdict::Queued);
+    EXPECT_EQ(answersDue(scheduler, now).size(), 1U);
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("c", {300}), now).verdict, place_verdict::Refused);
 }
 
-// A refusal that came from the queue didn't name the limit, and the daemon that got it took it for ended.
-TEST(ServerLimit, EachAnswerOfItsHolderNamesIt)
+// Regression: a refusal of a queued request didn't contain the limit, so that its recipient considered the
+// limit withdrawn.
+TEST(ServerLimit, EachResponseOfTheOwnerContainsTheLimit)
 {
-    place_desk desk = plainDesk(1, begin);
-    EXPECT_EQ(askDesk(desk, "n", askOf("a", {1'000}), begin).limitMilli, 1'000); // queued
-    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), begin).limitMilli, 1'000); // refused
-    const auto late = answersDue(desk, begin + millis{5'000});
+    place_desk scheduler = plainScheduler(1, begin);
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("a", {1'000}), begin).limitMilli, 1'000); // queued
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("b", {300}), begin).limitMilli, 1'000); // refused
+    const auto late = answersDue(scheduler, begin + millis{5'000});
     ASSERT_EQ(late.size(), 1U);
     EXPECT_EQ(late[0].answer.why, refusal::TooBusy);
     EXPECT_EQ(late[0].answer.limitMilli, 1'000);
-    EXPECT_EQ(askDesk(desk, "n", askOf("c", {300}), begin + millis{5'000}).limitMilli, 1'000);
-    const auto granted = answersDue(desk, begin + millis{5'000});
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("c", {300}), begin + millis{5'000}).limitMilli, 1'000);
+    const auto granted = answersDue(scheduler, begin + millis{5'000});
     ASSERT_EQ(granted.size(), 1U);
     EXPECT_EQ(granted[0].answer.verdict, place_verdict::Granted);
     EXPECT_EQ(granted[0].answer.limitMilli, 1'000);
 }
 
-// An age from the future, as a corrupted or foreign message may give it, kept a limit from ever ending.
-TEST(ServerLimit, AnAbsurdAgeInAnAskDoesNotKeepItForEver)
+// Regression: an age that places the limit in the future, from a corrupted or foreign message, kept the limit
+// from ever being withdrawn.
+TEST(ServerLimit, ImplausibleAgeInARequestDoesNotPreventWithdrawal)
 {
-    place_desk desk;
-    desk.plain = true;
-    desk.queue.slots = 10;
+    place_desk scheduler;
+    scheduler.plain = true;
+    scheduler.queue.slots = 10;
     for (const std::int64_t age : {std::numeric_limits<std::int64_t>::min(), std::int64_t{-60'000},
              std::numeric_limits<std::int64_t>::max()}) {
-        desk.limit = {};
-        place_ask ask = askOf("a", {300});
-        ask.limitMilli = 500;
-        ask.limitAgeMs = age;
-        askDesk(desk, "n", ask, begin);
-        ASSERT_TRUE(desk.limit.perSecond) << age;
-        withdrawLimit(desk.limit, begin + millis{10}, begin + millis{20});
-        EXPECT_FALSE(desk.limit.perSecond) << age;
+        scheduler.limit = {};
+        place_ask request = slotRequestFor("a", {300});
+        request.limitMilli = 500;
+        request.limitAgeMs = age;
+        askDesk(scheduler, "n", request, begin);
+        ASSERT_TRUE(scheduler.limit.perSecond) << age;
+        withdrawLimit(scheduler.limit, begin + millis{10}, begin + millis{20});
+        EXPECT_FALSE(scheduler.limit.perSecond) << age;
     }
 }
 
-// A holder that begins doesn't know of limits that daemons were told of; what they know comes with their
-// asks.
-TEST(ServerLimit, AnAskTellsANewHolder)
+// A new owner learns limits that other daemons know from their requests.
+TEST(ServerLimit, NewOwnerLearnsTheLimitFromARequest)
 {
-    place_desk desk;
-    desk.plain = true;
-    desk.queue.slots = 10;
-    place_ask ask = askOf("a", {300});
-    ask.limitMilli = 500;
-    ask.limitAgeMs = 2'000;
-    const place_answer answer = askDesk(desk, "n", ask, begin);
-    EXPECT_EQ(answer.why, refusal::Limited);
-    EXPECT_EQ(answer.limitMilli, 500);
+    place_desk scheduler;
+    scheduler.plain = true;
+    scheduler.queue.slots = 10;
+    place_ask request = slotRequestFor("a", {300});
+    request.limitMilli = 500;
+    request.limitAgeMs = 2'000;
+    const place_answer response = askDesk(scheduler, "n", request, begin);
+    EXPECT_EQ(response.why, refusal::Limited);
+    EXPECT_EQ(response.limitMilli, 500);
 }
 
 }
--- a/tests/soak/server_limit_test.cpp
+++ b/tests/soak/server_limit_test.cpp
@@ -11,7 +11,7 @@
     void expectWithinLimits(const std::string &excused = "-")
     {
         for (const backend_standin *server : serversOfKind()) {
-            EXPECT_EQ(server->overLimit(excused).value_or(""), "") << server->id;
+            EXPECT_EQ(server->findLimitViolation(excused).value_or(""), "") << server->id;
         }
     }
     /// What all servers of the kind that name a limit ran in their latest spells.
--- a/tests/soak/server_words_test.cpp
+++ b/tests/soak/server_words_test.cpp
@@ -33,7 +33,7 @@
     }
     void shed(backend_standin &server, const std::string &pause)
     {
-        server.now = backend_standin::mood::Sheds;
+        server.currentBehavior = backend_standin::behavior::Sheds;
         server.pauseText = pause;
     }
 };
@@ -85,7 +85,7 @@
     expectWordsKept();
     EXPECT_GE(m_served, (m_served + m_refused) * 9 / 10) << "the others take what this one may not";
     EXPECT_EQ(m_failed, 0U);
-    server.now = backend_standin::mood::Serves;
+    server.currentBehavior = backend_standin::behavior::Serves;
     runFor({2'600});
     for (backend_standin *other : serversOfKind()) {
         if (other != &server) {
@@ -109,7 +109,7 @@
         if (i < 3) {
             shed(*servers[i], "2.5");
         } else {
-            servers[i]->now = backend_standin::mood::Slow;
+            servers[i]->currentBehavior = backend_standin::behavior::Slow;
         }
     }
     runFor({6'000});
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -11,7 +11,7 @@
     const std::string id = server.name + '.' + std::to_string(++server.starts);
     server.standin = std::make_unique<backend_standin>(m_loop, id, server.service);
     server.proxy = std::make_unique<fault_proxy>(m_loop, server.standin->port);
-    server.standin->advertised = server.proxy->port();
+    server.standin->advertisedPort = server.proxy->port();
     server.standin->fatalBody = fatalBody;
     server.standin->onFatal = [this, &server](const std::string &requestId) {
         crashUnder(server, requestId);
@@ -58,8 +58,8 @@
     m_witness.disturbed(bootNow() + what.lasts);
     static constexpr link_fault links[] = {
         link_fault::Delayed, link_fault::Silent, link_fault::NoAnswers, link_fault::Reset};
-    static constexpr mood moods[] = {mood::Sheds, mood::Fails, mood::Unsigned, mood::Resets, mood::Silent,
-        mood::CutsStream, mood::Busy, mood::Slow};
+    static constexpr behavior behaviors[] = {behavior::Sheds, behavior::Fails, behavior::Unsigned,
+        behavior::Resets, behavior::Silent, behavior::CutsStream, behavior::Busy, behavior::Slow};
     switch (what.kind) {
     case fault_kind::KillDaemon:
     case fault_kind::PauseDaemon:
@@ -90,9 +90,9 @@
         });
         return;
     case fault_kind::ServerMood:
-        setMood(m_servers[what.target], moods[what.variant % std::size(moods)]);
+        setMood(m_servers[what.target], behaviors[what.variant % std::size(behaviors)]);
         after(what.lasts, [this, what] {
-            setMood(m_servers[what.target], mood::Serves);
+            setMood(m_servers[what.target], behavior::Serves);
         });
         return;
     case fault_kind::CrashServer:
@@ -206,7 +206,7 @@
     if (plan.pause.empty()) {
         server.standin->leaving = true;
     } else {
-        setMood(server, mood::Sheds);
+        setMood(server, behavior::Sheds);
         server.standin->pauseText = plan.pause;
     }
     after(plan.lasts, [this, &server, id = server.standin->id] {
@@ -226,7 +226,7 @@
     }
     if (!server.standin->pauseText.empty()) {
         server.standin->pauseText.clear();
-        setMood(server, mood::Serves);
+        setMood(server, behavior::Serves);
     }
 }
 
@@ -239,7 +239,7 @@
     }
     for (served_server &server : m_servers) {
         setLink(server, link_fault::None);
-        setMood(server, mood::Serves);
+        setMood(server, behavior::Serves);
         if (server.standin) {
             server.standin->setLimit({});
             unsay(server, std::string(server.standin->id));
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -18,7 +18,7 @@
 // Shared by the sources of a soak's run alone.
 namespace briarhead::soak {
 
-using mood = backend_standin::mood;
+using behavior = backend_standin::behavior;
 
 constexpr millis leaseTime{3'000};
 constexpr millis lookEvery{20};
@@ -63,11 +63,11 @@
     std::unique_ptr<fault_proxy> proxy;
 };
 
-/// A server that has ended is in no mood, and no bytes get to it.
-inline void setMood(served_server &server, mood value)
+/// A server that has ended has no behavior, and no bytes reach it.
+inline void setMood(served_server &server, behavior value)
 {
     if (server.standin) {
-        server.standin->now = value;
+        server.standin->currentBehavior = value;
     }
 }
 
