--- a/tests/serving/edge_test.cpp
+++ b/tests/serving/edge_test.cpp
@@ -499,7 +499,7 @@
     const std::size_t at = received.find("Retry-After: ");
     ASSERT_NE(at, std::string::npos) << received;
     const double wait = std::stod(received.substr(at + std::strlen("Retry-After: ")));
-    EXPECT_GT(wait, 5) << "until the next probe, not the Retry-After of transient causes";
+    EXPECT_GT(wait, 5) << "until the next probe, not the short wait of transient causes";
     EXPECT_LE(wait, static_cast<double>(trialWaits[0].count) / 1'000);
     EXPECT_EQ(requestsRunOn(m_models), 0U);
 }
