--- a/packages/coordination/budget_task.cpp
+++ b/packages/coordination/budget_task.cpp
@@ -16,7 +16,7 @@
     m_bus.on<config_changed>([this](const config_changed &news) {
         m_config = news.current;
     });
-    m_bus.on<received<load_ask>>([this](const received<load_ask> &news) {
+    m_bus.on<received<load_request>>([this](const received<load_request> &news) {
         askBudget(m_budget, {news.from, news.body.ticket, news.body.urgency, bootNow()});
         give();
     });
--- a/packages/coordination/config_peers.cpp
+++ b/packages/coordination/config_peers.cpp
@@ -88,12 +88,12 @@
 void config_task::ask(const std::string &peer)
 {
     m_ask = peer_ask{peer, bootNow() + m_options.peerTimeout};
-    m_bus.post(send_to{peer, config_ask{m_current ? m_current->version : 0}});
+    m_bus.post(send_to{peer, config_request{m_current ? m_current->version : 0}});
 }
 
-void config_task::onAsk(const received<config_ask> &question)
+void config_task::onAsk(const received<config_request> &question)
 {
-    config_answer answer;
+    config_response answer;
     answer.version = m_current ? m_current->version : 0;
     if (answer.version <= question.body.have) {
         m_bus.post(send_to{question.from, std::move(answer)});
@@ -124,7 +124,7 @@
     for (const auto &[name, text] : m_chunks) {
         names.push_back(name);
     }
-    const config_answer empty{m_current->version, {}, {{indexChunk, names.dump()}}};
+    const config_response empty{m_current->version, {}, {{indexChunk, names.dump()}}};
     auto frame = empty;
     std::size_t bytes = 0;
     for (const auto &[name, text] : m_chunks) {
@@ -138,7 +138,7 @@
     m_bus.post(send_to{to, std::move(frame)});
 }
 
-void config_task::onAnswer(const received<config_answer> &answer)
+void config_task::onAnswer(const received<config_response> &answer)
 {
     m_silentPeers.erase(answer.from);
     const auto have = m_current ? m_current->version : 0;
@@ -159,7 +159,7 @@
     }
 }
 
-void config_task::takePatches(const config_answer &answer)
+void config_task::takePatches(const config_response &answer)
 {
     std::vector<config_patch> patches;
     error why;
@@ -179,7 +179,7 @@
     }
 }
 
-void config_task::takeChunks(const config_answer &answer)
+void config_task::takeChunks(const config_response &answer)
 {
     if (answer.version != m_incoming.version) {
         m_incoming = {answer.version, {}};
--- a/packages/coordination/config_task.cpp
+++ b/packages/coordination/config_task.cpp
@@ -60,10 +60,10 @@
     m_bus.on<version_heard>([this](const version_heard &news) {
         onVersionHeard(news);
     });
-    m_bus.on<received<config_ask>>([this](const received<config_ask> &question) {
+    m_bus.on<received<config_request>>([this](const received<config_request> &question) {
         onAsk(question);
     });
-    m_bus.on<received<config_answer>>([this](const received<config_answer> &answer) {
+    m_bus.on<received<config_response>>([this](const received<config_response> &answer) {
         onAnswer(answer);
     });
     m_tickTimer = m_loop.timer(millis{0}, tickInterval, [this] {
--- a/packages/coordination/config_task.h
+++ b/packages/coordination/config_task.h
@@ -121,10 +121,10 @@
     // Following peers.
     void onMembers(const members_changed &news);
     void onVersionHeard(const version_heard &news);
-    void onAsk(const received<config_ask> &question);
-    void onAnswer(const received<config_answer> &answer);
-    void takePatches(const config_answer &answer);
-    void takeChunks(const config_answer &answer);
+    void onAsk(const received<config_request> &question);
+    void onAnswer(const received<config_response> &answer);
+    void takePatches(const config_response &answer);
+    void takeChunks(const config_response &answer);
     void sendChunks(const std::string &to);
     void ask(const std::string &peer);
     void askNext();
--- a/packages/coordination/crash_task.cpp
+++ b/packages/coordination/crash_task.cpp
@@ -237,7 +237,7 @@
     return std::find(homes.begin(), homes.end(), m_links.self) != homes.end();
 }
 
-void crash_task::tellAll(const crash_news &news)
+void crash_task::tellAll(const crash_report &news)
 {
     for (const std::string &daemon : m_links.daemons()) {
         if (daemon != m_links.self) {
@@ -246,7 +246,7 @@
     }
 }
 
-crash_news crash_task::newsOf(const std::string &fingerprint) const
+crash_report crash_task::newsOf(const std::string &fingerprint) const
 {
     return {fingerprint, counted(fingerprint), trialsOf(m_book, fingerprint)};
 }
@@ -254,7 +254,7 @@
 /// What this daemon saw goes to the homes.
 void crash_task::share(const std::string &fingerprint)
 {
-    const crash_news news = newsOf(fingerprint);
+    const crash_report news = newsOf(fingerprint);
     for (const std::string &home : homesOf(fingerprint)) {
         if (home == m_links.self) {
             spread(fingerprint);
@@ -267,7 +267,7 @@
 /// A home's part: from two ends on all daemons are told, and the store keeps it.
 void crash_task::spread(const std::string &fingerprint)
 {
-    const crash_news news = newsOf(fingerprint);
+    const crash_report news = newsOf(fingerprint);
     if (news.servers.size() >= endsToShare) {
         tellAll(news);
         keep(fingerprint);
@@ -291,7 +291,7 @@
     }
 }
 
-void crash_task::hear(const crash_news &news)
+void crash_task::hear(const crash_report &news)
 {
     if (news.fingerprint.size() != fingerprintDigits) {
         return; // it would be no key of the store
@@ -301,7 +301,7 @@
         return;
     }
     const bool isNew = take(news.fingerprint, news.servers, "told by a daemon");
-    noteTrials(m_book, news.fingerprint, news.trials, bootNow());
+    noteTrials(m_book, news.fingerprint, news.probeCount, bootNow());
     seeAgain(m_book, news.fingerprint, bootNow());
     if (isNew && isHome(news.fingerprint)) {
         spread(news.fingerprint);
@@ -318,7 +318,7 @@
     } else if (!isOld) { // written since it was cleared: counted anew
         m_toDrop.erase(fingerprint);
         take(fingerprint, record.servers, "read in the store");
-        noteTrials(m_book, fingerprint, record.trials, bootNow());
+        noteTrials(m_book, fingerprint, record.probeCount, bootNow());
     }
 }
 
--- a/packages/coordination/crash_task.h
+++ b/packages/coordination/crash_task.h
@@ -63,7 +63,7 @@
     std::string self;
     /// All that may count for a request, `self` among them.
     std::function<std::vector<std::string>()> daemons;
-    std::function<void(const std::string &daemon, const crash_news &news)> tell;
+    std::function<void(const std::string &daemon, const crash_report &news)> tell;
     /// The record of a request as last read; without servers: none.
     std::function<crash_record(const std::string &fingerprint)> stored;
     std::function<std::size_t()> records;
@@ -114,7 +114,7 @@
     millis comeBackAfter(const std::string &fingerprint) const;
     /// A server has ended, or started again, without having said that it would leave.
     void onServerEnded(const std::string &server);
-    void hear(const crash_news &news);
+    void hear(const crash_report &news);
     /// What was read in the store; without servers: its record has gone.
     void onStored(const std::string &fingerprint, const crash_record &record);
     const crash_counters &counters() const;
@@ -137,7 +137,7 @@
     bool take(
         const std::string &fingerprint, const std::vector<std::string> &servers, std::string_view source);
     void remember(const std::string &fingerprint);
-    crash_news newsOf(const std::string &fingerprint) const;
+    crash_report newsOf(const std::string &fingerprint) const;
     void clear(const std::string &fingerprint);
     void dropCleared();
     bool isMissing(const std::string &fingerprint) const;
@@ -145,7 +145,7 @@
     void share(const std::string &fingerprint);
     void spread(const std::string &fingerprint);
     void keep(const std::string &fingerprint);
-    void tellAll(const crash_news &news);
+    void tellAll(const crash_report &news);
     std::vector<std::string> homesOf(const std::string &fingerprint) const;
     bool isHome(const std::string &fingerprint) const;
 
--- a/packages/coordination/key_journal.cpp
+++ b/packages/coordination/key_journal.cpp
@@ -74,7 +74,7 @@
 
 }
 
-key_verdict beginKey(key_journal &journal, const key_begin &ask, millis now)
+key_response beginKey(key_journal &journal, const key_begin &ask, millis now)
 {
     expireKeys(journal, now);
     auto at = journal.records.find(ask.key);
@@ -89,13 +89,13 @@
         return {ask.id, record->state, record->status, record->contentType, record->answer};
     }
     if (!mayRun(record, ask.attempt)) {
-        return {ask.id, key_state::CantKnow};
+        return {ask.id, key_state::Undetermined};
     }
     if (record != nullptr) {
         eraseRecord(journal, at);
     }
     // A full journal can't promise that a later repeat will be known, so the attempt must not start.
-    return {ask.id, recordStarted(journal, ask, now) ? key_state::Fresh : key_state::CantKnow};
+    return {ask.id, recordStarted(journal, ask, now) ? key_state::Fresh : key_state::Undetermined};
 }
 
 void finishKey(key_journal &journal, const key_finish &end, millis now)
--- a/packages/coordination/key_journal.h
+++ b/packages/coordination/key_journal.h
@@ -38,7 +38,7 @@
 /// Asks to run an attempt. Fresh records it as started, and is given only to attempt 1 of a key without a
 /// record, or to the attempt after one that is recorded as not run. That no record is here proves nothing:
 /// another daemon may have been home, or have been taken for it by an entry with another view of the members.
-key_verdict beginKey(key_journal &journal, const key_begin &ask, millis now);
+key_response beginKey(key_journal &journal, const key_begin &ask, millis now);
 /// Ends an attempt: Done keeps the answer, NotRun lets the next attempt run, Unknown keeps it started.
 void finishKey(key_journal &journal, const key_finish &end, millis now);
 /// Forgets what has expired.
--- a/packages/coordination/key_task.cpp
+++ b/packages/coordination/key_task.cpp
@@ -30,7 +30,7 @@
         m_homes = homesOf(news.members);
     });
     m_bus.on<received<key_begin>>([this](const received<key_begin> &news) {
-        key_verdict answer{news.body.id, key_state::NotHome};
+        key_response answer{news.body.id, key_state::NotHome};
         if (rendezvousFirst(news.body.key, m_homes) == m_self) {
             answer = beginKey(m_journal, news.body, bootNow());
         }
--- a/packages/coordination/owner_loads.cpp
+++ b/packages/coordination/owner_loads.cpp
@@ -104,7 +104,7 @@
     }
     server.ticketAt = now;
     server.ticketFor = need.adapter;
-    load_ask ask;
+    load_request ask;
     ask.ticket = *server.ticket;
     ask.server = server.where.name;
     ask.adapter = need.adapter;
--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -181,7 +181,7 @@
 {
     std::vector<request_id> waiting;
     for (const auto &[id, one] : m_jobs) {
-        const bool waits = one.startedAt == millis{} && !one.request.trial;
+        const bool waits = one.startedAt == millis{} && !one.request.isProbe;
         if (waits && one.request.fingerprint == fingerprint) {
             waiting.push_back(id);
         }
@@ -197,7 +197,7 @@
 {
     const millis now = bootNow();
     dequeue(server, one);
-    if (!one.request.trial
+    if (!one.request.isProbe
         && m_crashes.isBlocked(one.request.fingerprint)) { // since it was admitted, or its entry hadn't heard
         refuseBlocked(one);
         return;
--- a/packages/coordination/owner_status.cpp
+++ b/packages/coordination/owner_status.cpp
@@ -5,12 +5,12 @@
 
 namespace briarhead {
 
-void owner_task::onStatus(const std::string &from, const status_ask &ask)
+void owner_task::onStatus(const std::string &from, const status_request &ask)
 {
     if (ask.part == "servers") {
-        m_bus.post(send_to{from, status_answer{ask.id, statusServers()}});
+        m_bus.post(send_to{from, status_response{ask.id, statusServers()}});
     } else if (ask.part == "adapters") {
-        m_bus.post(send_to{from, status_answer{ask.id, statusAdapters()}});
+        m_bus.post(send_to{from, status_response{ask.id, statusAdapters()}});
     }
 }
 
--- a/packages/coordination/owner_task.cpp
+++ b/packages/coordination/owner_task.cpp
@@ -38,10 +38,10 @@
     m_bus.on<received<load_grant>>([this](const received<load_grant> &news) {
         onGrant(news.body.ticket);
     });
-    m_bus.on<received<status_ask>>([this](const received<status_ask> &news) {
+    m_bus.on<received<status_request>>([this](const received<status_request> &news) {
         onStatus(news.from, news.body);
     });
-    m_bus.on<received<drain_order>>([this](const received<drain_order> &news) {
+    m_bus.on<received<drain_request>>([this](const received<drain_request> &news) {
         // Every daemon remembers it, so that the server stays drained when it changes hands.
         if (news.body.drain) {
             m_drained.insert(news.body.server);
--- a/packages/coordination/owner_task.h
+++ b/packages/coordination/owner_task.h
@@ -127,7 +127,7 @@
     void onRelease(const std::string &server);
     void answerRelease(owned &server);
     void onLiveList(const live_view &view);
-    void onStatus(const std::string &from, const status_ask &ask);
+    void onStatus(const std::string &from, const status_request &ask);
 
     admission_answer askAdmission(const owned &server, const slot *wanted, const run_request &request) const;
     void refuse(const std::string &from, const run_request &request, error_kind why,
--- a/packages/coordination/ownership_task.cpp
+++ b/packages/coordination/ownership_task.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::int64_t tickMs = 200;
-/// A record of a server held by a live peer is read again this seldom; owner_news says when sooner.
+/// A record of a server held by a live peer is read again this seldom; owner_released says when sooner.
 constexpr std::int64_t quietRereadMs = 10'000;
 /// While an orphan waits for its old owner's lease to end.
 constexpr std::int64_t orphanRereadMs = 1'000;
@@ -66,7 +66,7 @@
             server->refence = true;
         }
     });
-    m_bus.on<received<owner_news>>([this](const received<owner_news> &news) {
+    m_bus.on<received<owner_released>>([this](const received<owner_released> &news) {
         tracked *server = find(news.body.server);
         // Guards against: the news comes while an older read is on its way, is passed over, and the released
         // server stays without an owner until the next quiet reading. The flag outlives that read.
@@ -174,7 +174,7 @@
 /// have admitted under a configuration that allowed more.
 millis ownership_task::longestDeadline() const
 {
-    return {longestDeadlineMs};
+    return {maxAllowedDeadlineMs};
 }
 
 ownership_view ownership_task::viewOf(const tracked &server) const
@@ -560,7 +560,7 @@
             found->readAt = bootNow();
             m_bus.post(server_lost{name});
             m_bus.post(owner_known{name, found->proposed});
-            m_bus.post(send_to{found->proposed, owner_news{name}});
+            m_bus.post(send_to{found->proposed, owner_released{name}});
         });
 }
 
--- a/packages/coordination/quota_desk.cpp
+++ b/packages/coordination/quota_desk.cpp
@@ -155,14 +155,14 @@
     account.waiting.clear();
 }
 
-quota_want wantOf(desk_account &account, std::uint64_t hash, millis now)
+quota_demand wantOf(desk_account &account, std::uint64_t hash, millis now)
 {
-    quota_want want{hash, 0, 0, 0, 0, 0, 0};
+    quota_demand want{hash, 0, 0, 0, 0, 0, 0};
     account.demandTold = demandNow(account, now);
     want.demandMilli = toMilli(account.demandTold);
     want.costMilli = toMilli(account.cost);
     account.heldTold = account.part;
-    want.heldPpm = toPpm(account.part);
+    want.heldSharePpm = toPpm(account.part);
     want.unusedMilli = toMilli(std::exchange(account.unused, 0));
     account.needAsked = !account.waiting.empty();
     if (account.needAsked) {
@@ -171,7 +171,7 @@
             need += each.cost;
         }
         want.needMilli = toMilli(need) + 1; // rounded up
-        want.firstMilli = toMilli(account.waiting.front().cost - account.bucket.level) + 1;
+        want.firstNeedMilli = toMilli(account.waiting.front().cost - account.bucket.level) + 1;
     }
     return want;
 }
@@ -190,9 +190,9 @@
 }
 
 /// The wants of a shard: of those that somebody waits for, or of all there is to say.
-std::vector<quota_want> wantsOf(quota_desk &desk, std::uint32_t index, bool all, millis now)
+std::vector<quota_demand> wantsOf(quota_desk &desk, std::uint32_t index, bool all, millis now)
 {
-    std::vector<quota_want> wants;
+    std::vector<quota_demand> wants;
     for (auto &[hash, account] : desk.accounts) {
         if (shardOf(hash) != index) {
             continue;
@@ -338,8 +338,8 @@
         if (shard.home.empty() || shard.open || !(due || urgent)) {
             continue;
         }
-        quota_ask ask{i, ++shard.round, shard.answered, toPpm(shard.alone), {}};
-        ask.wants = wantsOf(desk, i, due || !shard.heardAll, now);
+        quota_request ask{i, ++shard.round, shard.answered, toPpm(shard.alone), {}};
+        ask.demands = wantsOf(desk, i, due || !shard.heardAll, now);
         shard.open = true;
         shard.sentAt = now;
         if (due) {
@@ -352,7 +352,7 @@
     return out;
 }
 
-std::vector<quota_settled> takeAnswer(quota_desk &desk, const quota_answer &answer, millis now)
+std::vector<quota_settled> takeAnswer(quota_desk &desk, const quota_response &answer, millis now)
 {
     std::vector<quota_settled> out;
     if (answer.shard >= quotaShards) {
@@ -362,7 +362,7 @@
     if (!shard.open || answer.round != shard.round || now - shard.sentAt > answerLife) {
         return out; // late or doubled: the home doesn't go by it
     }
-    for (const quota_give &give : answer.gives) {
+    for (const quota_grant &give : answer.grants) {
         if (const auto found = desk.accounts.find(give.account); found != desk.accounts.end()) {
             settle(desk, found->second, shard, now);
         }
@@ -372,14 +372,14 @@
     shard.heardAll = true;
     shard.answered = answer.round;
     shard.contact = shard.sentAt;
-    shard.alone = fromPpm(answer.alonePpm);
-    for (const quota_give &give : answer.gives) {
+    shard.alone = fromPpm(answer.fallbackSharePpm);
+    for (const quota_grant &give : answer.grants) {
         const auto found = desk.accounts.find(give.account);
         if (found == desk.accounts.end()) {
             continue;
         }
         desk_account &account = found->second;
-        const double part = fromPpm(give.partPpm);
+        const double part = fromPpm(give.grantedSharePpm);
         if (part < account.part * confirmBelow) {
             shard.askAt = std::min(shard.askAt, now + confirmAfter);
         }
@@ -392,8 +392,8 @@
         const double fits = std::clamp(depth - account.bucket.level, 0.0, extra);
         account.bucket.level += fits;
         account.unused += extra - fits;
-        if (give.roomMs > 0) {
-            account.noRoomUntil = now + std::clamp(millis{give.roomMs}, leastRoomWait, mostRoomWait);
+        if (give.availableInMs > 0) {
+            account.noRoomUntil = now + std::clamp(millis{give.availableInMs}, leastRoomWait, mostRoomWait);
             refuseWaiting(desk, account, give.account, quota_verdict::Over, now, out);
         } else if (give.unitsMilli <= 0 && account.needAsked) {
             refuseWaiting(desk, account, give.account, quota_verdict::HomeAway, now, out);
--- a/packages/coordination/quota_desk.h
+++ b/packages/coordination/quota_desk.h
@@ -86,7 +86,7 @@
 struct quota_desk
 {
     quota_plan plan;
-    quota_rules rules;
+    quota_tolerance rules;
     std::array<desk_shard, quotaShards> shards;
     std::unordered_map<std::uint64_t, desk_account> accounts;
 };
@@ -95,7 +95,7 @@
 struct addressed_ask
 {
     std::string home;
-    quota_ask ask;
+    quota_request ask;
 };
 
 /// Takes units for a request, or queues its caller under `id` until the home has answered.
@@ -110,7 +110,7 @@
 void setHome(quota_desk &desk, std::uint32_t shard, const std::string &home, std::int64_t term, millis now);
 /// The asks that are due; how often those come for which nobody waits, depends on the fleet's size.
 std::vector<addressed_ask> asksDue(quota_desk &desk, std::size_t daemons, millis now);
-std::vector<quota_settled> takeAnswer(quota_desk &desk, const quota_answer &answer, millis now);
+std::vector<quota_settled> takeAnswer(quota_desk &desk, const quota_response &answer, millis now);
 /// Callers whose home has been silent for too long. To be called some times a second.
 std::vector<quota_settled> overdue(quota_desk &desk, millis now);
 /// Sets an account's limit, from a new configuration; none: it has no limit any more.
--- a/packages/coordination/quota_home.cpp
+++ b/packages/coordination/quota_home.cpp
@@ -110,7 +110,7 @@
 
 /// Whether the ask is a new one of a process that lives. Notes from when on the daemon has been in contact:
 /// an ask was sent after the answer that it acknowledges, and that answer left here at a known time.
-bool hearRound(quota_home &home, const quota_asker &asker, const quota_ask &ask, bool &first, millis now)
+bool hearRound(quota_home &home, const quota_asker &asker, const quota_request &ask, bool &first, millis now)
 {
     const auto [at, isNew] = home.members.try_emplace(asker.node);
     quota_member &member = at->second;
@@ -135,7 +135,7 @@
         return false;
     }
     for (const auto &before : member.rounds) {
-        if (before.round == ask.answered) {
+        if (before.round == ask.lastAnsweredRound) {
             member.contact = std::max(member.contact, std::optional(before.heard - answerLife));
         }
     }
@@ -143,16 +143,16 @@
     while (member.rounds.size() > roundsKept) {
         member.rounds.pop_front();
     }
-    member.alone = std::max(fromPpm(ask.alonePpm), equalPart(home));
+    member.alone = std::max(fromPpm(ask.fallbackSharePpm), equalPart(home));
     return true;
 }
 
 /// The part that a daemon gets, in place of what it holds: by its demand among all, and no more than is free.
 /// All that may be held is dealt out, so that daemons bear a home's end with room to spare.
 double partFor(const quota_home &home, const quota_plan &plan, const home_account &account,
-    const quota_limit &limit, const std::string &node, const quota_want &want, millis now)
+    const quota_limit &limit, const std::string &node, const quota_demand &want, millis now)
 {
-    const double held = fromPpm(want.heldPpm);
+    const double held = fromPpm(want.heldSharePpm);
     if (!mayGive(home, plan, now)) {
         return held; // what is given back now couldn't be dealt out again
     }
@@ -179,15 +179,15 @@
 }
 
 /// Takes what callers wait for out of the home's bucket, or says when there may be some.
-void giveUnits(const quota_plan &plan, const quota_rules &rules, const quota_limit &limit,
-    home_account &account, const quota_want &want, quota_give &give)
+void giveUnits(const quota_plan &plan, const quota_tolerance &rules, const quota_limit &limit,
+    home_account &account, const quota_demand &want, quota_grant &give)
 {
     const double moved = fromMilli(give.unitsMilli);
     const double need = std::max(0.0, fromMilli(want.needMilli) - moved);
     if (need <= 0) {
         return;
     }
-    const double first = std::min(std::max(0.0, fromMilli(want.firstMilli) - moved), need);
+    const double first = std::min(std::max(0.0, fromMilli(want.firstNeedMilli) - moved), need);
     const double debt = mostDebt(limit, rules);
     const double room = account.bucket.level >= 0 ? account.bucket.level + debt : 0;
     if (account.share > 0 && room >= first) {
@@ -201,7 +201,8 @@
     }
     const double lacks = std::max(-account.bucket.level, first - debt - account.bucket.level);
     const double span = lacks * msPerSecond / (account.share * limit.rate);
-    give.roomMs = static_cast<std::int64_t>(std::clamp(span, 1.0, static_cast<double>(plan.partLife.count)));
+    give.availableInMs =
+        static_cast<std::int64_t>(std::clamp(span, 1.0, static_cast<double>(plan.partLife.count)));
 }
 
 /// An account that is asked for the first time had nothing given here since this is its home, so that its
@@ -221,7 +222,7 @@
 
 /// A part brings along what it takes off the bucket here, so that dealing a limit out loses nothing of a
 /// burst.
-void moveLevel(home_account &account, const quota_limit &limit, double growth, quota_give &give)
+void moveLevel(home_account &account, const quota_limit &limit, double growth, quota_grant &give)
 {
     const double above = account.bucket.level - account.share * limit.burst;
     const double moved = std::min(above, growth * limit.burst);
@@ -231,20 +232,20 @@
     }
 }
 
-quota_give answerWant(quota_home &home, const quota_plan &plan, const quota_rules &rules,
-    const quota_limit &limit, const std::string &node, const quota_want &want, bool first, millis now)
+quota_grant answerWant(quota_home &home, const quota_plan &plan, const quota_tolerance &rules,
+    const quota_limit &limit, const std::string &node, const quota_demand &want, bool first, millis now)
 {
     home_account &account = accountOf(home, plan, limit, want.account, now);
     fillAccount(account, limit, now);
-    const double held = fromPpm(want.heldPpm);
+    const double held = fromPpm(want.heldSharePpm);
     account.learned += first ? held : 0;
     quota_holding &holding = account.holdings[node];
     holding.demand = fromMilli(want.demandMilli);
     holding.part = held;
     holding.until = now + plan.partLife;
-    quota_give give{want.account, 0, 0, 0};
-    give.partPpm = toPpm(partFor(home, plan, account, limit, node, want, now));
-    holding.part = std::max(held, fromPpm(give.partPpm));
+    quota_grant give{want.account, 0, 0, 0};
+    give.grantedSharePpm = toPpm(partFor(home, plan, account, limit, node, want, now));
+    holding.part = std::max(held, fromPpm(give.grantedSharePpm));
     account.bucket.level += fromMilli(want.unusedMilli);
     const double growth = holding.part - held;
     account.share = mayGive(home, plan, now) ? homeShare(home, plan, account, now) : 0;
@@ -293,8 +294,9 @@
     home.fleet = std::move(fleet);
 }
 
-std::optional<quota_answer> answerAsk(quota_home &home, const quota_plan &plan, const quota_rules &rules,
-    const limit_lookup &limitOf, const quota_asker &asker, const quota_ask &ask, millis now)
+std::optional<quota_response> answerAsk(quota_home &home, const quota_plan &plan,
+    const quota_tolerance &rules, const limit_lookup &limitOf, const quota_asker &asker,
+    const quota_request &ask, millis now)
 {
     bool first = false;
     if (!hearRound(home, asker, ask, first, now)) {
@@ -306,14 +308,14 @@
     if (survey(home, plan, now)) {
         refillAll(home, plan, limitOf, now);
     }
-    quota_answer answer{ask.shard, ask.round, toPpm(equalPart(home)), {}};
-    for (const quota_want &want : ask.wants) {
+    quota_response answer{ask.shard, ask.round, toPpm(equalPart(home)), {}};
+    for (const quota_demand &want : ask.demands) {
         const auto limit = limitOf(want.account);
         if (!limit || !isLimited(*limit)) {
-            answer.gives.push_back({want.account, 0, 0, 0});
+            answer.grants.push_back({want.account, 0, 0, 0});
             continue;
         }
-        answer.gives.push_back(answerWant(home, plan, rules, *limit, asker.node, want, first, now));
+        answer.grants.push_back(answerWant(home, plan, rules, *limit, asker.node, want, first, now));
         dropOver(home.accounts[want.account], now);
     }
     return answer;
--- a/packages/coordination/quota_home.h
+++ b/packages/coordination/quota_home.h
@@ -84,8 +84,9 @@
 /// allows while daemons are cut off, die, start again or lose messages. Holds because a part leaves the
 /// home's bucket before the daemon has it, and comes back only when a later ask of that daemon says that it
 /// holds less, when it has run out by the daemon's own clock, or when the daemon's process has ended.
-std::optional<quota_answer> answerAsk(quota_home &home, const quota_plan &plan, const quota_rules &rules,
-    const limit_lookup &limitOf, const quota_asker &asker, const quota_ask &ask, millis now);
+std::optional<quota_response> answerAsk(quota_home &home, const quota_plan &plan,
+    const quota_tolerance &rules, const limit_lookup &limitOf, const quota_asker &asker,
+    const quota_request &ask, millis now);
 
 /// The fraction of an account's limit that flows into the home's own bucket.
 double shareOfHome(
--- a/packages/coordination/quota_plan.cpp
+++ b/packages/coordination/quota_plan.cpp
@@ -52,13 +52,13 @@
     return static_cast<std::uint32_t>(account % quotaShards);
 }
 
-millis unitsLife(const quota_rules &rules)
+millis unitsLife(const quota_tolerance &rules)
 {
     const double span = overageForAge * rules.overage * static_cast<double>(rules.window.count);
     return std::max(leastLife, millis{static_cast<std::int64_t>(span)});
 }
 
-double mostDebt(const quota_limit &limit, const quota_rules &rules)
+double mostDebt(const quota_limit &limit, const quota_tolerance &rules)
 {
     const double inWindow = limit.rate * static_cast<double>(rules.window.count) / msPerSecond + limit.burst;
     return overageForDebt * rules.overage * inWindow + slackForDebt * rules.slack;
--- a/packages/coordination/quota_plan.h
+++ b/packages/coordination/quota_plan.h
@@ -55,10 +55,10 @@
 
 /// How long units may lie between being taken and the send they are for. What is taken in a window may be
 /// used in the next; this keeps it under three quarters of the overage.
-millis unitsLife(const quota_rules &rules);
+millis unitsLife(const quota_tolerance &rules);
 
 /// How far a home's bucket may go below zero, so that a request larger than the burst can run at all: a
 /// quarter of the overage and half of the slack.
-double mostDebt(const quota_limit &limit, const quota_rules &rules);
+double mostDebt(const quota_limit &limit, const quota_tolerance &rules);
 
 }
--- a/packages/coordination/quota_task.cpp
+++ b/packages/coordination/quota_task.cpp
@@ -25,7 +25,8 @@
     return names[static_cast<std::size_t>(value)];
 }
 
-quota_task::quota_task(loop &eventLoop, quota_links links, const quota_plan &plan, const quota_rules &rules)
+quota_task::quota_task(
+    loop &eventLoop, quota_links links, const quota_plan &plan, const quota_tolerance &rules)
     : m_loop(eventLoop)
     , m_links(std::move(links))
 {
@@ -66,7 +67,7 @@
     return briarhead::unitsLife(m_desk.rules);
 }
 
-void quota_task::hear(const quota_asker &asker, const quota_ask &ask)
+void quota_task::hear(const quota_asker &asker, const quota_request &ask)
 {
     const auto home = m_homes.find(ask.shard);
     if (m_stopped || home == m_homes.end() || bootNow() >= m_links.provenUntil()) {
@@ -80,7 +81,7 @@
     }
 }
 
-void quota_task::hear(const quota_answer &answer)
+void quota_task::hear(const quota_response &answer)
 {
     settleAll(takeAnswer(m_desk, answer, bootNow()));
     sendAsks();
--- a/packages/coordination/quota_task.h
+++ b/packages/coordination/quota_task.h
@@ -52,8 +52,8 @@
     std::function<std::size_t()> daemons; ///< how many there are
     std::function<std::vector<std::string>()> live; ///< those, which may become a home
     std::function<std::vector<std::string>()> fleet; ///< those and others that may still hold a part
-    std::function<void(const std::string &daemon, const quota_ask &ask)> ask;
-    std::function<void(const std::string &daemon, const quota_answer &answer)> answer;
+    std::function<void(const std::string &daemon, const quota_request &ask)> ask;
+    std::function<void(const std::string &daemon, const quota_response &answer)> answer;
     /// Nothing: there is no record.
     std::function<std::optional<home_record>(std::uint32_t shard)> homeOf;
     std::function<void(const std::string &daemon, const quota_release &release)> release;
@@ -90,7 +90,7 @@
 public:
     using on_decision = std::function<void(const quota_decision &)>;
 
-    quota_task(loop &eventLoop, quota_links links, const quota_plan &plan, const quota_rules &rules);
+    quota_task(loop &eventLoop, quota_links links, const quota_plan &plan, const quota_tolerance &rules);
 
     /// Takes units for a request. `done` may be called from inside. Returns what dropTake() wants while it
     /// waits; 0: it doesn't.
@@ -101,8 +101,8 @@
     /// From the taking of units until they have to be taken anew.
     millis unitsLife() const;
 
-    void hear(const quota_asker &asker, const quota_ask &ask);
-    void hear(const quota_answer &answer);
+    void hear(const quota_asker &asker, const quota_request &ask);
+    void hear(const quota_response &answer);
     void hear(const quota_release &release);
     /// After a change of the configuration: whether any account has a limit, at all.
     void onLimits(bool any);
--- a/packages/ctl/burn_page.cpp
+++ b/packages/ctl/burn_page.cpp
@@ -272,7 +272,7 @@
 
 void appendTimes(std::string &out, const target_burn &target)
 {
-    if (countOf(target.wholeTimes) == 0) {
+    if (countOf(target.endToEndTimes) == 0) {
         return;
     }
     out += "<div><h3>Times since the instances started</h3><table><tr><th></th><th>Half within</th><th>95% "
@@ -284,7 +284,7 @@
             detail::quantileText(times, 0.99));
     };
     row("First token", target.firstTokenTimes);
-    row("Whole answer", target.wholeTimes);
+    row("Whole answer", target.endToEndTimes);
     row("Load stall", target.stallTimes);
     out += "</table></div>\n";
 }
--- a/packages/ctl/burn_report.cpp
+++ b/packages/ctl/burn_report.cpp
@@ -91,7 +91,7 @@
     appendCauses(out, target);
     appendCallers(out, target);
     appendTimes(out, "first token", target.firstTokenTimes);
-    appendTimes(out, "whole answer", target.wholeTimes);
+    appendTimes(out, "whole answer", target.endToEndTimes);
     appendTimes(out, "load stall", target.stallTimes);
 }
 
@@ -142,11 +142,11 @@
     if (target.firstToken > millis{0}) {
         append(text, " first token within {}", durationText(static_cast<double>(target.firstToken.count)));
     }
-    if (target.whole > millis{0}) {
+    if (target.endToEnd > millis{0}) {
         append(text, "{} whole answer within {}", target.firstToken > millis{0} ? "," : "",
-            durationText(static_cast<double>(target.whole.count)));
+            durationText(static_cast<double>(target.endToEnd.count)));
     }
-    if (target.firstToken <= millis{0} && target.whole <= millis{0}) {
+    if (target.firstToken <= millis{0} && target.endToEnd <= millis{0}) {
         text += " answered at all";
     }
     return text;
--- a/packages/daemon/admin_task.cpp
+++ b/packages/daemon/admin_task.cpp
@@ -46,7 +46,7 @@
     m_bus.on<members_changed>([this](const members_changed &news) {
         m_members = news.members;
     });
-    m_bus.on<received<status_answer>>([this](const received<status_answer> &news) {
+    m_bus.on<received<status_response>>([this](const received<status_response> &news) {
         const auto found = m_questions.find(news.body.id);
         if (found == m_questions.end()) {
             return;
@@ -56,10 +56,10 @@
             finish(news.body.id);
         }
     });
-    m_bus.on<received<status_ask>>([this](const received<status_ask> &news) {
+    m_bus.on<received<status_request>>([this](const received<status_request> &news) {
         if (news.body.part == "burn" && m_config) {
             m_bus.post(
-                send_to{news.from, status_answer{news.body.id, burnJson(m_metrics, *m_config, bootNow())}});
+                send_to{news.from, status_response{news.body.id, burnJson(m_metrics, *m_config, bootNow())}});
         }
     });
 }
@@ -122,7 +122,7 @@
     for (const member &peer : m_members) {
         if (peer.state != peer_state::Dead) {
             ++one.wanted;
-            m_bus.post(send_to{peer.name, status_ask{id, part}});
+            m_bus.post(send_to{peer.name, status_request{id, part}});
         }
     }
     one.timer = m_loop.timer(peerPatience, {}, [this, id] {
@@ -218,7 +218,7 @@
     for (const member &peer : m_members) {
         if (peer.state != peer_state::Dead && (server || peer.name == name)) {
             ++told;
-            m_bus.post(send_to{peer.name, drain_order{server ? name : "", !undo}});
+            m_bus.post(send_to{peer.name, drain_request{server ? name : "", !undo}});
         }
     }
     if (told == 0) {
--- a/packages/daemon/answers.cpp
+++ b/packages/daemon/answers.cpp
@@ -6,7 +6,7 @@
 
 namespace briarhead {
 
-int statusOf(const verdict &end)
+int statusOf(const request_result &end)
 {
     switch (end.why.kind) {
     case error_kind::BadRequest:
@@ -37,7 +37,7 @@
     return 503;
 }
 
-std::string errorBody(const verdict &end)
+std::string errorBody(const request_result &end)
 {
     const error_text &text = textOf(end.why.kind);
     const int status = statusOf(end);
@@ -51,7 +51,7 @@
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-header_list errorHeaders(const verdict &end)
+header_list errorHeaders(const request_result &end)
 {
     header_list headers{
         {"Content-Type", "application/json"}, {"X-Briarhead-Outcome", std::string(nameOf(end.result))}};
@@ -62,7 +62,7 @@
     return headers;
 }
 
-void respondError(http_reply &reply, const verdict &end)
+void respondError(http_reply &reply, const request_result &end)
 {
     reply.respond(statusOf(end), errorHeaders(end), errorBody(end));
 }
--- a/packages/daemon/burn_track.cpp
+++ b/packages/daemon/burn_track.cpp
@@ -90,7 +90,7 @@
             countsWithin(ring, lengthOf(burn_span::Day), now)};
     }
     report.firstTokenTimes = track.firstTokenTimes;
-    report.wholeTimes = track.wholeTimes;
+    report.endToEndTimes = track.endToEndTimes;
     report.stallTimes = track.stallTimes;
 }
 
@@ -143,7 +143,7 @@
         record(track.firstTokenTimes, static_cast<double>(request.firstToken.count));
     }
     if (request.result == outcome::Done) {
-        record(track.wholeTimes, static_cast<double>(request.whole.count));
+        record(track.endToEndTimes, static_cast<double>(request.whole.count));
     }
     if (!request.service) {
         record(track.stallTimes, static_cast<double>(request.stall.count));
@@ -158,7 +158,7 @@
     report.callers = target.callers;
     report.adapters = target.adapters;
     report.firstToken = target.firstToken;
-    report.whole = target.whole;
+    report.endToEnd = target.endToEnd;
     report.share = target.share;
     report.penalty = target.penalty;
     if (track != nullptr) {
--- a/packages/daemon/burn_track.h
+++ b/packages/daemon/burn_track.h
@@ -54,7 +54,7 @@
     burn_counts all; ///< since then
     std::map<std::string, burn_ring, std::less<>> byCaller;
     latency_histogram firstTokenTimes;
-    latency_histogram wholeTimes;
+    latency_histogram endToEndTimes;
     latency_histogram stallTimes;
 };
 
--- a/packages/daemon/crash_records.cpp
+++ b/packages/daemon/crash_records.cpp
@@ -46,7 +46,7 @@
     links.daemons = [this] {
         return m_daemons;
     };
-    links.tell = [this](const std::string &daemon, const crash_news &news) {
+    links.tell = [this](const std::string &daemon, const crash_report &news) {
         m_bus.post(send_to{daemon, news});
     };
     links.stored = [this](const std::string &fingerprint) {
@@ -69,7 +69,7 @@
 void crash_records::start(crash_task &crashes)
 {
     m_crashes = &crashes;
-    m_bus.on<received<crash_news>>([this](const received<crash_news> &news) {
+    m_bus.on<received<crash_report>>([this](const received<crash_report> &news) {
         m_crashes->hear(news.body);
     });
     read();
@@ -119,7 +119,7 @@
 {
     const std::string fingerprint = entry.key.substr(recordPrefix.size());
     error why;
-    const auto record = decodeCrash(entry.value, why);
+    const auto record = decodeCrashRecord(entry.value, why);
     stored_record &known = m_records[fingerprint];
     known = {record.value_or(crash_record{}), entry.modRevision};
     if (!record || record->servers.empty()) {
--- a/packages/daemon/daemon.cpp
+++ b/packages/daemon/daemon.cpp
@@ -94,7 +94,7 @@
         m_bus.on<owner_drained>([this](const owner_drained &) {
             m_ownerDrained = true;
         });
-        m_bus.on<received<drain_order>>([this](const received<drain_order> &news) {
+        m_bus.on<received<drain_request>>([this](const received<drain_request> &news) {
             // An order that is repeated, since its answer was lost, must not cut what a second signal would.
             if (news.body.server.empty() && news.body.drain && !m_shuttingDown) {
                 shutDown();
--- a/packages/daemon/entry_admit.cpp
+++ b/packages/daemon/entry_admit.cpp
@@ -167,11 +167,11 @@
         return false;
     }
     // A caller may ask for a worse priority than the rule's, never for a better one.
-    one.rank = std::max(one.rank, rule->best);
+    one.rank = std::max(one.rank, rule->bestPriority);
     const std::string limitKey =
         one.caller + "\n" + rule->callers + "\n" + rule->adapters + "\n" + rule->service;
     if (const auto wait = overLimit(m_limits[limitKey], *rule, bootNow())) {
-        const verdict end{
+        const request_result end{
             outcome::NotRun, {error_kind::Overloaded, one.caller, "the rule's limit is reached"}, *wait};
         record(one, end.result, end.why.kind);
         respondError(*one.reply, end);
@@ -350,7 +350,7 @@
     answer(one, {known, {error_kind::KeyUnknown, one->home, "the home of the key was lost"}, {1'000}});
 }
 
-void entry_task::onKeyVerdict(const std::string &, const key_verdict &verdictOfHome)
+void entry_task::onKeyVerdict(const std::string &, const key_response &verdictOfHome)
 {
     const pending_ptr one = take(verdictOfHome.id);
     if (!one) {
@@ -399,7 +399,7 @@
         }
         homeLost(one);
         return;
-    case key_state::CantKnow:
+    case key_state::Undetermined:
         answer(one,
             {outcome::Unknown,
                 {error_kind::KeyUnknown, "Idempotency-Key",
--- a/packages/daemon/entry_task.cpp
+++ b/packages/daemon/entry_task.cpp
@@ -58,7 +58,7 @@
     m_bus.on<received<run_end>>([this](const received<run_end> &news) {
         onEnd(news.body);
     });
-    m_bus.on<received<key_verdict>>([this](const received<key_verdict> &news) {
+    m_bus.on<received<key_response>>([this](const received<key_response> &news) {
         onKeyVerdict(news.from, news.body);
     });
     m_bus.on<link_broken>([this](const link_broken &news) {
@@ -193,7 +193,7 @@
     const auto server =
         chooseServer(query, servers, one->config->policy.stallWeight, m_options.routing, m_random);
     if (!server) {
-        verdict end{outcome::NotRun, one->lastWhy, one->lastRetryAfter};
+        request_result end{outcome::NotRun, one->lastWhy, one->lastRetryAfter};
         if (end.why.kind == error_kind::None) {
             end.why = {error_kind::NoServer, one->baseModel, "no backend server can take the request"};
         }
@@ -238,7 +238,7 @@
     request.path = one->path;
     request.body = one->body;
     request.fingerprint = one->fingerprint;
-    request.trial = one->trial;
+    request.isProbe = one->trial;
     m_bus.post(send_to{owner, std::move(request)});
 }
 
@@ -462,12 +462,12 @@
     record(*one, outcome::Done, error_kind::None);
 }
 
-void entry_task::answer(const pending_ptr &one, const verdict &last)
+void entry_task::answer(const pending_ptr &one, const request_result &last)
 {
     // Guards against: an idempotent request runs on a server that is lost, is sent again and refused, and its
     // caller is told that it was not run. The last attempt's outcome is the request's only if none before it
     // may have run.
-    verdict end = last;
+    request_result end = last;
     if (one->mayHaveRun && end.result == outcome::NotRun) {
         end.result = outcome::Unknown;
     }
--- a/packages/daemon/entry_task.h
+++ b/packages/daemon/entry_task.h
@@ -129,7 +129,7 @@
 
     void beginKeyed(const pending_ptr &one);
     void homeLost(const pending_ptr &one);
-    void onKeyVerdict(const std::string &from, const key_verdict &verdict);
+    void onKeyVerdict(const std::string &from, const key_response &verdict);
     void finishKeyed(const pending &one, outcome result, int status, const std::string &answer);
 
     void route(const pending_ptr &one);
@@ -153,7 +153,7 @@
     bool holdBlocked(const pending_ptr &one);
     void onTrial(const request_id &id, bool granted);
     void answerDone(const pending_ptr &one);
-    void answer(const pending_ptr &one, const verdict &end);
+    void answer(const pending_ptr &one, const request_result &end);
     void record(const pending &one, outcome result, error_kind why);
     void closed(const pending_ptr &one);
     void tick();
--- a/packages/daemon/judgement.cpp
+++ b/packages/daemon/judgement.cpp
@@ -93,8 +93,8 @@
         const millis first = request.firstToken > millis{0} ? request.firstToken : request.whole;
         late = std::max(late, first - target.firstToken);
     }
-    if (target.whole > millis{0}) {
-        late = std::max(late, request.whole - target.whole);
+    if (target.endToEnd > millis{0}) {
+        late = std::max(late, request.whole - target.endToEnd);
     }
     return late;
 }
--- a/packages/daemon/prometheus.cpp
+++ b/packages/daemon/prometheus.cpp
@@ -68,7 +68,7 @@
     for (std::size_t doublings = 0; doublings <= latencyDoublings; doublings += edgeStep) {
         const double edge = minLatencyMs * static_cast<double>(1 << doublings) / msPerSecond;
         writeLine(
-            out, bucket, fmt::format("{}{}le=\"{}\"", labels, separator, edge), countUnder(times, doublings));
+            out, bucket, fmt::format("{}{}le=\"{}\"", labels, separator, edge), countBelow(times, doublings));
     }
     const std::uint64_t count = countOf(times);
     writeLine(out, bucket, fmt::format("{}{}le=\"+Inf\"", labels, separator), count);
--- a/packages/protocol/codec.cpp
+++ b/packages/protocol/codec.cpp
@@ -344,7 +344,7 @@
     return encodeAny(datagram);
 }
 
-std::string encode(const store_news &news)
+std::string encode(const store_update &news)
 {
     const std::string plain = encodeAny(news);
     uLongf size = compressBound(plain.size());
@@ -362,7 +362,7 @@
     return encodeAny(record);
 }
 
-std::string encode(const orderer_record &record)
+std::string encode(const ownership_record &record)
 {
     return encodeAny(record);
 }
@@ -377,12 +377,12 @@
     return encodeAny(record);
 }
 
-std::optional<fleet_datagram> decodeFleet(std::string_view bytes, error &why)
+std::optional<fleet_datagram> decodeFleetDatagram(std::string_view bytes, error &why)
 {
     return decodeAny<fleet_datagram>(bytes, why);
 }
 
-std::optional<store_news> decodeNews(std::string_view bytes, error &why)
+std::optional<store_update> decodeStoreUpdate(std::string_view bytes, error &why)
 {
     std::uint32_t length = 0;
     if (bytes.size() < sizeof(length)) {
@@ -402,35 +402,35 @@
         why = {error_kind::BadFrame, "store news", "it does not unpack"};
         return std::nullopt;
     }
-    return decodeAny<store_news>(plain, why);
+    return decodeAny<store_update>(plain, why);
 }
 
-std::optional<daemon_record> decodeDaemon(std::string_view bytes, error &why)
+std::optional<daemon_record> decodeDaemonRecord(std::string_view bytes, error &why)
 {
     return decodeAny<daemon_record>(bytes, why);
 }
 
-std::optional<orderer_record> decodeOrderer(std::string_view bytes, error &why)
+std::optional<ownership_record> decodeOwnershipRecord(std::string_view bytes, error &why)
 {
-    return decodeAny<orderer_record>(bytes, why);
+    return decodeAny<ownership_record>(bytes, why);
 }
 
-std::optional<quota_home_record> decodeQuotaHome(std::string_view bytes, error &why)
+std::optional<quota_home_record> decodeQuotaHomeRecord(std::string_view bytes, error &why)
 {
     return decodeAny<quota_home_record>(bytes, why);
 }
 
-std::optional<crash_record> decodeCrash(std::string_view bytes, error &why)
+std::optional<crash_record> decodeCrashRecord(std::string_view bytes, error &why)
 {
     return decodeAny<crash_record>(bytes, why);
 }
 
-std::optional<peer_message> decodeMessage(std::string_view bytes, error &why)
+std::optional<peer_message> decodePeerMessage(std::string_view bytes, error &why)
 {
     return decodeAny<peer_message>(bytes, why);
 }
 
-std::optional<peer_datagram> decodeDatagram(std::string_view bytes, error &why)
+std::optional<peer_datagram> decodePeerDatagram(std::string_view bytes, error &why)
 {
     auto datagram = decodeAny<peer_datagram>(bytes, why);
     if (datagram && !withinLimits(*datagram)) {
--- a/packages/protocol/codec.h
+++ b/packages/protocol/codec.h
@@ -20,21 +20,21 @@
 std::string encode(const peer_datagram &datagram);
 std::string encode(const fleet_datagram &datagram);
 /// Deflated, unlike the others.
-std::string encode(const store_news &news);
+std::string encode(const store_update &news);
 std::string encode(const daemon_record &record);
-std::string encode(const orderer_record &record);
+std::string encode(const ownership_record &record);
 std::string encode(const quota_home_record &record);
 std::string encode(const crash_record &record);
 
 /// The message, or nothing with `why` of kind BadFrame. Never throws, and never takes more memory than
 /// a small multiple of the input, whatever lengths the input claims. Bytes left over are an error.
-std::optional<peer_message> decodeMessage(std::string_view bytes, error &why);
-std::optional<peer_datagram> decodeDatagram(std::string_view bytes, error &why);
-std::optional<fleet_datagram> decodeFleet(std::string_view bytes, error &why);
-std::optional<store_news> decodeNews(std::string_view bytes, error &why);
-std::optional<daemon_record> decodeDaemon(std::string_view bytes, error &why);
-std::optional<orderer_record> decodeOrderer(std::string_view bytes, error &why);
-std::optional<quota_home_record> decodeQuotaHome(std::string_view bytes, error &why);
-std::optional<crash_record> decodeCrash(std::string_view bytes, error &why);
+std::optional<peer_message> decodePeerMessage(std::string_view bytes, error &why);
+std::optional<peer_datagram> decodePeerDatagram(std::string_view bytes, error &why);
+std::optional<fleet_datagram> decodeFleetDatagram(std::string_view bytes, error &why);
+std::optional<store_update> decodeStoreUpdate(std::string_view bytes, error &why);
+std::optional<daemon_record> decodeDaemonRecord(std::string_view bytes, error &why);
+std::optional<ownership_record> decodeOwnershipRecord(std::string_view bytes, error &why);
+std::optional<quota_home_record> decodeQuotaHomeRecord(std::string_view bytes, error &why);
+std::optional<crash_record> decodeCrashRecord(std::string_view bytes, error &why);
 
 }
--- a/packages/protocol/crash_messages.h
+++ b/packages/protocol/crash_messages.h
@@ -9,16 +9,16 @@
 
 /// Starts of servers that ended under one request: from whoever saw it to the daemons that count for that
 /// request, and from these to all. Without any: a server has run it to an end after all.
-struct crash_news
+struct crash_report
 {
     std::string fingerprint; ///< see request_fingerprint.h
     std::vector<std::string> servers;
-    std::uint32_t trials = 0; ///< tries of it since it goes to no server
+    std::uint32_t probeCount = 0; ///< tries of it since it goes to no server
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(fingerprint, servers, trials);
+        archive(fingerprint, servers, probeCount);
     }
 };
 
@@ -26,12 +26,12 @@
 struct crash_record
 {
     std::vector<std::string> servers;
-    std::uint32_t trials = 0;
+    std::uint32_t probeCount = 0;
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(servers, trials);
+        archive(servers, probeCount);
     }
 };
 
--- a/packages/protocol/fleet_messages.h
+++ b/packages/protocol/fleet_messages.h
@@ -15,7 +15,7 @@
 namespace briarhead {
 
 /// Entry -> orderer: may this request be sent to that server? Repeated until answered.
-struct place_ask
+struct slot_request
 {
     std::string id; ///< of the caller's attempt
     std::string server;
@@ -39,7 +39,7 @@
     }
 };
 
-enum class place_verdict : std::uint8_t
+enum class slot_decision : std::uint8_t
 {
     Queued, ///< heard; the grant or a refusal follows
     Granted,
@@ -47,19 +47,19 @@
 };
 
 /// The codec takes no value beyond.
-constexpr place_verdict lastOf(place_verdict)
+constexpr slot_decision lastOf(slot_decision)
 {
-    return place_verdict::Refused;
+    return slot_decision::Refused;
 }
 
 enum class refusal : std::uint8_t
 {
     None,
     TooBusy, ///< its wait would be over before its turn
-    NoPlace, ///< every place for adapters is in use
-    NotOrderer, ///< that daemon does not give this server's orders
+    NoSlot, ///< every place for adapters is in use
+    NotOwner, ///< that daemon does not give this server's orders
     ServerLeaving,
-    NotHeld, ///< the base model isn't there
+    ModelNotLoaded, ///< the base model isn't there
     LoadTooSlow, ///< its adapter would be there too late: too many are on their way from the weight store
     Limited, ///< its turn within the limit that the server names would come too late
     Paused, ///< the server wants nothing from the entry for a while
@@ -73,44 +73,44 @@
 std::string_view nameOf(refusal value);
 
 /// Orderer -> entry.
-struct place_answer
+struct slot_response
 {
     std::string id;
     std::string server;
-    place_verdict verdict = place_verdict::Queued;
+    slot_decision decision = slot_decision::Queued;
     refusal why = refusal::None;
     std::int64_t adapterVersion = 0; ///< the version that is resident; 0: not known
-    std::int64_t comeBackMs = 0; ///< of a refusal
-    /// Of the server, as in place_ask. Says nothing where `why` is NotOrderer or ServerLeaving.
+    std::int64_t retryAfterMs = 0; ///< of a refusal
+    /// Of the server, as in slot_request. Says nothing where `why` is NotOrderer or ServerLeaving.
     std::int64_t limitMilli = -1;
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(id, server, verdict, why, adapterVersion, comeBackMs, limitMilli);
+        archive(id, server, decision, why, adapterVersion, retryAfterMs, limitMilli);
     }
 };
 
-enum class place_event : std::uint8_t
+enum class slot_event : std::uint8_t
 {
     FirstToken, ///< the prompt has been read
     Ended, ///< the server no longer works on it
-    NotHeld, ///< the server says that the adapter isn't there
+    AdapterNotLoaded, ///< the server says that the adapter isn't there
     Failed, ///< ended without an answer that counts
-    Unsent, ///< never reached the server
+    NotSent, ///< never reached the server
 };
 
-constexpr place_event lastOf(place_event)
+constexpr slot_event lastOf(slot_event)
 {
-    return place_event::Unsent;
+    return slot_event::NotSent;
 }
 
 /// Entry -> orderer: what became of a grant. May be lost; a grant also ends by its deadline.
-struct place_note
+struct slot_report
 {
     std::string id;
     std::string server;
-    place_event event = place_event::Ended;
+    slot_event event = slot_event::Ended;
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -121,11 +121,11 @@
 
 /// Entry -> orderer: what the answer to a granted request says of its server's limit. Sent only where a limit
 /// is named, or was.
-struct limit_note
+struct limit_report
 {
     std::string id;
     std::string server;
-    std::int64_t limitMilli = -1; ///< as in place_ask; -1: named no more
+    std::int64_t limitMilli = -1; ///< as in slot_request; -1: named no more
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -136,10 +136,10 @@
 
 /// What a server said of itself in an answer to the sender. To the daemon that holds the server's record, so
 /// that it grants nothing that can't be used; and, that it leaves, to all.
-struct word_news
+struct server_notice
 {
     std::string server;
-    std::string start; ///< of the server; it is another one after each restart
+    std::string incarnation; ///< of the server; it is another one after each restart
     bool leaving = false;
     std::int64_t pauseMs = 0; ///< for which it wants nothing from the sender; 0: not said
     bool relay = false; ///< to be passed on to all daemons
@@ -147,12 +147,12 @@
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(server, start, leaving, pauseMs, relay);
+        archive(server, incarnation, leaving, pauseMs, relay);
     }
 };
 
 /// Entry -> a server's new orderer: a request that the one before let in, and that still runs there.
-struct place_running
+struct running_request
 {
     std::string id;
     std::string server;
@@ -172,42 +172,42 @@
 
 /// One adapter that a server holds or will soon. A hash stands for its name, a fifth of the bytes; two that
 /// share one are told apart by the orderer.
-struct beat_adapter
+struct heartbeat_adapter
 {
     std::uint32_t name = 0; ///< hash of MODEL/ADAPTER, see adapterHash
     bool loading = false;
-    std::uint32_t uses = 0; ///< of late there, see heatHalfLife
+    std::uint32_t recentUses = 0; ///< of late there, see heatHalfLife
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(name, loading, uses);
+        archive(name, loading, recentUses);
     }
 };
 
 /// A server as its orderer knows it.
-struct server_beat
+struct server_heartbeat
 {
     std::string server;
     std::uint64_t fence = 0;
-    bool held = false; ///< the base model is there
-    std::vector<beat_adapter> adapters;
-    std::uint32_t openPlaces = 0; ///< free, or held by an adapter that nothing uses
+    bool modelLoaded = false; ///< the base model is there
+    std::vector<heartbeat_adapter> adapters;
+    std::uint32_t availableSlots = 0; ///< free, or held by an adapter that nothing uses
     std::int64_t backlogTokens = 0; ///< prompt tokens granted or queued and not yet read
-    std::int64_t tokensPerSecond = 0; ///< of prompts, as measured
+    std::int64_t prefillTokensPerSecond = 0; ///< of prompts, as measured
     std::uint32_t running = 0;
     std::uint32_t longAnswers = 0; ///< of those, answers that take seconds to write
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(
-            server, fence, held, adapters, openPlaces, backlogTokens, tokensPerSecond, running, longAnswers);
+        archive(server, fence, modelLoaded, adapters, availableSlots, backlogTokens, prefillTokensPerSecond,
+            running, longAnswers);
     }
 };
 
 /// A server's limit, as its orderer keeps it.
-struct limit_beat
+struct limit_heartbeat
 {
     std::string server;
     std::int64_t limitMilli = -1; ///< -1: named no more, since a moment ago
@@ -221,24 +221,25 @@
 };
 
 /// A daemon -> the others that hear of its servers, a few times a second.
-struct fleet_beat
+struct fleet_heartbeat
 {
     bool relay = false; ///< to be passed on to all daemons of the receiver's failure domain
-    std::vector<server_beat> servers; ///< those it gives orders to
-    std::int64_t orderingMs = 0; ///< it gives no order later than this from now unless its lease is renewed
-    std::int64_t loadsAtOnce =
+    std::vector<server_heartbeat> servers; ///< those it gives orders to
+    std::int64_t ownershipLeftMs =
+        0; ///< it gives no order later than this from now unless its lease is renewed
+    std::int64_t maxFullSpeedLoads =
         0; ///< adapters the weight store delivers at full speed, as learned; 0: not lately
-    std::vector<limit_beat> limits; ///< of those servers
+    std::vector<limit_heartbeat> limits; ///< of those servers
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(relay, servers, orderingMs, loadsAtOnce, limits);
+        archive(relay, servers, ownershipLeftMs, maxFullSpeedLoads, limits);
     }
 };
 
 /// One item of the platform's store, as a watch tells of it.
-struct news_item
+struct store_item
 {
     std::string key;
     std::string value;
@@ -254,24 +255,24 @@
 
 /// Reader -> the other daemons of its failure domain: what changed in the store between two revisions. Also
 /// sent when nothing did, as a sign that the reader reaches the store.
-struct store_news
+struct store_update
 {
     std::int64_t from = 0;
     std::int64_t to = 0;
     bool fetch = false; ///< too much for a datagram: to be fetched from the reader
-    bool whole = false; ///< in an answer to a fetch: all items there are, not just changes
-    std::vector<news_item> items;
+    bool isSnapshot = false; ///< in an answer to a fetch: all items there are, not just changes
+    std::vector<store_item> items;
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(from, to, fetch, whole, items);
+        archive(from, to, fetch, isSnapshot, items);
     }
 };
 
-/// store_news in packed form: an operator's configuration is some tens of kilobytes of text, and a reader
+/// store_update in packed form: an operator's configuration is some tens of kilobytes of text, and a reader
 /// sends it to its whole failure domain over a link of 10 Mbit/s.
-struct packed_news
+struct compressed_update
 {
     std::string bytes;
 
@@ -286,8 +287,9 @@
 {
     std::string from; ///< the sender's node name
     std::uint64_t incarnation = 0;
-    std::variant<place_ask, place_answer, place_note, place_running, fleet_beat, store_news, packed_news,
-        crash_news, quota_ask, quota_answer, quota_release, limit_note, word_news>
+    std::variant<slot_request, slot_response, slot_report, running_request, fleet_heartbeat, store_update,
+        compressed_update, crash_report, quota_request, quota_response, quota_release, limit_report,
+        server_notice>
         body;
 
     template <class Archive>
@@ -316,7 +318,7 @@
 using daemon_map = std::map<std::string, daemon_record>; ///< by node
 
 /// Kept in the platform's store: who gives a server's orders. The fencing token is the record's revision.
-struct orderer_record
+struct ownership_record
 {
     std::string node; ///< empty: given up, to be taken by whoever is proposed
     std::uint64_t incarnation = 0;
@@ -332,13 +334,13 @@
 /// Kept in the platform's store: the home of a shard of client accounts. Its term is the record's revision.
 struct quota_home_record
 {
-    orderer_record right;
-    bool settled = false; ///< whoever was the home before gives nothing any more
+    ownership_record ownership;
+    bool predecessorExpired = false; ///< whoever was the home before gives nothing any more
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(right, settled);
+        archive(ownership, predecessorExpired);
     }
 };
 
--- a/packages/protocol/messages.h
+++ b/packages/protocol/messages.h
@@ -32,13 +32,13 @@
     std::string path;
     std::string body;
     std::string fingerprint; ///< of what its caller sent, see request_fingerprint.h
-    bool trial = false; ///< runs though servers ended under it, to find out whether they still do
+    bool isProbe = false; ///< runs though servers ended under it, to find out whether they still do
 
     template <class Archive>
     void serialize(Archive &archive)
     {
         archive(id, server, adapter, configVersion, caller, rank, deadlineMs, idempotent, mayLoad, prefix,
-            path, body, fingerprint, trial);
+            path, body, fingerprint, isProbe);
     }
 };
 
@@ -139,17 +139,17 @@
     Fresh, ///< no attempt ran; this one is now recorded as started
     Started, ///< another attempt may be running or may have run: outcome unknown
     Finished, ///< done; the kept answer rides along
-    CantKnow, ///< this home is too new to know: outcome unknown
+    Undetermined, ///< this home is too new to know: outcome unknown
     NotHome, ///< by this daemon's view another daemon is the home
 };
 
 std::string_view nameOf(key_state value);
 
 /// Home -> entry.
-struct key_verdict
+struct key_response
 {
     request_id id;
-    key_state state = key_state::CantKnow;
+    key_state state = key_state::Undetermined;
     int status = 0;
     std::string contentType;
     std::string answer;
@@ -179,7 +179,7 @@
 };
 
 /// Asks a peer for the configuration after a version.
-struct config_ask
+struct config_request
 {
     std::uint64_t have = 0;
 
@@ -191,7 +191,7 @@
 };
 
 /// The answer: the patches after `have`, or the whole when the peer no longer holds those patches.
-struct config_answer
+struct config_response
 {
     std::uint64_t version = 0;
     std::vector<std::string> patches; ///< JSON, in order, first is have + 1
@@ -205,7 +205,7 @@
 };
 
 /// Owner -> broker of the store's budget: may I load? Sent again every second while waiting.
-struct load_ask
+struct load_request
 {
     std::uint64_t ticket = 0;
     std::string server;
@@ -244,7 +244,7 @@
 };
 
 /// Any daemon -> any daemon, for the operator's command: a status page of one part, as JSON.
-struct status_ask
+struct status_request
 {
     std::uint64_t id = 0;
     std::string part;
@@ -256,7 +256,7 @@
     }
 };
 
-struct status_answer
+struct status_response
 {
     std::uint64_t id = 0;
     std::string json;
@@ -269,7 +269,7 @@
 };
 
 /// Any daemon -> the owner: an operator wants this server drained (or no longer).
-struct drain_order
+struct drain_request
 {
     std::string server;
     bool drain = true;
@@ -282,7 +282,7 @@
 };
 
 /// Old owner -> the daemon proposed for a server: the record was released, read it again.
-struct owner_news
+struct owner_released
 {
     std::string server;
 
@@ -295,8 +295,8 @@
 
 /// Everything that goes over a TCP link between two daemons.
 using peer_message = std::variant<run_request, run_started, run_bytes, run_end, run_cancel, key_begin,
-    key_verdict, key_finish, config_ask, config_answer, load_ask, load_grant, load_release, status_ask,
-    status_answer, drain_order, owner_news, crash_news>;
+    key_response, key_finish, config_request, config_response, load_request, load_grant, load_release,
+    status_request, status_response, drain_request, owner_released, crash_report>;
 
 /// How a peer is seen. Order matters: with equal incarnations the higher state wins.
 enum class peer_state : std::uint8_t
--- a/packages/protocol/quota_messages.h
+++ b/packages/protocol/quota_messages.h
@@ -8,50 +8,52 @@
 namespace briarhead {
 
 /// What a daemon wants of one account's limit.
-struct quota_want
+struct quota_demand
 {
     std::uint64_t account = 0; ///< accountHash()
     std::int64_t demandMilli = 0; ///< units a second that callers ask for there
     std::int64_t costMilli = 0; ///< units of a usual request there
-    std::uint32_t heldPpm = 0; ///< of the limit, that it holds
+    std::uint32_t heldSharePpm = 0; ///< of the limit, that it holds
     std::int64_t needMilli = 0; ///< units that callers wait for now, beyond what it has
-    std::int64_t firstMilli = 0; ///< of these, what the first one lacks; fewer are of no use
+    std::int64_t firstNeedMilli = 0; ///< of these, what the first one lacks; fewer are of no use
     std::int64_t unusedMilli = 0; ///< units given earlier and not used, returned by this message alone
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(account, demandMilli, costMilli, heldPpm, needMilli, firstMilli, unusedMilli);
+        archive(account, demandMilli, costMilli, heldSharePpm, needMilli, firstNeedMilli, unusedMilli);
     }
 };
 
 /// Daemon -> the home of some accounts. Sent anew, with another round, until answered.
-struct quota_ask
+struct quota_request
 {
     std::uint32_t shard = 0; ///< of accounts, see shardOf()
     std::uint64_t round = 0; ///< grows with each ask for the shard within one incarnation
-    std::uint64_t answered = 0; ///< the latest round whose answer came; 0: none
-    std::uint32_t alonePpm = 0; ///< of each limit, that it uses once it has been without an answer for long
-    std::vector<quota_want> wants;
+    std::uint64_t lastAnsweredRound = 0; ///< the latest round whose answer came; 0: none
+    std::uint32_t fallbackSharePpm =
+        0; ///< of each limit, that it uses once it has been without an answer for long
+    std::vector<quota_demand> demands;
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(shard, round, answered, alonePpm, wants);
+        archive(shard, round, lastAnsweredRound, fallbackSharePpm, demands);
     }
 };
 
-struct quota_give
+struct quota_grant
 {
     std::uint64_t account = 0;
-    std::uint32_t partPpm = 0; ///< of the limit, that the daemon holds from now on
+    std::uint32_t grantedSharePpm = 0; ///< of the limit, that the daemon holds from now on
     std::int64_t unitsMilli = 0; ///< for the callers that wait
-    std::int64_t roomMs = 0; ///< where the limit is used up: until there may be some; 0: it isn't known
+    std::int64_t availableInMs =
+        0; ///< where the limit is used up: until there may be some; 0: it isn't known
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(account, partPpm, unitsMilli, roomMs);
+        archive(account, grantedSharePpm, unitsMilli, availableInMs);
     }
 };
 
@@ -69,17 +71,17 @@
 };
 
 /// Home -> daemon, one for each ask.
-struct quota_answer
+struct quota_response
 {
     std::uint32_t shard = 0;
     std::uint64_t round = 0; ///< of the ask
-    std::uint32_t alonePpm = 0; ///< see quota_ask
-    std::vector<quota_give> gives;
+    std::uint32_t fallbackSharePpm = 0; ///< see quota_request
+    std::vector<quota_grant> grants;
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(shard, round, alonePpm, gives);
+        archive(shard, round, fallbackSharePpm, grants);
     }
 };
 
--- a/packages/serving/beat_cells.cpp
+++ b/packages/serving/beat_cells.cpp
@@ -63,20 +63,20 @@
 }
 
 std::vector<beat_parcel> dealBeats(
-    const fleet_shape &fleet, const daemon_record &from, const fleet_beat &beat, int round)
+    const fleet_shape &fleet, const daemon_record &from, const fleet_heartbeat &beat, int round)
 {
     std::vector<beat_parcel> parcels;
     for (const auto &[domain, daemons] : byDomain(fleet)) {
         const bool own = domain == from.failureDomain;
         const std::size_t cells = cellCount(daemons.live.size(), fleet.servers);
         std::map<std::size_t, beat_parcel> byCell;
-        for (const server_beat &server : beat.servers) {
-            fleet_beat &part = byCell[cellOf(server.server, cells)].beat;
-            part.orderingMs = beat.orderingMs;
-            part.loadsAtOnce = beat.loadsAtOnce;
+        for (const server_heartbeat &server : beat.servers) {
+            fleet_heartbeat &part = byCell[cellOf(server.server, cells)].beat;
+            part.ownershipLeftMs = beat.ownershipLeftMs;
+            part.maxFullSpeedLoads = beat.maxFullSpeedLoads;
             part.servers.push_back(server);
         }
-        for (const limit_beat &limit : beat.limits) {
+        for (const limit_heartbeat &limit : beat.limits) {
             byCell[cellOf(limit.server, cells)].beat.limits.push_back(limit);
         }
         for (auto &[cell, parcel] : byCell) {
@@ -101,7 +101,7 @@
 }
 
 std::vector<const daemon_record *> passOnTo(
-    const fleet_shape &fleet, const daemon_record &relay, const fleet_beat &beat)
+    const fleet_shape &fleet, const daemon_record &relay, const fleet_heartbeat &beat)
 {
     const domain_map domains = byDomain(fleet);
     const auto own = domains.find(relay.failureDomain);
--- a/packages/serving/beat_cells.h
+++ b/packages/serving/beat_cells.h
@@ -37,7 +37,7 @@
 /// A beat and the daemons that get it.
 struct beat_parcel
 {
-    fleet_beat beat;
+    fleet_heartbeat beat;
     std::vector<const daemon_record *> to;
 };
 
@@ -49,9 +49,9 @@
 
 /// What the daemon `from` sends in a round, of the servers that it gives orders to.
 std::vector<beat_parcel> dealBeats(
-    const fleet_shape &fleet, const daemon_record &from, const fleet_beat &beat, int round);
+    const fleet_shape &fleet, const daemon_record &from, const fleet_heartbeat &beat, int round);
 /// The daemons of its own failure domain that `relay` passes a beat from another one on to.
 std::vector<const daemon_record *> passOnTo(
-    const fleet_shape &fleet, const daemon_record &relay, const fleet_beat &beat);
+    const fleet_shape &fleet, const daemon_record &relay, const fleet_heartbeat &beat);
 
 }
--- a/packages/serving/crash_store.cpp
+++ b/packages/serving/crash_store.cpp
@@ -24,7 +24,7 @@
     links.daemons = [&store] {
         return nodesOf(store.view().daemons);
     };
-    links.tell = [&store, &port, self = settings.node](const std::string &node, const crash_news &news) {
+    links.tell = [&store, &port, self = settings.node](const std::string &node, const crash_report &news) {
         sendToNode(*port, store, self, node, news);
     };
     links.stored = [&store](const std::string &fingerprint) {
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -74,7 +74,7 @@
         , m_front(eventLoop, m_bus, m_store, m_crashes, *m_quota, m_words, m_pool, m_parts.requests, settings,
               log)
         , m_orderer(eventLoop, m_bus, m_store, m_words, m_pool, m_parts.requests, settings, log,
-              [this](const std::string &entry, const place_answer &answer) {
+              [this](const std::string &entry, const slot_response &answer) {
                   answerEntry(entry, answer);
               })
     {
@@ -85,15 +85,15 @@
     int run() override;
 
 private:
-    void answerEntry(const std::string &entry, const place_answer &answer);
+    void answerEntry(const std::string &entry, const slot_response &answer);
     void onDatagram(const fleet_datagram &datagram);
-    void sendNews(const std::vector<std::string> &nodes, const store_news &news);
+    void sendNews(const std::vector<std::string> &nodes, const store_update &news);
     daemon_record self() const;
     fleet_shape shape() const;
     void beat();
-    void passOn(const fleet_datagram &datagram, const fleet_beat &beat);
+    void passOn(const fleet_datagram &datagram, const fleet_heartbeat &beat);
     void fetchNews(
-        const std::string &node, std::int64_t after, std::function<void(std::optional<store_news>)> done);
+        const std::string &node, std::int64_t after, std::function<void(std::optional<store_update>)> done);
     void answerNews(const front_request &request, front_reply &reply) const;
     bool isReady() const;
     void onReadyQuestion(front_reply &reply) const;
@@ -160,11 +160,11 @@
     if (!m_peers) {
         return false;
     }
-    m_store.setFleet({[this](const std::vector<std::string> &nodes, const store_news &news) {
+    m_store.setFleet({[this](const std::vector<std::string> &nodes, const store_update &news) {
                           sendNews(nodes, news);
                       },
         [this](const std::string &node, std::int64_t after,
-            std::function<void(std::optional<store_news>)> done) {
+            std::function<void(std::optional<store_update>)> done) {
             fetchNews(node, after, std::move(done));
         }});
     m_callers = front_server::listen(
@@ -230,9 +230,9 @@
     return m_exit;
 }
 
-void daemon_impl::answerEntry(const std::string &entry, const place_answer &answer)
+void daemon_impl::answerEntry(const std::string &entry, const slot_response &answer)
 {
-    deliverToNode(m_loop, *m_port, m_store, m_settings.node, entry, answer, [this](const place_answer &own) {
+    deliverToNode(m_loop, *m_port, m_store, m_settings.node, entry, answer, [this](const slot_response &own) {
         m_front.onAnswer(own);
     });
 }
@@ -243,29 +243,29 @@
     std::visit(
         [&](const auto &body) {
             using body_type = std::decay_t<decltype(body)>;
-            if constexpr (std::is_same_v<body_type, place_answer>) {
+            if constexpr (std::is_same_v<body_type, slot_response>) {
                 m_front.onAnswer(body);
-            } else if constexpr (std::is_same_v<body_type, packed_news>) {
+            } else if constexpr (std::is_same_v<body_type, compressed_update>) {
                 error why;
-                if (const auto news = decodeNews(body.bytes, why)) {
+                if (const auto news = decodeStoreUpdate(body.bytes, why)) {
                     m_store.onNews(datagram.from, *news);
                 } else {
                     m_log.important("news.unreadable").add("peer", datagram.from).add("why", message(why));
                 }
-            } else if constexpr (std::is_same_v<body_type, store_news>) {
+            } else if constexpr (std::is_same_v<body_type, store_update>) {
                 m_store.onNews(datagram.from, body);
-            } else if constexpr (std::is_same_v<body_type, crash_news>) {
+            } else if constexpr (std::is_same_v<body_type, crash_report>) {
                 m_crashes.hear(body);
-            } else if constexpr (std::is_same_v<body_type, quota_ask>) {
+            } else if constexpr (std::is_same_v<body_type, quota_request>) {
                 const daemon_record *record = findPeer(m_store.view(), datagram.from);
                 const bool recorded = record != nullptr && record->incarnation == datagram.incarnation;
                 m_quota->hear({datagram.from, datagram.incarnation, recorded}, body);
             } else if constexpr (std::is_same_v<body_type,
-                                     quota_answer> || std::is_same_v<body_type, quota_release>) {
+                                     quota_response> || std::is_same_v<body_type, quota_release>) {
                 m_quota->hear(body);
-            } else if constexpr (std::is_same_v<body_type, word_news>) {
+            } else if constexpr (std::is_same_v<body_type, server_notice>) {
                 m_words.hear(datagram.from, body);
-            } else if constexpr (std::is_same_v<body_type, fleet_beat>) {
+            } else if constexpr (std::is_same_v<body_type, fleet_heartbeat>) {
                 m_front.onBeat(datagram.from, body);
                 m_orderer.hear(datagram.from, body);
                 if (body.relay) {
@@ -291,10 +291,10 @@
 }
 
 /// A beat from another failure domain, for the others here that hear of its servers.
-void daemon_impl::passOn(const fleet_datagram &datagram, const fleet_beat &beat)
+void daemon_impl::passOn(const fleet_datagram &datagram, const fleet_heartbeat &beat)
 {
     fleet_datagram copy{datagram.from, datagram.incarnation, beat};
-    std::get<fleet_beat>(copy.body).relay = false;
+    std::get<fleet_heartbeat>(copy.body).relay = false;
     for (const daemon_record *record : passOnTo(shape(), self(), beat)) {
         m_port->send({record->ip, record->port}, copy);
     }
@@ -321,7 +321,7 @@
 void daemon_impl::beat()
 {
     lookWhetherAlone();
-    const fleet_beat now = m_orderer.beat();
+    const fleet_heartbeat now = m_orderer.beat();
     m_front.onBeat(m_settings.node, now);
     ++m_beats;
     for (const beat_parcel &parcel : dealBeats(shape(), self(), now, m_beats)) {
@@ -331,13 +331,13 @@
     }
 }
 
-void daemon_impl::sendNews(const std::vector<std::string> &nodes, const store_news &news)
+void daemon_impl::sendNews(const std::vector<std::string> &nodes, const store_update &news)
 {
     fleet_datagram datagram{m_settings.node, m_store.incarnation(), news};
     if (!news.items.empty()) {
-        datagram.body = packed_news{encode(news)};
-        if (std::get<packed_news>(datagram.body).bytes.size() > largestNews) {
-            datagram.body = store_news{news.from, news.to, true, false, {}};
+        datagram.body = compressed_update{encode(news)};
+        if (std::get<compressed_update>(datagram.body).bytes.size() > largestNews) {
+            datagram.body = store_update{news.from, news.to, true, false, {}};
         }
     }
     for (const std::string &node : nodes) {
@@ -361,7 +361,7 @@
 }
 
 void daemon_impl::fetchNews(
-    const std::string &node, std::int64_t after, std::function<void(std::optional<store_news>)> done)
+    const std::string &node, std::int64_t after, std::function<void(std::optional<store_update>)> done)
 {
     const daemon_record *peer = findPeer(m_store.view(), node);
     if (peer == nullptr) {
@@ -373,7 +373,7 @@
     callServer(m_loop, m_pool, {peer->ip, peer->port}, call, newsTimeout,
         [done = std::move(done)](const call_result &result) {
             error why;
-            done(result.how == send_end::Whole ? decodeNews(result.body, why) : std::nullopt);
+            done(result.how == send_end::Whole ? decodeStoreUpdate(result.body, why) : std::nullopt);
         });
 }
 
--- a/packages/serving/fleet_port.cpp
+++ b/packages/serving/fleet_port.cpp
@@ -69,7 +69,7 @@
             return;
         }
         error why;
-        const auto datagram = decodeFleet({buffer.data(), static_cast<std::size_t>(got)}, why);
+        const auto datagram = decodeFleetDatagram({buffer.data(), static_cast<std::size_t>(got)}, why);
         if (!datagram) {
             ++m_counters.bad;
             m_lastBad = why;
--- a/packages/serving/front_account.cpp
+++ b/packages/serving/front_account.cpp
@@ -114,7 +114,7 @@
         .add("home", standing.home)
         .add("contact_age_ms", standing.contactAge)
         .add("config", one->config->version);
-    note(*one, place_event::Ended);
+    note(*one, slot_event::Ended);
     switch (decision.verdict) {
     case quota_verdict::TooLarge:
         refuse(one, "larger than the account's limit", comeBackTooLarge, overLimit);
@@ -139,7 +139,7 @@
         }
         const auto server = m_store.view().servers.find(same->server);
         if (server == m_store.view().servers.end()) {
-            leaveClosed(same, place_event::Unsent);
+            leaveClosed(same, slot_event::NotSent);
             return;
         }
         send(same, server->second);
--- a/packages/serving/front_closed.cpp
+++ b/packages/serving/front_closed.cpp
@@ -87,12 +87,12 @@
     }
     for (const work_ptr &one : waiting) {
         --one->placesTried;
-        leaveClosed(one, place_event::Ended);
+        leaveClosed(one, slot_event::Ended);
     }
 }
 
 /// Nothing of the request goes to the server that it was meant for.
-void front_task::leaveClosed(const work_ptr &one, place_event event)
+void front_task::leaveClosed(const work_ptr &one, slot_event event)
 {
     one->askTimer.reset();
     note(*one, event);
--- a/packages/serving/front_limit.cpp
+++ b/packages/serving/front_limit.cpp
@@ -79,7 +79,8 @@
         holder = server == m_store.view().servers.end() ? holder : limitHolder(server->second);
     }
     if (!holder.empty()) {
-        tell(holder, limit_note{one.request.id, one.server, one.meta.limit ? toMilli(*one.meta.limit) : -1});
+        tell(
+            holder, limit_report{one.request.id, one.server, one.meta.limit ? toMilli(*one.meta.limit) : -1});
     }
 }
 
--- a/packages/serving/front_route.cpp
+++ b/packages/serving/front_route.cpp
@@ -193,7 +193,7 @@
     m_workOfAsk[one->request.id] = one->number;
     const millis waited = bootNow() - one->arrived;
     const std::int64_t wait = patienceLeft(*one).count;
-    place_ask message{one->request.id, one->server, one->request.model, one->request.adapter,
+    slot_request message{one->request.id, one->server, one->request.model, one->request.adapter,
         one->request.promptTokens, one->request.outputTokens, rankOf(*one->way, one->account),
         std::max<std::int64_t>(wait, 0), std::max<std::int64_t>(left(*one).count, 0),
         (one->way->target - waited).count, -1, 0};
@@ -228,7 +228,7 @@
         .add("server", one->server)
         .add("orderer", one->orderer)
         .add("asks", one->asks);
-    note(*one, place_event::Ended);
+    note(*one, slot_event::Ended);
     one->excluded.insert(one->server);
     if (const auto limit = m_limits.find(one->server); limit != m_limits.end()) {
         limit->second.turnAt = bootNow() + silentHolder; // the next callers are not to wait for it too
@@ -236,13 +236,13 @@
     start(one);
 }
 
-void front_task::onAnswer(const place_answer &answer)
+void front_task::onAnswer(const slot_response &answer)
 {
-    const bool knowsLimit = answer.why != refusal::NotOrderer && answer.why != refusal::ServerLeaving;
+    const bool knowsLimit = answer.why != refusal::NotOwner && answer.why != refusal::ServerLeaving;
     if (knowsLimit) {
-        const bool limited = answer.verdict == place_verdict::Refused && answer.why == refusal::Limited;
+        const bool limited = answer.decision == slot_decision::Refused && answer.why == refusal::Limited;
         const auto known = turnWait(answer.server);
-        const millis wait = limited ? millis{answer.comeBackMs} : known.value_or(millis{});
+        const millis wait = limited ? millis{answer.retryAfterMs} : known.value_or(millis{});
         hearKept(m_limits, answer.server, limitFrom(answer.limitMilli), wait, bootNow());
     }
     const auto number = m_workOfAsk.find(answer.id);
@@ -251,20 +251,20 @@
         && !found->second->granted && !found->second->sending;
     if (!waits) {
         const bool unknown = found == m_work.end() || found->second->server != answer.server;
-        if (answer.verdict == place_verdict::Granted && unknown) {
+        if (answer.decision == slot_decision::Granted && unknown) {
             // A grant for a request that has ended or gone elsewhere holds a place: say so.
             work ended;
             ended.request.id = answer.id;
             ended.server = answer.server;
             const auto heard = m_heard.find(answer.server);
             ended.orderer = heard == m_heard.end() ? "" : heard->second.orderer;
-            note(ended, place_event::Unsent);
+            note(ended, slot_event::NotSent);
         }
         return;
     }
     const work_ptr one = found->second;
-    switch (answer.verdict) {
-    case place_verdict::Queued:
+    switch (answer.decision) {
+    case slot_decision::Queued:
         // Asked again only rarely from here on: the grant itself may be lost.
         one->asks = 1;
         one->askTimer =
@@ -274,7 +274,7 @@
                 }
             });
         return;
-    case place_verdict::Granted: {
+    case slot_decision::Granted: {
         one->askTimer.reset();
         one->granted = true;
         one->adapterVersion = answer.adapterVersion;
@@ -282,21 +282,21 @@
         record(m_counters.placeWait, static_cast<double>(one->placeWait.count));
         const auto server = m_store.view().servers.find(one->server);
         if (server == m_store.view().servers.end()) {
-            leaveClosed(one, place_event::Unsent);
+            leaveClosed(one, slot_event::NotSent);
             return;
         }
         send(one, server->second);
         return;
     }
-    case place_verdict::Refused:
+    case slot_decision::Refused:
         one->askTimer.reset();
         m_log.ordinary("place.refused")
             .add("id", one->request.id)
             .add("server", answer.server)
             .add("why", nameOf(answer.why))
-            .add("come_back_ms", answer.comeBackMs);
-        if (one->shortestWait.count < 0 || answer.comeBackMs < one->shortestWait.count) {
-            one->shortestWait = {answer.comeBackMs};
+            .add("come_back_ms", answer.retryAfterMs);
+        if (one->shortestWait.count < 0 || answer.retryAfterMs < one->shortestWait.count) {
+            one->shortestWait = {answer.retryAfterMs};
         }
         one->excluded.insert(answer.server);
         start(one);
@@ -304,19 +304,19 @@
     }
 }
 
-void front_task::note(const work &one, place_event event)
+void front_task::note(const work &one, slot_event event)
 {
     if (one.orderer.empty()) {
         return;
     }
-    const place_note message{one.request.id, one.server, event};
+    const slot_report message{one.request.id, one.server, event};
     tell(one.orderer, message);
 }
 
-void front_task::onBeat(const std::string &node, const fleet_beat &beat)
+void front_task::onBeat(const std::string &node, const fleet_heartbeat &beat)
 {
     const millis now = bootNow();
-    for (const server_beat &each : beat.servers) {
+    for (const server_heartbeat &each : beat.servers) {
         auto &heard = m_heard[each.server];
         if (each.fence < heard.beat.fence) {
             continue; // from a daemon that gave the orders before
@@ -327,7 +327,7 @@
             announce(each.server, node);
         }
     }
-    for (const limit_beat &each : beat.limits) {
+    for (const limit_heartbeat &each : beat.limits) {
         const auto heard = m_heard.find(each.server);
         if (heard != m_heard.end() && heard->second.orderer == node) {
             hearKept(m_limits, each.server, limitFrom(each.limitMilli), millis{each.waitMs}, now);
@@ -343,7 +343,7 @@
             continue;
         }
         one->orderer = orderer;
-        const place_running message{one->request.id, server, one->request.model, one->request.adapter,
+        const running_request message{one->request.id, server, one->request.model, one->request.adapter,
             one->request.promptTokens, one->request.outputTokens, !one->firstEvent, left(*one).count};
         tell(orderer, message);
     }
--- a/packages/serving/front_send.cpp
+++ b/packages/serving/front_send.cpp
@@ -25,7 +25,7 @@
 {
     // Every way to a server leads through here: what became known while the request waited still counts.
     if (isBlocked(*one)) {
-        note(*one, place_event::Ended);
+        note(*one, slot_event::Ended);
         refuseBlocked(one);
         return;
     }
@@ -36,7 +36,7 @@
             .add("id", one->request.id)
             .add("server", server.id)
             .add("access", nameOf(access));
-        leaveClosed(one, place_event::Unsent);
+        leaveClosed(one, slot_event::NotSent);
         return;
     }
     if (!holdsUnits(*one)) {
@@ -152,7 +152,7 @@
         one->firstEvent = true;
         one->readTime = now - one->sentAt;
         one->firstWait = one->firstWait.count < 0 ? now - one->arrived : one->firstWait;
-        note(*one, place_event::FirstToken);
+        note(*one, slot_event::FirstToken);
     }
     one->reply->write(whole);
 }
@@ -177,7 +177,7 @@
     }
     if (how == send_end::Unsent) {
         ++one->unsent;
-        note(*one, place_event::Unsent);
+        note(*one, slot_event::NotSent);
         m_log.important("request.unsent")
             .add("id", one->request.id)
             .add("server", server)
@@ -197,7 +197,7 @@
         }
         one->mayHaveRun = one->mayHaveRun || !notRun;
         const bool notHeld = notRun && one->model && one->granted;
-        note(*one, notHeld ? place_event::NotHeld : place_event::Ended);
+        note(*one, notHeld ? slot_event::AdapterNotLoaded : slot_event::Ended);
         onWhole(one);
         return;
     }
@@ -207,7 +207,7 @@
     if (how == send_end::Broken && stays) {
         m_crashes.onBroken(one->fingerprint, one->target);
     }
-    note(*one, place_event::Failed);
+    note(*one, slot_event::Failed);
     m_log.important("request.broken")
         .add("id", one->request.id)
         .add("fingerprint", one->fingerprint)
@@ -314,7 +314,7 @@
     onEnd(one, send_end::Broken, {error_kind::Timeout, server, "the server stays silent"});
 }
 
-void front_task::leaveServer(const work_ptr &one, place_event event)
+void front_task::leaveServer(const work_ptr &one, slot_event event)
 {
     if (one->sending) {
         m_pool.cancel(*one->sending);
--- a/packages/serving/front_task.cpp
+++ b/packages/serving/front_task.cpp
@@ -127,7 +127,7 @@
     }
     one->reply->onGone([this, weak = std::weak_ptr<work>(one)] {
         if (const auto gone = weak.lock()) {
-            leaveServer(gone, place_event::Ended);
+            leaveServer(gone, slot_event::Ended);
             finish(gone, "caller_left");
         }
     });
@@ -255,7 +255,7 @@
         }
     }
     for (const work_ptr &one : waiting) {
-        note(*one, place_event::Ended);
+        note(*one, slot_event::Ended);
         refuseBlocked(one);
     }
 }
@@ -272,7 +272,7 @@
 void front_task::onDeadline(const work_ptr &one)
 {
     const bool sent = one->sending.has_value();
-    leaveServer(one, place_event::Ended);
+    leaveServer(one, slot_event::Ended);
     if (one->begun) {
         one->reply->abort();
         finish(one, "late_stream");
--- a/packages/serving/front_task.h
+++ b/packages/serving/front_task.h
@@ -72,8 +72,8 @@
     /// Other daemons can't be asked for places: only servers that this one gives orders to are used.
     void setAlone(bool alone);
     void onRequest(front_request raw, std::shared_ptr<front_reply> reply);
-    void onAnswer(const place_answer &answer);
-    void onBeat(const std::string &node, const fleet_beat &beat);
+    void onAnswer(const slot_response &answer);
+    void onBeat(const std::string &node, const fleet_heartbeat &beat);
     /// Whether any server's orderer has been heard of.
     bool hearsOrderers() const;
     const front_counters &counters() const;
@@ -112,7 +112,7 @@
     millis firstBack(const work &one, millis otherwise) const;
     const char *whyNoServer(const work &one) const;
     void onClosed(const std::string &server);
-    void leaveClosed(const work_ptr &one, place_event event);
+    void leaveClosed(const work_ptr &one, slot_event event);
     void askTurn(const work_ptr &one, const backend_server &server);
     void noteLimit(const work &one);
     void ask(const work_ptr &one);
@@ -131,9 +131,9 @@
     void refuse(const work_ptr &one, const char *why, millis comeBack, int status = 503);
     void fail(const work_ptr &one, int status, const char *why);
     void finish(const work_ptr &one, const std::string &outcome);
-    void leaveServer(const work_ptr &one, place_event event);
+    void leaveServer(const work_ptr &one, slot_event event);
     void announce(const std::string &server, const std::string &orderer);
-    void note(const work &one, place_event event);
+    void note(const work &one, slot_event event);
     template <class message_type>
     void tell(const std::string &orderer, const message_type &message);
     millis left(const work &one) const;
--- a/packages/serving/heard_server.cpp
+++ b/packages/serving/heard_server.cpp
@@ -27,10 +27,10 @@
     return static_cast<std::uint32_t>(rendezvousScore("adapter", adapterKey));
 }
 
-void takeBeat(heard_server &heard, const server_beat &beat, const std::string &orderer, millis now)
+void takeBeat(heard_server &heard, const server_heartbeat &beat, const std::string &orderer, millis now)
 {
     heard = {beat, orderer, now, std::move(heard.lately), 0, 0};
-    for (const beat_adapter &each : heard.beat.adapters) {
+    for (const heartbeat_adapter &each : heard.beat.adapters) {
         if (!each.loading) {
             std::erase(heard.lately, each.name);
             heard.lately.push_back(each.name);
@@ -50,27 +50,28 @@
 model_candidate candidateOf(
     const heard_server &heard, const std::string &adapterKey, bool needsAdapter, millis now)
 {
-    const server_beat &beat = heard.beat;
+    const server_heartbeat &beat = heard.beat;
     const bool fresh = isFresh(heard, now);
     model_candidate candidate;
-    candidate.held = beat.held;
+    candidate.held = beat.modelLoaded;
     candidate.longAnswers = beat.longAnswers;
     candidate.openPlaces =
-        fresh && beat.openPlaces > heard.placesSince ? beat.openPlaces - heard.placesSince : 0;
+        fresh && beat.availableSlots > heard.placesSince ? beat.availableSlots - heard.placesSince : 0;
     candidate.adapter = needsAdapter ? residence::Absent : residence::Resident;
     const std::uint32_t name = adapterHash(adapterKey);
-    for (const beat_adapter &each : beat.adapters) {
+    for (const heartbeat_adapter &each : beat.adapters) {
         if (each.name == name) {
             candidate.adapter = each.loading ? residence::Coming : residence::Resident;
-            candidate.uses = each.uses;
+            candidate.uses = each.recentUses;
         }
     }
     const bool lately = std::find(heard.lately.begin(), heard.lately.end(), name) != heard.lately.end();
     if (candidate.adapter == residence::Absent && lately) {
         candidate.adapter = residence::Remembered;
     }
-    const double speed =
-        beat.tokensPerSecond > 0 ? static_cast<double>(beat.tokensPerSecond) / msPerSecond : unknownSpeed;
+    const double speed = beat.prefillTokensPerSecond > 0
+        ? static_cast<double>(beat.prefillTokensPerSecond) / msPerSecond
+        : unknownSpeed;
     candidate.backlogMs = static_cast<double>(beat.backlogTokens + heard.askedSince) / speed;
     // Nobody loads there now: only what is known to be resident can be served.
     candidate.excluded = !fresh && candidate.adapter != residence::Resident;
--- a/packages/serving/heard_server.h
+++ b/packages/serving/heard_server.h
@@ -14,7 +14,7 @@
 
 struct heard_server
 {
-    server_beat beat;
+    server_heartbeat beat;
     std::string orderer; ///< node
     millis at;
     std::vector<std::uint32_t> lately; ///< adapters that beats named as resident, the latest last
@@ -30,7 +30,7 @@
 
 /// Takes in a beat. Its adapters are what the server remembers, and the oldest drop out: a server keeps the
 /// adapters that it held lately in its memory. No beat names them: an entry has seen them come and go.
-void takeBeat(heard_server &heard, const server_beat &beat, const std::string &orderer, millis now);
+void takeBeat(heard_server &heard, const server_heartbeat &beat, const std::string &orderer, millis now);
 
 bool isFresh(const heard_server &heard, millis now);
 
--- a/packages/serving/node_settings.h
+++ b/packages/serving/node_settings.h
@@ -26,7 +26,7 @@
     millis drain{2'000}; ///< from the store's word that a server leaves to the last request to it
     millis shutdown{8'000}; ///< from the signal to end until the process is killed
     repeat_limits repeats;
-    quota_rules quota; ///< how exactly client accounts' limits are to be kept
+    quota_tolerance quota; ///< how exactly client accounts' limits are to be kept
     /// Whether callers with keys are refused once this daemon can't know whether keys were withdrawn longer
     /// ago than `withdrawnKnown`.
     bool strictWithdrawal = false;
--- a/packages/serving/orderer_hold.cpp
+++ b/packages/serving/orderer_hold.cpp
@@ -96,20 +96,20 @@
     }
 }
 
-void orderer_task::hear(const std::string &node, const fleet_beat &beat)
+void orderer_task::hear(const std::string &node, const fleet_heartbeat &beat)
 {
     const millis now = bootNow();
-    const heard_right right{now, now + millis{beat.orderingMs}};
+    const heard_right right{now, now + millis{beat.ownershipLeftMs}};
     m_heardRights[node] = right;
     if (node != m_settings.node) {
-        noteHeard(m_pace, static_cast<double>(beat.loadsAtOnce));
+        noteHeard(m_pace, static_cast<double>(beat.maxFullSpeedLoads));
     }
-    for (const server_beat &each : beat.servers) {
+    for (const server_heartbeat &each : beat.servers) {
         if (node != m_settings.node) {
             m_heardHolders[each.server] = {node, now};
         }
         const auto loading =
-            std::count_if(each.adapters.begin(), each.adapters.end(), [](const beat_adapter &adapter) {
+            std::count_if(each.adapters.begin(), each.adapters.end(), [](const heartbeat_adapter &adapter) {
                 return adapter.loading;
             });
         m_heardLoads[each.server] = {static_cast<int>(loading), now};
@@ -324,7 +324,7 @@
         return;
     }
     m_log.important("orderer.dropped").add("server", id).add("fence", found->second.fence).add("why", why);
-    answerAll(refuseWaiting(found->second.desk, refusal::NotOrderer));
+    answerAll(refuseWaiting(found->second.desk, refusal::NotOwner));
     if (found->second.lastOrder.count != 0) {
         m_lastOrders[id] = found->second.lastOrder;
     }
--- a/packages/serving/orderer_task.cpp
+++ b/packages/serving/orderer_task.cpp
@@ -66,14 +66,14 @@
     }
 }
 
-void orderer_task::answer(const std::string &entry, const place_answer &answer)
+void orderer_task::answer(const std::string &entry, const slot_response &answer)
 {
-    m_counters.granted += answer.verdict == place_verdict::Granted ? 1 : 0;
-    m_counters.refused += answer.verdict == place_verdict::Refused ? 1 : 0;
+    m_counters.granted += answer.decision == slot_decision::Granted ? 1 : 0;
+    m_counters.refused += answer.decision == slot_decision::Refused ? 1 : 0;
     m_answer(entry, answer);
 }
 
-void orderer_task::take(const std::string &entry, const place_ask &ask)
+void orderer_task::take(const std::string &entry, const slot_request &ask)
 {
     const auto found = m_servers.find(ask.server);
     const backend_server *server = serverOf(ask.server);
@@ -82,7 +82,7 @@
             hearTold(m_limits, ask.server, fromMilli(ask.limitMilli), heardBefore(ask.limitAgeMs, bootNow()),
                 bootNow());
         }
-        answer(entry, refuseAsk(ask.id, ask.server, refusal::NotOrderer, {}));
+        answer(entry, refuseAsk(ask.id, ask.server, refusal::NotOwner, {}));
         return;
     }
     const server_access access = m_words.accessOf(*server, entry);
@@ -94,8 +94,8 @@
         return;
     }
     followLimit(ask.server, found->second);
-    const place_answer first = askDesk(found->second.desk, entry, ask, bootNow());
-    if (first.verdict != place_verdict::Queued) {
+    const slot_response first = askDesk(found->second.desk, entry, ask, bootNow());
+    if (first.decision != slot_decision::Queued) {
         answer(entry, first);
         return;
     }
@@ -106,7 +106,7 @@
     }
 }
 
-void orderer_task::take(const std::string &entry, const place_running &run)
+void orderer_task::take(const std::string &entry, const running_request &run)
 {
     const auto found = m_servers.find(run.server);
     if (found != m_servers.end()) {
@@ -114,7 +114,7 @@
     }
 }
 
-void orderer_task::take(const std::string &, const limit_note &note)
+void orderer_task::take(const std::string &, const limit_report &note)
 {
     const auto found = m_servers.find(note.server);
     if (found == m_servers.end()) {
@@ -147,7 +147,7 @@
     setShare(one.desk.limit, one.fenced ? 0 : stands ? 1 : unprovenShare, bootNow());
 }
 
-void orderer_task::take(const std::string &, const place_note &note)
+void orderer_task::take(const std::string &, const slot_report &note)
 {
     const auto found = m_servers.find(note.server);
     if (found == m_servers.end()) {
@@ -214,7 +214,7 @@
     answerAll(answersDue(one.desk, now));
 }
 
-fleet_beat orderer_task::beat()
+fleet_heartbeat orderer_task::beat()
 {
     const millis now = bootNow();
     if (m_lastBeat.count != 0 && now - m_lastBeat > stillMost) {
@@ -224,12 +224,12 @@
         m_log.important("orderer.stood_still").add("ms", now - m_lastBeat);
     }
     m_lastBeat = now;
-    fleet_beat out;
-    out.orderingMs = std::max<std::int64_t>((m_store.provenUntil() - bootNow()).count, 0);
-    out.loadsAtOnce = std::llround(toPassOn(m_pace, bootNow()));
+    fleet_heartbeat out;
+    out.ownershipLeftMs = std::max<std::int64_t>((m_store.provenUntil() - bootNow()).count, 0);
+    out.maxFullSpeedLoads = std::llround(toPassOn(m_pace, bootNow()));
     for (const auto &[id, one] : m_servers) {
         const bool orders = mayOrder(id, one) && !isClosed(m_words.accessOf(id));
-        server_beat server = beatOf(one.desk, orders, now);
+        server_heartbeat server = beatOf(one.desk, orders, now);
         server.fence = one.fence;
         out.servers.push_back(std::move(server));
         if (auto limit = limitBeatOf(one.desk, now)) {
--- a/packages/serving/orderer_task.h
+++ b/packages/serving/orderer_task.h
@@ -52,24 +52,24 @@
 {
 public:
     /// How answers reach an entry: by datagram, or directly where it is in this process.
-    using answer_call = std::function<void(const std::string &entry, const place_answer &answer)>;
+    using answer_call = std::function<void(const std::string &entry, const slot_response &answer)>;
 
     orderer_task(loop &eventLoop, bus &messages, store_task &store, word_task &words, backend_pool &pool,
         const request_codec &codec, const node_settings &settings, decision_log &log, answer_call onAnswer);
 
     /// What an entry says, by datagram or from this process.
-    void take(const std::string &entry, const place_ask &ask);
-    void take(const std::string &entry, const place_note &note);
-    void take(const std::string &entry, const place_running &run);
-    void take(const std::string &entry, const limit_note &note);
+    void take(const std::string &entry, const slot_request &ask);
+    void take(const std::string &entry, const slot_report &note);
+    void take(const std::string &entry, const running_request &run);
+    void take(const std::string &entry, const limit_report &note);
     /// What another daemon says of the servers that it gives orders to.
-    void hear(const std::string &node, const fleet_beat &beat);
+    void hear(const std::string &node, const fleet_heartbeat &beat);
     /// This daemon is cut off from the others, which replace it at servers that check tokens: it orders
     /// nothing there, so that orders don't change hands back and forth.
     void setAlone(bool alone);
     /// Gives no orders any more: the records are about to be given up.
     void stop();
-    fleet_beat beat();
+    fleet_heartbeat beat();
     /// Whether other daemons' beats are due here: they give orders to servers of this daemon's cell.
     bool expectsBeats() const;
     const orderer_counters &counters() const;
@@ -107,7 +107,7 @@
     void openDesk(place_desk &desk, const backend_server &server) const;
     bool isKept(const backend_server &server) const;
     void followLimit(const std::string &id, server_state &one);
-    void answer(const std::string &entry, const place_answer &answer);
+    void answer(const std::string &entry, const slot_response &answer);
     void answerAll(const std::vector<desk_answer> &answers);
     void pump(const std::string &id);
     void pumpAll();
--- a/packages/serving/place_desk.cpp
+++ b/packages/serving/place_desk.cpp
@@ -66,28 +66,28 @@
     return limit.perSecond ? toMilli(*limit.perSecond) : -1;
 }
 
-place_answer grant(const server_ledger &ledger, const waiting_prompt &prompt)
+slot_response grant(const server_ledger &ledger, const waiting_prompt &prompt)
 {
     const adapter_place *place = findPlace(ledger, prompt.model, prompt.adapter);
-    return {prompt.id, ledger.server, place_verdict::Granted, refusal::None,
+    return {prompt.id, ledger.server, slot_decision::Granted, refusal::None,
         place == nullptr ? 0 : place->version, 0};
 }
 
 }
 
-place_answer refuseAsk(const std::string &id, const std::string &server, refusal why, millis comeBack)
+slot_response refuseAsk(const std::string &id, const std::string &server, refusal why, millis comeBack)
 {
-    return {id, server, place_verdict::Refused, why, 0, std::max(comeBack, shortestComeBack).count};
+    return {id, server, slot_decision::Refused, why, 0, std::max(comeBack, shortestComeBack).count};
 }
 
 namespace {
 
-place_answer answerAsk(place_desk &desk, const std::string &entry, const place_ask &ask, millis now)
+slot_response answerAsk(place_desk &desk, const std::string &entry, const slot_request &ask, millis now)
 {
     server_ledger &ledger = desk.ledger;
     noteAnswer(desk.answers, ask.outputTokens);
     if (ledger.proved && ledger.models.empty() && ledger.modelComing.empty()) {
-        return refuseAsk(ask.id, ask.server, refusal::NotHeld, {});
+        return refuseAsk(ask.id, ask.server, refusal::ModelNotLoaded, {});
     }
     if (const auto running = desk.queue.running.find(ask.id); running != desk.queue.running.end()) {
         return grant(ledger, running->second.what); // the grant was lost
@@ -102,7 +102,7 @@
     }
     const bool needsPlace = !ask.adapter.empty() && findPlace(ledger, ask.model, ask.adapter) == nullptr;
     if (needsPlace && openPlaces(ledger) <= adaptersWaited(desk, ask.model, ask.adapter)) {
-        return refuseAsk(ask.id, ask.server, refusal::NoPlace, placeComeBack);
+        return refuseAsk(ask.id, ask.server, refusal::NoSlot, placeComeBack);
     }
     const waiting_prompt prompt{ask.id, entry, ask.model, ask.adapter, ask.promptTokens, ask.outputTokens,
         ask.rank, now, now + millis{ask.waitMs}, now + millis{ask.deadlineMs}, now + millis{ask.targetMs}};
@@ -114,19 +114,19 @@
     if (!admitted.taken) {
         return refuseAsk(ask.id, ask.server, refusal::TooBusy, admitted.wait - millis{ask.waitMs});
     }
-    return {ask.id, ask.server, place_verdict::Queued, refusal::None, 0, 0};
+    return {ask.id, ask.server, slot_decision::Queued, refusal::None, 0, 0};
 }
 
 }
 
-place_answer askDesk(place_desk &desk, const std::string &entry, const place_ask &ask, millis now)
+slot_response askDesk(place_desk &desk, const std::string &entry, const slot_request &ask, millis now)
 {
-    place_answer answer = answerAsk(desk, entry, ask, now);
+    slot_response answer = answerAsk(desk, entry, ask, now);
     answer.limitMilli = limitMilliOf(desk.limit);
     return answer;
 }
 
-void takeRunning(place_desk &desk, const std::string &entry, const place_running &run, millis now)
+void takeRunning(place_desk &desk, const std::string &entry, const running_request &run, millis now)
 {
     if (desk.queue.running.count(run.id) != 0) {
         return;
@@ -137,24 +137,24 @@
     beginUse(desk.ledger, run.model, run.adapter, now);
 }
 
-void takeNote(place_desk &desk, const place_note &note, millis now)
+void takeNote(place_desk &desk, const slot_report &note, millis now)
 {
-    if (note.event == place_event::FirstToken) {
+    if (note.event == slot_event::FirstToken) {
         firstToken(desk.queue, note.id, now);
         return;
     }
     if (const auto run = ended(desk.queue, note.id, now)) {
         endUse(desk.ledger, run->what.model, run->what.adapter);
-        if (note.event == place_event::Unsent) {
+        if (note.event == slot_event::NotSent) {
             returnTurn(desk.limit);
         }
-        if (note.event == place_event::NotHeld) {
+        if (note.event == slot_event::AdapterNotLoaded) {
             notHeld(desk.ledger, run->what.model, run->what.adapter, now);
         }
     }
 }
 
-void takeLimit(place_desk &desk, const limit_note &note, millis now)
+void takeLimit(place_desk &desk, const limit_report &note, millis now)
 {
     if (note.limitMilli >= 0) {
         nameLimit(desk.limit, fromMilli(note.limitMilli), now, now);
@@ -274,21 +274,21 @@
     return static_cast<int>(names.size());
 }
 
-std::optional<limit_beat> limitBeatOf(const place_desk &desk, millis now)
+std::optional<limit_heartbeat> limitBeatOf(const place_desk &desk, millis now)
 {
     const bool endedLately = desk.limit.ended.count != 0 && now - desk.limit.ended < endTold;
     if (!desk.limit.perSecond && !endedLately) {
         return std::nullopt;
     }
-    return limit_beat{desk.ledger.server, limitMilliOf(desk.limit),
+    return limit_heartbeat{desk.ledger.server, limitMilliOf(desk.limit),
         turnAfter(desk.limit, desk.queue.waiting.size(), now).count};
 }
 
-server_beat beatOf(const place_desk &desk, bool mayOrder, millis now)
+server_heartbeat beatOf(const place_desk &desk, bool mayOrder, millis now)
 {
-    server_beat beat;
+    server_heartbeat beat;
     beat.server = desk.ledger.server;
-    beat.held = !desk.ledger.models.empty();
+    beat.modelLoaded = !desk.ledger.models.empty();
     for (const adapter_place &place : desk.ledger.adapters) {
         if (place.state != place_state::Unloading) {
             beat.adapters.push_back(
@@ -298,9 +298,9 @@
     }
     // Less those that are spoken for; entries would else go on sending there what is refused.
     const int open = openPlaces(desk.ledger) - adaptersWaited(desk, "", "");
-    beat.openPlaces = mayOrder && desk.ledger.proved ? static_cast<std::uint32_t>(std::max(open, 0)) : 0;
+    beat.availableSlots = mayOrder && desk.ledger.proved ? static_cast<std::uint32_t>(std::max(open, 0)) : 0;
     beat.backlogTokens = backlogTokens(desk.queue);
-    beat.tokensPerSecond = std::llround(desk.queue.speed * msPerSecond);
+    beat.prefillTokensPerSecond = std::llround(desk.queue.speed * msPerSecond);
     beat.running = static_cast<std::uint32_t>(desk.queue.running.size());
     for (const auto &[id, run] : desk.queue.running) {
         beat.longAnswers += isLongAnswer(desk.answers, run.what.outputTokens) ? 1 : 0;
--- a/packages/serving/place_desk.h
+++ b/packages/serving/place_desk.h
@@ -30,7 +30,7 @@
 struct desk_answer
 {
     std::string entry;
-    place_answer answer;
+    slot_response answer;
 };
 
 /// The least that a refused caller is asked to wait.
@@ -38,16 +38,16 @@
 /// While every place is used, one is free again after about this long: the rest of a short answer.
 constexpr millis placeComeBack{400};
 
-place_answer refuseAsk(const std::string &id, const std::string &server, refusal why, millis comeBack);
+slot_response refuseAsk(const std::string &id, const std::string &server, refusal why, millis comeBack);
 
 /// Answers an entry's question at once: granted before, refused, or queued. What is queued is let in by
 /// `answersDue`.
-place_answer askDesk(place_desk &desk, const std::string &entry, const place_ask &ask, millis now);
+slot_response askDesk(place_desk &desk, const std::string &entry, const slot_request &ask, millis now);
 /// A request that the orderer before let in runs here.
-void takeRunning(place_desk &desk, const std::string &entry, const place_running &run, millis now);
-void takeNote(place_desk &desk, const place_note &note, millis now);
+void takeRunning(place_desk &desk, const std::string &entry, const running_request &run, millis now);
+void takeNote(place_desk &desk, const slot_report &note, millis now);
 /// What an answer said of the server's limit.
-void takeLimit(place_desk &desk, const limit_note &note, millis now);
+void takeLimit(place_desk &desk, const limit_report &note, millis now);
 /// Gives up the places of requests whose time is long over.
 void dropExpired(place_desk &desk, millis now);
 /// Takes in what the server tells of itself; uses of adapters survive it by their grants.
@@ -70,7 +70,7 @@
 int adaptersWaited(const place_desk &desk, const std::string &model, const std::string &adapter);
 /// What entries are told. `mayOrder`: nothing keeps the orderer from giving orders now.
 /// What entries are told of its limit, if it names one or lately did.
-std::optional<limit_beat> limitBeatOf(const place_desk &desk, millis now);
-server_beat beatOf(const place_desk &desk, bool mayOrder, millis now);
+std::optional<limit_heartbeat> limitBeatOf(const place_desk &desk, millis now);
+server_heartbeat beatOf(const place_desk &desk, bool mayOrder, millis now);
 
 }
--- a/packages/serving/quota_store.cpp
+++ b/packages/serving/quota_store.cpp
@@ -15,7 +15,7 @@
     if (found == store.view().quotaHomes.end()) {
         return std::nullopt;
     }
-    const orderer_record &record = found->second.record;
+    const ownership_record &record = found->second.record;
     const bool own = store.isOwn(record) && store.isUnderLease(record);
     return home_record{record.node, found->second.revision, own, found->second.settled};
 }
@@ -41,15 +41,15 @@
         return nodes;
     };
     links.ask = [&eventLoop, &store, &port, &self, node = settings.node](
-                    const std::string &daemon, const quota_ask &ask) {
+                    const std::string &daemon, const quota_request &ask) {
         deliverToNode(
-            eventLoop, *port, store, node, daemon, ask, [&self, &store, node](const quota_ask &own) {
+            eventLoop, *port, store, node, daemon, ask, [&self, &store, node](const quota_request &own) {
                 self->hear({node, store.incarnation(), true}, own);
             });
     };
     links.answer = [&eventLoop, &store, &port, &self, node = settings.node](
-                       const std::string &daemon, const quota_answer &answer) {
-        deliverToNode(eventLoop, *port, store, node, daemon, answer, [&self](const quota_answer &own) {
+                       const std::string &daemon, const quota_response &answer) {
+        deliverToNode(eventLoop, *port, store, node, daemon, answer, [&self](const quota_response &own) {
             self->hear(own);
         });
     };
--- a/packages/serving/store_follow.cpp
+++ b/packages/serving/store_follow.cpp
@@ -147,7 +147,7 @@
     if (!m_fleet.send || !isReader()) {
         return;
     }
-    store_news news{from, m_revision, false, false, {}};
+    store_update news{from, m_revision, false, false, {}};
     std::size_t bytes = 0;
     for (const stored_item &item : items) {
         bytes += item.key.size() + item.value.size();
@@ -169,10 +169,10 @@
     }
 }
 
-store_news store_task::newsAfter(std::int64_t revision) const
+store_update store_task::newsAfter(std::int64_t revision) const
 {
-    store_news news{revision, m_revision, false, revision < m_recentFrom, {}};
-    if (news.whole) {
+    store_update news{revision, m_revision, false, revision < m_recentFrom, {}};
+    if (news.isSnapshot) {
         for (const auto &[key, item] : m_items) {
             news.items.push_back({item.key, item.value, item.revision, false});
         }
@@ -186,7 +186,7 @@
     return news;
 }
 
-void store_task::onNews(const std::string &reader, const store_news &news)
+void store_task::onNews(const std::string &reader, const store_update &news)
 {
     if (m_leaving || m_revision == 0 || news.to < m_revision) {
         return; // an outdated reader is no sign that the store was heard
@@ -202,7 +202,7 @@
     }
     store_read read;
     read.revision = news.to;
-    for (const news_item &item : news.items) {
+    for (const store_item &item : news.items) {
         if (item.revision > m_revision) {
             read.items.push_back({item.key, item.value, item.revision, item.removed});
         }
@@ -222,7 +222,7 @@
     m_fetchTimer = m_loop.timer(fetchTimeout, {}, [this] {
         m_fetching = false;
     });
-    m_fleet.fetch(reader, m_revision, [this, round](const std::optional<store_news> &news) {
+    m_fleet.fetch(reader, m_revision, [this, round](const std::optional<store_update> &news) {
         m_fetching = m_fetching && round != m_fetchRound;
         if (!news || m_leaving || news->to <= m_revision) {
             return;
@@ -232,12 +232,12 @@
         store_read read;
         read.status = store_status::Ok;
         read.revision = news->to;
-        for (const news_item &item : news->items) {
-            if (news->whole || item.revision > m_revision) {
+        for (const store_item &item : news->items) {
+            if (news->isSnapshot || item.revision > m_revision) {
                 read.items.push_back({item.key, item.value, item.revision, item.removed});
             }
         }
-        if (news->whole) {
+        if (news->isSnapshot) {
             takeAll(read);
         } else {
             takeEvents(read);
--- a/packages/serving/store_take.cpp
+++ b/packages/serving/store_take.cpp
@@ -253,7 +253,7 @@
 {
     error why;
     const std::string node = item.key.substr(detail::daemonPrefix.size());
-    auto record = item.removed ? std::nullopt : decodeDaemon(item.value, why);
+    auto record = item.removed ? std::nullopt : decodeDaemonRecord(item.value, why);
     if (!item.removed && (!record || record->node != node)) {
         tellUnreadable(item, why);
         record.reset();
@@ -277,11 +277,11 @@
 {
     error why;
     const std::string server = item.key.substr(detail::ordererPrefix.size());
-    auto record = item.removed ? std::nullopt : decodeOrderer(item.value, why);
+    auto record = item.removed ? std::nullopt : decodeOwnershipRecord(item.value, why);
     if (!item.removed && !record) {
         // Of another writer: to be replaced by whoever is proposed, at the revision it has.
         tellUnreadable(item, why);
-        record = orderer_record{};
+        record = ownership_record{};
     }
     if (record) {
         keepRight(m_view.orderers, server, {*record, item.revision, false});
@@ -294,13 +294,13 @@
 {
     error why;
     const std::string shard = item.key.substr(detail::quotaPrefix.size());
-    auto record = item.removed ? std::nullopt : decodeQuotaHome(item.value, why);
+    auto record = item.removed ? std::nullopt : decodeQuotaHomeRecord(item.value, why);
     if (!item.removed && !record) {
         tellUnreadable(item, why); // of another writer, as with orderers
         record = quota_home_record{};
     }
     if (record) {
-        keepRight(m_view.quotaHomes, shard, {record->right, item.revision, record->settled});
+        keepRight(m_view.quotaHomes, shard, {record->ownership, item.revision, record->predecessorExpired});
     } else {
         m_view.quotaHomes.erase(shard);
     }
@@ -318,7 +318,7 @@
 {
     error why;
     const std::string fingerprint = item.key.substr(detail::crashPrefix.size());
-    auto record = item.removed ? std::nullopt : decodeCrash(item.value, why);
+    auto record = item.removed ? std::nullopt : decodeCrashRecord(item.value, why);
     if (!item.removed && !record) {
         // Of another writer: it says nothing, and is replaced at the revision it has.
         tellUnreadable(item, why);
--- a/packages/serving/store_task.cpp
+++ b/packages/serving/store_task.cpp
@@ -104,12 +104,12 @@
     return m_lease != 0 && !m_lastFailed && bootNow() <= m_proof.renewed + m_proof.length - proofMargin;
 }
 
-bool store_task::isOwn(const orderer_record &record) const
+bool store_task::isOwn(const ownership_record &record) const
 {
     return record.node == m_settings.node && record.incarnation == m_incarnation;
 }
 
-bool store_task::isUnderLease(const orderer_record &record) const
+bool store_task::isUnderLease(const ownership_record &record) const
 {
     return m_lease != 0 && record.lease == m_lease;
 }
@@ -311,7 +311,7 @@
     const std::int64_t revision = known == rights.end() ? 0 : known->second.revision;
     store_change change;
     change.expected.emplace_back(key, revision);
-    const orderer_record record{m_settings.node, m_incarnation, m_lease};
+    const ownership_record record{m_settings.node, m_incarnation, m_lease};
     const bool server = &rights == &m_view.orderers;
     change.puts.push_back(
         {key, server ? encode(record) : encode(quota_home_record{record, settled}), m_lease});
@@ -420,7 +420,7 @@
             if (isOwn(entry.record) && change.puts.size() + change.expected.size() < maxEntries) {
                 change.expected.emplace_back(prefix + name, entry.revision);
                 change.puts.push_back({prefix + name,
-                    &rights == &m_view.orderers ? encode(orderer_record{})
+                    &rights == &m_view.orderers ? encode(ownership_record{})
                                                 : encode(quota_home_record{{}, entry.settled}),
                     0});
             }
--- a/packages/serving/store_task.h
+++ b/packages/serving/store_task.h
@@ -24,7 +24,7 @@
 /// A right that one daemon at a time has, under its lease.
 struct orderer_entry
 {
-    orderer_record record;
+    ownership_record record;
     std::int64_t revision = 0;
     bool settled = false; ///< of a quota home: see quota_home_record
 };
@@ -91,21 +91,21 @@
     /// news after a revision from one.
     struct fleet_calls
     {
-        std::function<void(const std::vector<std::string> &nodes, const store_news &news)> send;
-        std::function<void(
-            const std::string &node, std::int64_t after, std::function<void(std::optional<store_news>)> done)>
+        std::function<void(const std::vector<std::string> &nodes, const store_update &news)> send;
+        std::function<void(const std::string &node, std::int64_t after,
+            std::function<void(std::optional<store_update>)> done)>
             fetch;
     };
     void setFleet(fleet_calls calls);
-    void onNews(const std::string &reader, const store_news &news);
+    void onNews(const std::string &reader, const store_update &news);
     /// The news after a revision, for a daemon that fetches them.
-    store_news newsAfter(std::int64_t revision) const;
+    store_update newsAfter(std::int64_t revision) const;
     /// Until when this daemon can prove that its orderer records stand; see order_right.h.
     millis provenUntil() const;
     /// Whether this process put the record there, and whether that was under the lease in force, the one that
     /// the proof is about.
-    bool isOwn(const orderer_record &record) const;
-    bool isUnderLease(const orderer_record &record) const;
+    bool isOwn(const ownership_record &record) const;
+    bool isUnderLease(const ownership_record &record) const;
     /// Whether the view has such a record of a server. Asked anew before each order: a lease that has been
     /// lost and granted again proves nothing of records of before.
     bool holdsRecord(const std::string &server) const;
--- a/packages/serving/word_task.cpp
+++ b/packages/serving/word_task.cpp
@@ -128,16 +128,16 @@
     }
 }
 
-void word_task::hear(const std::string &daemon, const word_news &news)
+void word_task::hear(const std::string &daemon, const server_notice &news)
 {
-    const bool leaves = news.leaving && hearLeaving(m_words, news.start, bootNow());
-    const bool pauses = hearPause(m_words, news.start, daemon, millis{news.pauseMs}, bootNow());
+    const bool leaves = news.leaving && hearLeaving(m_words, news.incarnation, bootNow());
+    const bool pauses = hearPause(m_words, news.incarnation, daemon, millis{news.pauseMs}, bootNow());
     if (!leaves && !pauses) {
         return;
     }
     m_log.important("server.word_heard")
         .add("server", news.server)
-        .add("start", news.start)
+        .add("start", news.incarnation)
         .add("from", daemon)
         .add("leaving", news.leaving ? 1 : 0)
         .add("pause_ms", news.pauseMs);
@@ -148,9 +148,9 @@
 }
 
 /// A home's part: all are told, so that they need not send there to hear of it.
-void word_task::spread(const word_news &news)
+void word_task::spread(const server_notice &news)
 {
-    tell({news.server, news.start, true, 0, false}, peers(), timesToAll);
+    tell({news.server, news.incarnation, true, 0, false}, peers(), timesToAll);
 }
 
 void word_task::tellLeaving(const std::string &daemon, const backend_server &server)
@@ -170,7 +170,7 @@
     return nodes;
 }
 
-void word_task::tell(word_news news, const std::vector<std::string> &to, int times)
+void word_task::tell(server_notice news, const std::vector<std::string> &to, int times)
 {
     for (const std::string &node : to) {
         if (node != m_settings.node) {
--- a/packages/serving/word_task.h
+++ b/packages/serving/word_task.h
@@ -69,7 +69,7 @@
     void hear(
         const std::string &id, const std::string &server, const std::string &start, const answer_meta &meta);
     /// What another daemon tells.
-    void hear(const std::string &daemon, const word_news &news);
+    void hear(const std::string &daemon, const server_notice &news);
     /// Tells a daemon that doesn't know it that a server leaves, if that is by the server's own word.
     void tellLeaving(const std::string &daemon, const backend_server &server);
 
@@ -78,14 +78,14 @@
 private:
     struct telling
     {
-        word_news news;
+        server_notice news;
         std::vector<std::string> to;
         int left = 0; ///< times that it is still to be told
     };
 
-    void tell(word_news news, const std::vector<std::string> &to, int times);
+    void tell(server_notice news, const std::vector<std::string> &to, int times);
     void tellAgain();
-    void spread(const word_news &news);
+    void spread(const server_notice &news);
     std::vector<std::string> peers() const;
 
     loop &m_loop;
--- a/packages/state/burn.cpp
+++ b/packages/state/burn.cpp
@@ -70,7 +70,7 @@
         merge(into.byCaller[name].day, caller.day);
     }
     merge(into.firstTokenTimes, from.firstTokenTimes);
-    merge(into.wholeTimes, from.wholeTimes);
+    merge(into.endToEndTimes, from.endToEndTimes);
     merge(into.stallTimes, from.stallTimes);
 }
 
@@ -79,7 +79,7 @@
     into.callers = from.callers;
     into.adapters = from.adapters;
     into.firstToken = from.firstToken;
-    into.whole = from.whole;
+    into.endToEnd = from.endToEnd;
     into.share = from.share;
     into.penalty = from.penalty;
 }
--- a/packages/state/burn.h
+++ b/packages/state/burn.h
@@ -99,7 +99,7 @@
     std::string callers;
     std::string adapters;
     millis firstToken;
-    millis whole;
+    millis endToEnd;
     double share = 0;
     double penalty = 0;
 
@@ -108,7 +108,7 @@
     std::array<burn_point, dayPoints> day{};
     std::map<std::string, caller_burn> byCaller;
     latency_histogram firstTokenTimes; ///< since each instance's start, as are the next two
-    latency_histogram wholeTimes;
+    latency_histogram endToEndTimes;
     latency_histogram stallTimes;
 };
 
--- a/packages/state/burn_json.cpp
+++ b/packages/state/burn_json.cpp
@@ -123,7 +123,7 @@
         {"callers", target.callers},
         {"adapters", target.adapters},
         {"first_token_ms", target.firstToken.count},
-        {"whole_ms", target.whole.count},
+        {"whole_ms", target.endToEnd.count},
         {"share", target.share},
         {"level", nameOf(levelOf(target))},
         {"windows", windowsToJson(report, target)},
@@ -135,7 +135,7 @@
         {"by_caller", std::move(callers)},
         {"latency",
             {{"first_token", latencyToJson(target.firstTokenTimes)},
-                {"whole", latencyToJson(target.wholeTimes)}, {"stall", latencyToJson(target.stallTimes)}}},
+                {"whole", latencyToJson(target.endToEndTimes)}, {"stall", latencyToJson(target.stallTimes)}}},
     };
 }
 
@@ -146,7 +146,7 @@
     target.callers = from.at("callers").get<std::string>();
     target.adapters = from.at("adapters").get<std::string>();
     target.firstToken = {from.at("first_token_ms").get<std::int64_t>()};
-    target.whole = {from.at("whole_ms").get<std::int64_t>()};
+    target.endToEnd = {from.at("whole_ms").get<std::int64_t>()};
     target.share = from.at("share").get<double>();
     target.penalty = from.at("penalty").at("per_miss").get<double>();
     windowsFromJson(from.at("windows"), target);
@@ -156,7 +156,7 @@
         target.byCaller[name] = {countsFromJson(caller.at("1h")), countsFromJson(caller.at("1d"))};
     }
     latencyFromJson(from.at("latency").at("first_token"), target.firstTokenTimes);
-    latencyFromJson(from.at("latency").at("whole"), target.wholeTimes);
+    latencyFromJson(from.at("latency").at("whole"), target.endToEndTimes);
     latencyFromJson(from.at("latency").at("stall"), target.stallTimes);
     return target;
 }
--- a/packages/state/config.cpp
+++ b/packages/state/config.cpp
@@ -65,7 +65,7 @@
 void takeBetterOfGroups(rule_match &best, const rule_match &other)
 {
     const bool tie = best.rule != nullptr && other.rule != nullptr && other.exactness == best.exactness;
-    if (tie && other.rule->best < best.rule->best) {
+    if (tie && other.rule->bestPriority < best.rule->bestPriority) {
         best = other;
     }
     takeBetter(best, other);
--- a/packages/state/config.h
+++ b/packages/state/config.h
@@ -25,7 +25,7 @@
 constexpr std::size_t maxNameBytes = 128;
 /// No configuration may allow a longer deadline: a new owner of a server waits for requests of the one
 /// before.
-constexpr std::int64_t longestDeadlineMs = 600'000;
+constexpr std::int64_t maxAllowedDeadlineMs = 600'000;
 constexpr std::size_t maxNoteBytes = 1'024;
 constexpr std::size_t maxAdapters = 200'000;
 constexpr std::size_t maxVersionsPerAdapter = 16;
@@ -72,7 +72,7 @@
     std::string callers; ///< a caller's name, "group:NAME" or "*"
     std::string adapters; ///< adapter pattern; empty for a rule on a service
     std::string service; ///< a service's name; empty for a rule on adapters
-    priority best = priority::Normal; ///< the best priority the caller may ask for, and the default
+    priority bestPriority = priority::Normal; ///< the best priority the caller may ask for, and the default
     std::uint32_t inFlight = 0; ///< requests at a time per caller and entry instance, 0: no limit
     std::uint32_t perSecond = 0; ///< requests a second per caller and entry instance, 0: no limit
 };
@@ -91,7 +91,7 @@
     std::string callers; ///< as in rule_config
     std::string adapters; ///< as in rule_config; empty: all
     millis firstToken; ///< 0: not part of this target
-    millis whole; ///< time to the whole answer, 0: not part of this target
+    millis endToEnd; ///< time to the whole answer, 0: not part of this target
     double share = 0.95; ///< of requests that must meet it
     double penalty = 0; ///< per missed request, in the tender's currency
 };
@@ -141,12 +141,12 @@
         return entries().empty();
     }
     /// Whether both share the same entries; false says nothing about equality.
-    bool shares(const config_section &other) const
+    bool sharesEntriesWith(const config_section &other) const
     {
         return m_entries == other.m_entries;
     }
     /// The entries for a change; copied first where another configuration holds them too.
-    map_type &change()
+    map_type &mutableEntries()
     {
         if (!m_entries) {
             m_entries = std::make_shared<map_type>();
--- a/packages/state/config_check.cpp
+++ b/packages/state/config_check.cpp
@@ -122,7 +122,7 @@
 bool keepsAdapters(const config &at, const config &before)
 {
     for (std::size_t i = 0; i < adapterShards; ++i) {
-        if (at.adapters[i].shares(before.adapters[i])) {
+        if (at.adapters[i].sharesEntriesWith(before.adapters[i])) {
             continue;
         }
         for (const auto &[name, adapter] : before.adapters[i]) {
@@ -138,11 +138,12 @@
 
 bool checkWhole(const config &at, const config &before, error &why)
 {
-    const bool sameCallers = at.callers.shares(before.callers);
-    const bool sameServices = at.services.shares(before.services);
+    const bool sameCallers = at.callers.sharesEntriesWith(before.callers);
+    const bool sameServices = at.services.sharesEntriesWith(before.services);
     const bool sameAdapters = keepsAdapters(at, before);
-    const bool sameRules = at.rules.shares(before.rules) && sameCallers && sameServices && sameAdapters;
-    const bool sameTargets = at.targets.shares(before.targets) && sameCallers && sameAdapters;
+    const bool sameRules =
+        at.rules.sharesEntriesWith(before.rules) && sameCallers && sameServices && sameAdapters;
+    const bool sameTargets = at.targets.sharesEntriesWith(before.targets) && sameCallers && sameAdapters;
     return checkCounts(at, why) && (sameCallers || checkKeys(at, why))
         && (sameServices || checkServices(at, why)) && (sameRules || checkRules(at, why))
         && (sameTargets || checkTargets(at, why));
--- a/packages/state/config_chunks.cpp
+++ b/packages/state/config_chunks.cpp
@@ -115,7 +115,7 @@
         if (!detail::checkName(name, place.path(), why) || !detail::readEntry(item, place, entry, why)) {
             return false;
         }
-        sectionOf(name).change().insert_or_assign(name, std::move(entry));
+        sectionOf(name).mutableEntries().insert_or_assign(name, std::move(entry));
     }
     return true;
 }
--- a/packages/state/config_json.cpp
+++ b/packages/state/config_json.cpp
@@ -374,7 +374,7 @@
     } else {
         checkNameField(fields, "service", into.service);
     }
-    readPriority(fields, "best", into.best);
+    readPriority(fields, "best", into.bestPriority);
     fields.integer("in_flight", into.inFlight, 0U, maxLimit);
     fields.integer("per_second", into.perSecond, 0U, maxLimit);
     return fields.finish();
@@ -402,8 +402,8 @@
         checkPattern(fields, into.adapters);
     }
     fields.span("first_token_ms", into.firstToken, 0, maxDeadlineLimitMs);
-    fields.span("whole_ms", into.whole, 0, maxDeadlineLimitMs);
-    if (fields.good() && into.firstToken.count == 0 && into.whole.count == 0) {
+    fields.span("whole_ms", into.endToEnd, 0, maxDeadlineLimitMs);
+    if (fields.good() && into.firstToken.count == 0 && into.endToEnd.count == 0) {
         fields.fail({}, "must hold \"first_token_ms\" or \"whole_ms\"");
     }
     fields.real("share", into.share, 0, 1);
@@ -420,7 +420,7 @@
     fields.integer("store_concurrency", into.storeConcurrency, 1U, maxPolicyCount);
     fields.integer("max_replicas", into.maxReplicas, 1U, maxPolicyCount);
     fields.span("default_deadline_ms", into.defaultDeadline, 1, maxDeadlineLimitMs);
-    fields.span("max_deadline_ms", into.maxDeadline, 1, longestDeadlineMs);
+    fields.span("max_deadline_ms", into.maxDeadline, 1, maxAllowedDeadlineMs);
     fields.span("idempotency_retention_ms", into.idempotencyRetention, 1, maxTimeMs);
     if (fields.good() && into.defaultDeadline > into.maxDeadline) {
         fields.fail("default_deadline_ms", "is longer than max_deadline_ms");
@@ -446,7 +446,7 @@
 
 std::string entryText(const rule_config &entry)
 {
-    json text{{"callers", entry.callers}, {"best", nameOf(entry.best)}, {"in_flight", entry.inFlight},
+    json text{{"callers", entry.callers}, {"best", nameOf(entry.bestPriority)}, {"in_flight", entry.inFlight},
         {"per_second", entry.perSecond}};
     if (entry.service.empty()) {
         text["adapters"] = entry.adapters;
@@ -466,8 +466,8 @@
 std::string entryText(const target_config &entry)
 {
     return json{{"callers", entry.callers}, {"adapters", entry.adapters},
-        {"first_token_ms", entry.firstToken.count}, {"whole_ms", entry.whole.count}, {"share", entry.share},
-        {"penalty", entry.penalty}}
+        {"first_token_ms", entry.firstToken.count}, {"whole_ms", entry.endToEnd.count},
+        {"share", entry.share}, {"penalty", entry.penalty}}
         .dump();
 }
 
--- a/packages/state/config_patch.cpp
+++ b/packages/state/config_patch.cpp
@@ -65,7 +65,9 @@
         if (!detail::checkName(name, whole.path(name), why) || !detail::readEntry(from, place, entry, why)) {
             return false;
         }
-        sectionFor(at, name, static_cast<value *>(nullptr)).change().insert_or_assign(name, std::move(entry));
+        sectionFor(at, name, static_cast<value *>(nullptr))
+            .mutableEntries()
+            .insert_or_assign(name, std::move(entry));
     }
     return true;
 }
@@ -89,7 +91,7 @@
                 "holds " + item.dump()
                     + (alsoSet ? ", which the patch sets as well" : ", which does not exist"));
         }
-        section.change().erase(name);
+        section.mutableEntries().erase(name);
     }
     return true;
 }
@@ -165,8 +167,8 @@
 
 bool sharesIndexed(const config &at, const config &before)
 {
-    return at.callers.shares(before.callers) && at.rules.shares(before.rules)
-        && at.services.shares(before.services);
+    return at.callers.sharesEntriesWith(before.callers) && at.rules.sharesEntriesWith(before.rules)
+        && at.services.sharesEntriesWith(before.services);
 }
 
 // ---- the frame of a patch
--- a/packages/state/latency.cpp
+++ b/packages/state/latency.cpp
@@ -61,7 +61,7 @@
     return maxLatencyMs;
 }
 
-std::uint64_t countUnder(const latency_histogram &of, std::size_t doublings)
+std::uint64_t countBelow(const latency_histogram &of, std::size_t doublings)
 {
     std::uint64_t count = 0;
     const auto end = static_cast<int>(std::min(doublings * latencyBinsPerDoubling, latencyBins));
--- a/packages/state/latency.h
+++ b/packages/state/latency.h
@@ -46,7 +46,7 @@
 double quantileMs(const latency_histogram &of, double quantile);
 
 /// Samples at or under 2^doublings ms.
-std::uint64_t countUnder(const latency_histogram &of, std::size_t doublings);
+std::uint64_t countBelow(const latency_histogram &of, std::size_t doublings);
 
 /// The counts from underflow to overflow, without the empty bins at the end.
 std::vector<std::uint64_t> countsOf(const latency_histogram &of);
--- a/packages/state/outcome.h
+++ b/packages/state/outcome.h
@@ -23,7 +23,7 @@
 std::string_view nameOf(outcome value);
 
 /// Why a request ended the way it did, with the time after which coming back helps (0: no hint).
-struct verdict
+struct request_result
 {
     outcome result = outcome::NotRun;
     error why;
--- a/packages/state/quota_limit.h
+++ b/packages/state/quota_limit.h
@@ -14,7 +14,7 @@
 
 /// How exactly limits have to be kept: in any `window` no more than
 /// (rate x window + burst) x (1 + overage) + slack units may run.
-struct quota_rules
+struct quota_tolerance
 {
     millis window{8'000};
     double overage = 0.1;
--- a/packages/transport/peer_connection.cpp
+++ b/packages/transport/peer_connection.cpp
@@ -227,7 +227,7 @@
         return;
     }
     error why;
-    auto message = decodeMessage(bytes, why);
+    auto message = decodePeerMessage(bytes, why);
     if (!message) {
         refuseInput();
         return;
--- a/packages/transport/peer_link.cpp
+++ b/packages/transport/peer_link.cpp
@@ -156,7 +156,7 @@
     m_self.counters.datagramBytesIn += bytes.size();
     error why;
     const auto opened = openDatagram(m_self.keys, bytes);
-    const auto datagram = opened ? decodeDatagram(*opened, why) : std::nullopt;
+    const auto datagram = opened ? decodePeerDatagram(*opened, why) : std::nullopt;
     if (!datagram) {
         ++m_self.counters.dropped;
         return;
@@ -386,7 +386,7 @@
 {
     for (const queued_message &each : unsent) {
         error why;
-        const auto message = m_calls.onUnsent ? decodeMessage(each.bytes, why) : std::nullopt;
+        const auto message = m_calls.onUnsent ? decodePeerMessage(each.bytes, why) : std::nullopt;
         if (message) {
             m_calls.onUnsent(name, *message);
         }
--- a/tests/failure/owner_guard_test.cpp
+++ b/tests/failure/owner_guard_test.cpp
@@ -39,7 +39,7 @@
     links.daemons = [] {
         return std::vector<std::string>{"entry-1"};
     };
-    links.tell = [](const std::string &, const crash_news &) {};
+    links.tell = [](const std::string &, const crash_report &) {};
     links.stored = [](const std::string &) {
         return crash_record{};
     };
@@ -109,7 +109,7 @@
 
     void onSent(const send_to &sent)
     {
-        if (const auto *ask = std::get_if<load_ask>(&sent.body)) {
+        if (const auto *ask = std::get_if<load_request>(&sent.body)) {
             m_bus.post(received<load_grant>{"entry-1", 1, load_grant{ask->ticket}});
         } else if (const auto *began = std::get_if<run_started>(&sent.body)) {
             m_started[began->id.sequence] = began->adapter;
--- a/tests/load_model/load_model.cpp
+++ b/tests/load_model/load_model.cpp
@@ -100,7 +100,7 @@
     void startModel(request &one);
     std::optional<std::size_t> choose(const std::vector<model_candidate> &candidates,
         const std::vector<std::size_t> &loads, const prompt_shape &prompt);
-    void onAnswer(const place_answer &answer);
+    void onAnswer(const slot_response &answer);
     void send(request &one, std::size_t server);
     void refuse(request &one);
     void onEvents(std::size_t server);
@@ -339,11 +339,11 @@
     const request_kind &kind = m_plan.kinds[what.kind];
     const millis waited{m_nowMs - one.arrivedMs};
     const millis wait = patienceOf(millis{m_plan.targetMs}) - waited;
-    const place_ask ask{one.id, server.id, baseModel, what.adapter, what.promptTokens, announced, kind.rank,
-        std::max<std::int64_t>(wait.count, 0), what.atMs + kind.deadlineMs - m_nowMs,
+    const slot_request ask{one.id, server.id, baseModel, what.adapter, what.promptTokens, announced,
+        kind.rank, std::max<std::int64_t>(wait.count, 0), what.atMs + kind.deadlineMs - m_nowMs,
         m_plan.targetMs - waited.count};
-    const place_answer answer = askDesk(server.desk, std::to_string(what.entry), ask, now());
-    if (answer.verdict == place_verdict::Queued) {
+    const slot_response answer = askDesk(server.desk, std::to_string(what.entry), ask, now());
+    if (answer.decision == slot_decision::Queued) {
         pump(*chosen);
     } else {
         onAnswer(answer);
@@ -379,19 +379,19 @@
     return std::nullopt;
 }
 
-void day::onAnswer(const place_answer &answer)
+void day::onAnswer(const slot_response &answer)
 {
     const auto found = m_requests.find(answer.id);
     if (found == m_requests.end() || found->second.running) {
         return;
     }
     request &one = found->second;
-    if (answer.verdict == place_verdict::Granted) {
+    if (answer.decision == slot_decision::Granted) {
         send(one, *one.server);
-    } else if (answer.verdict == place_verdict::Refused) {
+    } else if (answer.decision == slot_decision::Refused) {
         ++m_result.refusals[static_cast<int>(answer.why)];
         one.shortestWaitMs =
-            one.shortestWaitMs < 0 ? answer.comeBackMs : std::min(one.shortestWaitMs, answer.comeBackMs);
+            one.shortestWaitMs < 0 ? answer.retryAfterMs : std::min(one.shortestWaitMs, answer.retryAfterMs);
         one.excluded.insert(*one.server);
         startModel(one);
     }
@@ -441,13 +441,13 @@
         request &one = found->second;
         if (event.first) {
             one.firstMs = event.atMs;
-            takeNote(server.desk, {event.id, server.id, place_event::FirstToken}, now());
+            takeNote(server.desk, {event.id, server.id, slot_event::FirstToken}, now());
         } else {
             one.worstGapMs = std::max(one.worstGapMs, event.atMs - one.lastMs);
         }
         one.lastMs = event.atMs;
         if (event.last) {
-            takeNote(server.desk, {event.id, server.id, place_event::Ended}, now());
+            takeNote(server.desk, {event.id, server.id, slot_event::Ended}, now());
             finish(event.id, true);
         }
     }
@@ -551,7 +551,7 @@
 {
     tellLoads();
     for (std::size_t i = 0; i < m_servers.size(); ++i) {
-        const server_beat beat = beatOf(m_servers[i].desk, true, now());
+        const server_heartbeat beat = beatOf(m_servers[i].desk, true, now());
         for (std::size_t entry = 0; entry < m_heard.size(); ++entry) {
             const bool near = m_servers[i].domain == entry % m_plan.domains;
             if (near || m_nowMs % farBeatEveryMs == 0 || m_heard[entry][i].at.count == 0) {
@@ -608,7 +608,7 @@
         if (found->second.server) {
             model_server &server = m_servers[*found->second.server];
             dropRun(server.engine, id);
-            takeNote(server.desk, {id, server.id, place_event::Ended}, now());
+            takeNote(server.desk, {id, server.id, slot_event::Ended}, now());
         }
         finish(id, false);
     }
--- a/tests/serving/beat_cells_test.cpp
+++ b/tests/serving/beat_cells_test.cpp
@@ -35,9 +35,9 @@
     return made;
 }
 
-server_beat beatFor(const std::string &server)
+server_heartbeat beatFor(const std::string &server)
 {
-    server_beat beat;
+    server_heartbeat beat;
     beat.server = server;
     for (int i = 0; i < 5; ++i) {
         beat.adapters.push_back({adapterHash(server + std::to_string(i)), false});
@@ -46,9 +46,9 @@
 }
 
 /// The beats of one daemon that gives the orders of `servers`.
-fleet_beat beatOf(const std::vector<std::string> &servers)
+fleet_heartbeat beatOf(const std::vector<std::string> &servers)
 {
-    fleet_beat beat;
+    fleet_heartbeat beat;
     for (const std::string &server : servers) {
         beat.servers.push_back(beatFor(server));
     }
@@ -81,7 +81,7 @@
     for (const auto &[node, record] : of.daemons) {
         for (std::size_t i = 0; i * daemons < servers; ++i) {
             const std::string &server = of.servers[next++ % servers];
-            fleet_beat beat = beatOf({server});
+            fleet_heartbeat beat = beatOf({server});
             if (limited) {
                 beat.limits.push_back({server, 1'700, 580});
             }
--- a/tests/serving/crash_task_test.cpp
+++ b/tests/serving/crash_task_test.cpp
@@ -42,7 +42,7 @@
         port = fleet_port::open(
             shared.events, settings.peers,
             [this](const fleet_datagram &datagram, const peer_address &) {
-                if (const auto *news = std::get_if<crash_news>(&datagram.body)) {
+                if (const auto *news = std::get_if<crash_report>(&datagram.body)) {
                     crashes.hear(*news);
                 }
             },
@@ -129,8 +129,9 @@
     {
         error why;
         const auto found = m_store.items.find("briarhead/crash/" + fingerprint);
-        return found == m_store.items.end() ? crash_record{}
-                                            : decodeCrash(found->second.value, why).value_or(crash_record{});
+        return found == m_store.items.end()
+            ? crash_record{}
+            : decodeCrashRecord(found->second.value, why).value_or(crash_record{});
     }
 };
 
@@ -301,7 +302,7 @@
     runRounds(1'500);
     EXPECT_EQ(granted, 2);
     EXPECT_GT(answered, 100);
-    EXPECT_EQ(stored().trials, 2U);
+    EXPECT_EQ(stored().probeCount, 2U);
     EXPECT_EQ(m_daemons[0]->crashes.comeBackAfter(fingerprint), crashMemory);
 }
 
--- a/tests/serving/decisions_test.cpp
+++ b/tests/serving/decisions_test.cpp
@@ -308,10 +308,10 @@
 TEST(ChooseServer, AServerThatRemembersTheAdapterGoesBeforeOneThatFetchesIt)
 {
     heard_server lately;
-    server_beat beat;
+    server_heartbeat beat;
     beat.server = "s1";
-    beat.held = true;
-    beat.openPlaces = 1;
+    beat.modelLoaded = true;
+    beat.availableSlots = 1;
     beat.adapters = {{adapterHash("m/a1"), false}, {adapterHash("m/a2"), true}};
     takeBeat(lately, beat, "n1", start);
     beat.adapters = {{adapterHash("m/a3"), false}};
--- a/tests/serving/edge_limit_test.cpp
+++ b/tests/serving/edge_limit_test.cpp
@@ -59,7 +59,7 @@
     runRounds(500);
     successor.ask("m-1");
     ASSERT_TRUE(runUntil([&] {
-        return successor.lastAnswer.verdict == place_verdict::Granted;
+        return successor.lastAnswer.decision == slot_decision::Granted;
     }));
     EXPECT_EQ(successor.lastAnswer.limitMilli, 50'000);
     m_client.trouble = store_trouble::Silent; // its own claim of the record must not answer for it
@@ -67,7 +67,7 @@
     ASSERT_TRUE(runUntil([&] {
         successor.beatAsSuccessor("m-1");
         successor.askAs("y", "m-1");
-        return successor.lastAnswer.verdict == place_verdict::Refused;
+        return successor.lastAnswer.decision == slot_decision::Refused;
     }));
     EXPECT_EQ(successor.lastAnswer.why, refusal::Limited);
 }
@@ -128,7 +128,7 @@
     other_daemon heard(m_store, m_loop, m_settings.peers, "n3", "m-2");
     runRounds(300);
     silent.setResident("m0/a1");
-    const auto withLimit = [&](std::vector<limit_beat> limits) {
+    const auto withLimit = [&](std::vector<limit_heartbeat> limits) {
         silent.limits = std::move(limits);
         silent.beat();
         const millis stale = bootNow() + beatFresh + millis{200};
--- a/tests/serving/edge_process_test.cpp
+++ b/tests/serving/edge_process_test.cpp
@@ -125,13 +125,13 @@
         })) << logText();
         return seen;
     }
-    orderer_record orderer() const
+    ownership_record orderer() const
     {
         error why;
         const auto found = m_store.items.find("briarhead/orderer/m-1");
         return found == m_store.items.end()
-            ? orderer_record{}
-            : decodeOrderer(found->second.value, why).value_or(orderer_record{});
+            ? ownership_record{}
+            : decodeOwnershipRecord(found->second.value, why).value_or(ownership_record{});
     }
     std::string logText() const
     {
--- a/tests/serving/edge_test.cpp
+++ b/tests/serving/edge_test.cpp
@@ -148,19 +148,19 @@
     const std::string other = cellOf("m-1", cells) != cellOf("n1", cells) ? "m-1" : "m-2";
     ASSERT_NE(cellOf(other, cells), cellOf("n1", cells));
     m_heldAtStart[other] = {"a1"};
-    m_store.put("briarhead/orderer/" + other, encode(orderer_record{"n2", 1}));
+    m_store.put("briarhead/orderer/" + other, encode(ownership_record{"n2", 1}));
     start();
-    server_beat beat;
+    server_heartbeat beat;
     beat.server = other;
     beat.fence = 1'000'000;
-    beat.held = true;
+    beat.modelLoaded = true;
     beat.adapters = {{adapterHash("m0/a1"), false}};
     error why;
     const auto port = fleet_port::open(
         m_loop, {http_testing::loopback, freePort()}, [](const fleet_datagram &, const peer_address &) {},
         why);
     ASSERT_TRUE(port) << message(why);
-    port->send(m_settings.peers, {"n2", 1, fleet_beat{false, {beat}}});
+    port->send(m_settings.peers, {"n2", 1, fleet_heartbeat{false, {beat}}});
     runRounds(50);
     for (int i = 0; i < 40; ++i) {
         const std::string node = "further-" + std::to_string(i);
@@ -200,7 +200,7 @@
     silent.beat();
     const auto holderOf = [this](const std::string &server) {
         error why;
-        const auto record = decodeOrderer(m_store.items.at("briarhead/orderer/" + server).value, why);
+        const auto record = decodeOwnershipRecord(m_store.items.at("briarhead/orderer/" + server).value, why);
         return record ? record->node : std::string();
     };
     EXPECT_TRUE(runUntil([&] {
@@ -430,7 +430,7 @@
     runRounds(50);
     m_store.expire(m_store.lastLease);
     for (const auto &server : m_models) {
-        m_store.put("briarhead/orderer/" + server->id, encode(orderer_record{"n2", 1, 1'000}));
+        m_store.put("briarhead/orderer/" + server->id, encode(ownership_record{"n2", 1, 1'000}));
     }
     runRounds(2'500);
     const auto orders = [this] {
@@ -499,7 +499,7 @@
     runRounds(300);
     const auto caller = ask("/gen/x", "a1"); // neither of them answers
     runRounds(60);
-    const crash_news news{fingerprintOf({{}, "POST", "h", "/gen/x", "hi"}), {"s1", "s2", "s3"}};
+    const crash_report news{fingerprintOf({{}, "POST", "h", "/gen/x", "hi"}), {"s1", "s2", "s3"}};
     first.tell(news);
     std::string seen;
     EXPECT_TRUE(runUntil([&] {
--- a/tests/serving/edge_words_test.cpp
+++ b/tests/serving/edge_words_test.cpp
@@ -140,20 +140,20 @@
     other_daemon paused(m_store, m_loop, m_settings.peers, "n2", "m-9");
     other_daemon free(m_store, m_loop, m_settings.peers, "n3", "m-8");
     runRounds(300);
-    paused.tell(word_news{"m-1", "m-1", false, 1'500, false});
+    paused.tell(server_notice{"m-1", "m-1", false, 1'500, false});
     runRounds(20);
     paused.askAs("x", "m-1");
     free.askAs("y", "m-1");
     ASSERT_TRUE(runUntil([&] {
-        return paused.answersHeard > 0 && free.lastAnswer.verdict == place_verdict::Granted;
+        return paused.answersHeard > 0 && free.lastAnswer.decision == slot_decision::Granted;
     }));
-    EXPECT_EQ(paused.lastAnswer.verdict, place_verdict::Refused);
+    EXPECT_EQ(paused.lastAnswer.decision, slot_decision::Refused);
     EXPECT_EQ(paused.lastAnswer.why, refusal::Paused);
-    EXPECT_GT(paused.lastAnswer.comeBackMs, 1'000);
-    EXPECT_LE(paused.lastAnswer.comeBackMs, 1'500);
+    EXPECT_GT(paused.lastAnswer.retryAfterMs, 1'000);
+    EXPECT_LE(paused.lastAnswer.retryAfterMs, 1'500);
     ASSERT_TRUE(runUntil([&] {
         paused.askAs("z", "m-1");
-        return paused.lastAnswer.verdict == place_verdict::Granted;
+        return paused.lastAnswer.decision == slot_decision::Granted;
     })) << "a pause ends by itself";
 }
 
@@ -171,11 +171,11 @@
     }));
     entry.askAs("waits", "m-1");
     ASSERT_TRUE(runUntil([&] {
-        return entry.lastAnswer.verdict == place_verdict::Queued;
+        return entry.lastAnswer.decision == slot_decision::Queued;
     }));
-    entry.tell(word_news{"m-1", "m-1", false, 5'000, false});
+    entry.tell(server_notice{"m-1", "m-1", false, 5'000, false});
     ASSERT_TRUE(runUntil([&] {
-        return entry.lastAnswer.verdict == place_verdict::Refused;
+        return entry.lastAnswer.decision == slot_decision::Refused;
     }));
     EXPECT_EQ(entry.lastAnswer.id, "waits");
     EXPECT_EQ(entry.lastAnswer.why, refusal::Paused);
@@ -198,11 +198,11 @@
     ASSERT_TRUE(runUntil([&] {
         return !orderer.asksHeard.empty();
     }));
-    orderer.tell(word_news{"m-2", "m-2", true, 0, false});
-    place_answer granted;
+    orderer.tell(server_notice{"m-2", "m-2", true, 0, false});
+    slot_response granted;
     granted.id = orderer.asksHeard.front().id;
     granted.server = "m-2";
-    granted.verdict = place_verdict::Granted;
+    granted.decision = slot_decision::Granted;
     orderer.tell(granted);
     std::string seen;
     EXPECT_TRUE(runUntil([&] {
@@ -225,15 +225,15 @@
         answerTo("/safe/x");
     }
     const auto knows = [&other](const std::string &server) {
-        return std::any_of(other.wordsHeard.begin(), other.wordsHeard.end(), [&](const word_news &news) {
-            return news.leaving && news.start == server;
+        return std::any_of(other.wordsHeard.begin(), other.wordsHeard.end(), [&](const server_notice &news) {
+            return news.leaving && news.incarnation == server;
         });
     };
     EXPECT_TRUE(runUntil([&] {
         return knows("p-1") && knows("p-2");
     }));
-    other.tell(word_news{"m-1", "m-1", true, 0, false});
-    other.tell(word_news{"m-2", "m-2", true, 0, false});
+    other.tell(server_notice{"m-1", "m-1", true, 0, false});
+    other.tell(server_notice{"m-2", "m-2", true, 0, false});
     runRounds(50);
     EXPECT_EQ(statusOf(answerTo("/gen/x", "a1")), "503");
     EXPECT_EQ(ranOn(m_models), 0U);
@@ -246,7 +246,7 @@
     start();
     other_daemon first(m_store, m_loop, m_settings.peers, "n2", "m-9");
     runRounds(300);
-    first.tell(word_news{"m-1", "m-1", true, 0, false});
+    first.tell(server_notice{"m-1", "m-1", true, 0, false});
     runRounds(50);
     first.askAs("x", "m-1");
     ASSERT_TRUE(runUntil([&] {
--- a/tests/serving/load_crowd_test.cpp
+++ b/tests/serving/load_crowd_test.cpp
@@ -120,7 +120,7 @@
     void ask(tally &seen)
     {
         place_desk &desk = m_desks[m_random() % m_desks.size()];
-        place_ask ask;
+        slot_request ask;
         ask.id = "r" + std::to_string(++m_asked);
         ask.server = desk.ledger.server;
         ask.model = "base";
@@ -130,8 +130,8 @@
         ask.waitMs = patience.count;
         ask.deadlineMs = 5'000;
         ask.targetMs = target.count;
-        const place_answer answer = askDesk(desk, "entry", ask, m_now);
-        seen.refused += answer.verdict == place_verdict::Refused ? 1 : 0;
+        const slot_response answer = askDesk(desk, "entry", ask, m_now);
+        seen.refused += answer.decision == slot_decision::Refused ? 1 : 0;
     }
 
     void order(place_desk &desk)
@@ -159,11 +159,11 @@
     void count(const place_desk &desk, const std::vector<desk_answer> &answers, tally &seen)
     {
         for (const desk_answer &each : answers) {
-            const bool granted = each.answer.verdict == place_verdict::Granted;
+            const bool granted = each.answer.decision == slot_decision::Granted;
             seen.served += granted ? 1 : 0;
             seen.refused += granted ? 0 : 1;
             if (granted) {
-                m_ends.emplace_back(m_now + answerTime, place_note{each.answer.id, desk.ledger.server});
+                m_ends.emplace_back(m_now + answerTime, slot_report{each.answer.id, desk.ledger.server});
             }
         }
     }
@@ -182,7 +182,7 @@
     std::vector<place_desk> m_desks;
     std::vector<load_pace> m_views; ///< of the orderer of each server
     weight_store m_store;
-    std::vector<std::pair<millis, place_note>> m_ends;
+    std::vector<std::pair<millis, slot_report>> m_ends;
     std::mt19937_64 m_random{7};
     millis m_now{100'000};
     int m_asked = 0;
--- a/tests/serving/other_daemon.h
+++ b/tests/serving/other_daemon.h
@@ -24,9 +24,9 @@
         const peer_address own{http_testing::loopback, http_testing::freePort()};
         store.put("briarhead/daemon/" + node, encode(daemon_record{node, own.ip, own.port, "z", 1}));
         m_beat.server = server;
-        m_beat.held = true;
+        m_beat.modelLoaded = true;
         m_beat.fence = static_cast<std::uint64_t>(
-            store.put("briarhead/orderer/" + server, encode(orderer_record{node, 1, 1'000})));
+            store.put("briarhead/orderer/" + server, encode(ownership_record{node, 1, 1'000})));
         error why;
         m_port = fleet_port::open(
             eventLoop, own,
@@ -37,17 +37,17 @@
     }
     void beat()
     {
-        fleet_beat beat{false, {m_beat}};
+        fleet_heartbeat beat{false, {m_beat}};
         beat.limits = limits;
         m_port->send(m_to, {m_node, 1, beat});
     }
     /// As the daemon that took a server's record later than any other.
     void beatAsSuccessor(const std::string &server)
     {
-        server_beat beat = m_beat;
+        server_heartbeat beat = m_beat;
         beat.server = server;
         beat.fence = std::numeric_limits<std::uint32_t>::max();
-        m_port->send(m_to, {m_node, 1, fleet_beat{false, {beat}}});
+        m_port->send(m_to, {m_node, 1, fleet_heartbeat{false, {beat}}});
     }
     void setResident(const std::string &adapter)
     {
@@ -59,7 +59,7 @@
     }
     void askAs(const std::string &id, const std::string &server)
     {
-        place_ask ask;
+        slot_request ask;
         ask.id = id;
         ask.server = server;
         ask.model = "m0";
@@ -75,37 +75,37 @@
     }
     int beatsHeard = 0;
     int answersHeard = 0;
-    std::vector<limit_beat> limits; ///< that its beats tell of
-    std::vector<limit_beat> limitsHeard; ///< in the latest beat that told of any
-    std::vector<place_ask> asksHeard;
-    std::vector<limit_note> notesHeard;
-    std::vector<place_note> placeNotesHeard;
-    std::vector<word_news> wordsHeard;
-    place_answer lastAnswer;
+    std::vector<limit_heartbeat> limits; ///< that its beats tell of
+    std::vector<limit_heartbeat> limitsHeard; ///< in the latest beat that told of any
+    std::vector<slot_request> asksHeard;
+    std::vector<limit_report> notesHeard;
+    std::vector<slot_report> placeNotesHeard;
+    std::vector<server_notice> wordsHeard;
+    slot_response lastAnswer;
 
 private:
     void hear(const fleet_datagram &datagram)
     {
-        if (const auto *beat = std::get_if<fleet_beat>(&datagram.body)) {
+        if (const auto *beat = std::get_if<fleet_heartbeat>(&datagram.body)) {
             ++beatsHeard;
             limitsHeard = beat->limits.empty() ? limitsHeard : beat->limits;
-        } else if (const auto *answer = std::get_if<place_answer>(&datagram.body)) {
+        } else if (const auto *answer = std::get_if<slot_response>(&datagram.body)) {
             ++answersHeard;
             lastAnswer = *answer;
-        } else if (const auto *ask = std::get_if<place_ask>(&datagram.body)) {
+        } else if (const auto *ask = std::get_if<slot_request>(&datagram.body)) {
             asksHeard.push_back(*ask);
-        } else if (const auto *note = std::get_if<limit_note>(&datagram.body)) {
+        } else if (const auto *note = std::get_if<limit_report>(&datagram.body)) {
             notesHeard.push_back(*note);
-        } else if (const auto *placeNote = std::get_if<place_note>(&datagram.body)) {
+        } else if (const auto *placeNote = std::get_if<slot_report>(&datagram.body)) {
             placeNotesHeard.push_back(*placeNote);
-        } else if (const auto *words = std::get_if<word_news>(&datagram.body)) {
+        } else if (const auto *words = std::get_if<server_notice>(&datagram.body)) {
             wordsHeard.push_back(*words);
         }
     }
 
     peer_address m_to;
     std::string m_node;
-    server_beat m_beat;
+    server_heartbeat m_beat;
     std::unique_ptr<fleet_port> m_port;
 };
 
--- a/tests/serving/server_limit_test.cpp
+++ b/tests/serving/server_limit_test.cpp
@@ -32,9 +32,9 @@
     }
 };
 
-place_ask askOf(const std::string &id, millis patience)
+slot_request askOf(const std::string &id, millis patience)
 {
-    place_ask ask;
+    slot_request ask;
     ask.id = id;
     ask.server = "s";
     ask.waitMs = patience.count;
@@ -180,19 +180,19 @@
         const millis now = begin + millis{at};
         for (int i = 0; i < daemons / 50; ++i) { // each daemon once a second
             const std::string id = std::to_string(at) + '.' + std::to_string(i);
-            const place_answer answer = askDesk(desk, "n" + std::to_string(i), askOf(id, {300}), now);
-            if (answer.verdict == place_verdict::Refused) {
+            const slot_response answer = askDesk(desk, "n" + std::to_string(i), askOf(id, {300}), now);
+            if (answer.decision == slot_decision::Refused) {
                 ++refused;
                 EXPECT_EQ(answer.why, refusal::Limited);
                 EXPECT_EQ(answer.limitMilli, 2'000);
-                EXPECT_GE(answer.comeBackMs, shortestComeBack.count);
-                EXPECT_LE(answer.comeBackMs, 1'000) << "a further turn is half a second away";
+                EXPECT_GE(answer.retryAfterMs, shortestComeBack.count);
+                EXPECT_LE(answer.retryAfterMs, 1'000) << "a further turn is half a second away";
             }
         }
         for (const desk_answer &each : answersDue(desk, now)) {
-            if (each.answer.verdict == place_verdict::Granted) {
+            if (each.answer.decision == slot_decision::Granted) {
                 sent.push_back(now);
-                takeNote(desk, {each.answer.id, "s", place_event::Ended}, now);
+                takeNote(desk, {each.answer.id, "s", slot_event::Ended}, now);
             }
         }
     }
@@ -205,17 +205,17 @@
 // whatever the number of daemons and of other servers.
 TEST(ServerLimit, CostsBytesOnlyForServersThatNameOne)
 {
-    fleet_datagram beat{"edge-zg-dubrava-1", 1, fleet_beat{}};
+    fleet_datagram beat{"edge-zg-dubrava-1", 1, fleet_heartbeat{}};
     const std::size_t without = encode(beat).size();
-    std::get<fleet_beat>(beat.body).limits.push_back({"i-ef064fa758", 1'700, 580});
+    std::get<fleet_heartbeat>(beat.body).limits.push_back({"i-ef064fa758", 1'700, 580});
     EXPECT_LE(encode(beat).size() - without, 20U);
-    const place_ask ask = askOf("9c41d07be2a35f68", {300});
-    place_ask limited = ask;
+    const slot_request ask = askOf("9c41d07be2a35f68", {300});
+    slot_request limited = ask;
     limited.limitMilli = 1'700;
     limited.limitAgeMs = 120;
     EXPECT_LE(
         encode(fleet_datagram{"n", 1, limited}).size() - encode(fleet_datagram{"n", 1, ask}).size(), 4U);
-    EXPECT_LE(encode(fleet_datagram{"n", 1, limit_note{ask.id, "i-ef064fa758", 1'700}}).size(), 64U);
+    EXPECT_LE(encode(fleet_datagram{"n", 1, limit_report{ask.id, "i-ef064fa758", 1'700}}).size(), 64U);
 }
 
 // A turn of a request that never reached the server was lost, and at a low limit a caller with it.
@@ -223,14 +223,14 @@
 {
     place_desk desk = plainDesk(1, begin);
     const millis now = begin + millis{1'000};
-    EXPECT_EQ(askDesk(desk, "n", askOf("a", {300}), now).verdict, place_verdict::Queued);
+    EXPECT_EQ(askDesk(desk, "n", askOf("a", {300}), now).decision, slot_decision::Queued);
     EXPECT_EQ(answersDue(desk, now).size(), 1U);
-    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), now).verdict, place_verdict::Refused);
-    takeNote(desk, {"a", "s", place_event::Unsent}, now);
-    takeNote(desk, {"a", "s", place_event::Unsent}, now);
-    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), now).verdict, place_verdict::Queued);
+    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), now).decision, slot_decision::Refused);
+    takeNote(desk, {"a", "s", slot_event::NotSent}, now);
+    takeNote(desk, {"a", "s", slot_event::NotSent}, now);
+    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), now).decision, slot_decision::Queued);
     EXPECT_EQ(answersDue(desk, now).size(), 1U);
-    EXPECT_EQ(askDesk(desk, "n", askOf("c", {300}), now).verdict, place_verdict::Refused);
+    EXPECT_EQ(askDesk(desk, "n", askOf("c", {300}), now).decision, slot_decision::Refused);
 }
 
 // A refusal that came from the queue didn't name the limit, and the daemon that got it took it for ended.
@@ -246,7 +246,7 @@
     EXPECT_EQ(askDesk(desk, "n", askOf("c", {300}), begin + millis{5'000}).limitMilli, 1'000);
     const auto granted = answersDue(desk, begin + millis{5'000});
     ASSERT_EQ(granted.size(), 1U);
-    EXPECT_EQ(granted[0].answer.verdict, place_verdict::Granted);
+    EXPECT_EQ(granted[0].answer.decision, slot_decision::Granted);
     EXPECT_EQ(granted[0].answer.limitMilli, 1'000);
 }
 
@@ -259,7 +259,7 @@
     for (const std::int64_t age : {std::numeric_limits<std::int64_t>::min(), std::int64_t{-60'000},
              std::numeric_limits<std::int64_t>::max()}) {
         desk.limit = {};
-        place_ask ask = askOf("a", {300});
+        slot_request ask = askOf("a", {300});
         ask.limitMilli = 500;
         ask.limitAgeMs = age;
         askDesk(desk, "n", ask, begin);
@@ -276,10 +276,10 @@
     place_desk desk;
     desk.plain = true;
     desk.queue.slots = 10;
-    place_ask ask = askOf("a", {300});
+    slot_request ask = askOf("a", {300});
     ask.limitMilli = 500;
     ask.limitAgeMs = 2'000;
-    const place_answer answer = askDesk(desk, "n", ask, begin);
+    const slot_response answer = askDesk(desk, "n", ask, begin);
     EXPECT_EQ(answer.why, refusal::Limited);
     EXPECT_EQ(answer.limitMilli, 500);
 }
--- a/tests/serving/store_task_test.cpp
+++ b/tests/serving/store_task_test.cpp
@@ -292,7 +292,7 @@
     void add(fake_store &store, const std::string &node, bool bootstrap = false)
     {
         auto made = std::make_unique<follower>(store, node, "z", bootstrap);
-        made->task.setFleet({[this, node](const std::vector<std::string> &nodes, const store_news &news) {
+        made->task.setFleet({[this, node](const std::vector<std::string> &nodes, const store_update &news) {
                                  itemsSent += news.items.size() * nodes.size();
                                  for (const std::string &to : nodes) {
                                      if (!datagramsLost && members.count(to) != 0) {
@@ -301,7 +301,7 @@
                                  }
                              },
             [this](const std::string &from, std::int64_t after,
-                const std::function<void(std::optional<store_news>)> &done) {
+                const std::function<void(std::optional<store_update>)> &done) {
                 if (!fetchHangs) {
                     done(members.at(from)->task.newsAfter(after));
                 }
@@ -458,7 +458,7 @@
     ASSERT_TRUE(until([&] {
         return one.version() == 29;
     }));
-    const store_news news = one.task.newsAfter(before);
+    const store_update news = one.task.newsAfter(before);
     EXPECT_EQ(news.items.size(), 1U);
     EXPECT_EQ(news.items.back().revision, store.revision);
 }
--- a/tests/serving/word_task_test.cpp
+++ b/tests/serving/word_task_test.cpp
@@ -92,12 +92,12 @@
     const std::string own = serverWith(true);
     const std::uint64_t spread = sentFor([&] {
         for (int i = 0; i < 50; ++i) {
-            m_words->hear("n1", word_news{own, own, true, 0, true});
+            m_words->hear("n1", server_notice{own, own, true, 0, true});
         }
     });
     EXPECT_EQ(spread, 2 * (daemons - 1)) << "a home tells all, twice";
     EXPECT_EQ(sentFor([&] {
-        m_words->hear("n1", word_news{"t", "t", true, 0, false});
+        m_words->hear("n1", server_notice{"t", "t", true, 0, false});
     }),
         0U)
         << "who is told tells nobody";
@@ -119,7 +119,7 @@
 TEST_P(word_task_test, ANewsDatagramIsSmall)
 {
     const fleet_datagram datagram{
-        "edge-hakata-hall-1", 1, word_news{"i-7247f870b2", "i-7247f870b2@1777340786061", true, 0, true}};
+        "edge-hakata-hall-1", 1, server_notice{"i-7247f870b2", "i-7247f870b2@1777340786061", true, 0, true}};
     EXPECT_LE(encode(datagram).size(), 120U);
 }
 
--- a/tests/soak/witness.h
+++ b/tests/soak/witness.h
@@ -16,7 +16,7 @@
 const std::string freeAccount = "ana";
 const std::string limitedAccount = "eva";
 constexpr quota_limit limitedTo{6, 6}; ///< requests
-constexpr quota_rules limitRules{millis{8'000}, 0.1, 6};
+constexpr quota_tolerance limitRules{millis{8'000}, 0.1, 6};
 
 /// What a caller got.
 struct caller_answer
--- a/tests/unit/burn_test.cpp
+++ b/tests/unit/burn_test.cpp
@@ -75,7 +75,7 @@
 TEST(Judgement, ConcernsItsCallersAndAdapters)
 {
     config at;
-    at.callers.change()["ana"].groups = {"lecturers"};
+    at.callers.mutableEntries()["ana"].groups = {"lecturers"};
     request_record request = done(1, 1);
     EXPECT_TRUE(concerns(summaries, at, request));
     request.adapter = "lists-biology";
@@ -175,7 +175,7 @@
     EXPECT_EQ(target.share, 0.95);
     EXPECT_EQ(windowOf(target, burn_span::Day).counts.total, 6U);
     EXPECT_EQ(windowOf(target, burn_span::Day).counts.byCause.front(), 3U);
-    EXPECT_EQ(countOf(target.wholeTimes), 6U);
+    EXPECT_EQ(countOf(target.endToEndTimes), 6U);
     EXPECT_EQ(target.byCaller.at("ana").day.total, 6U);
     EXPECT_NEAR(coverage(sum, windowOf(target, burn_span::Day), burn_span::Day), 0.5 / 24, 1e-9);
 }
--- a/tests/unit/codec_test.cpp
+++ b/tests/unit/codec_test.cpp
@@ -36,20 +36,21 @@
 {
     using enum refusal;
     for (const refusal each :
-        {None, TooBusy, NoPlace, NotOrderer, ServerLeaving, NotHeld, LoadTooSlow, Limited}) {
+        {None, TooBusy, NoSlot, NotOwner, ServerLeaving, ModelNotLoaded, LoadTooSlow, Limited}) {
         error why;
-        const place_answer sent{"id", "s", place_verdict::Refused, each, 3, 250, 1'500};
-        const auto got = decodeFleet(encode(fleet_datagram{"n", 1, sent}), why);
+        const slot_response sent{"id", "s", slot_decision::Refused, each, 3, 250, 1'500};
+        const auto got = decodeFleetDatagram(encode(fleet_datagram{"n", 1, sent}), why);
         ASSERT_TRUE(got) << nameOf(each) << ": " << message(why);
-        EXPECT_EQ(std::get<place_answer>(got->body).why, each);
-        EXPECT_EQ(std::get<place_answer>(got->body).limitMilli, 1'500);
+        EXPECT_EQ(std::get<slot_response>(got->body).why, each);
+        EXPECT_EQ(std::get<slot_response>(got->body).limitMilli, 1'500);
     }
-    for (const place_event each : {place_event::FirstToken, place_event::Ended, place_event::NotHeld,
-             place_event::Failed, place_event::Unsent}) {
+    for (const slot_event each : {slot_event::FirstToken, slot_event::Ended, slot_event::AdapterNotLoaded,
+             slot_event::Failed, slot_event::NotSent}) {
         error why;
-        const auto got = decodeFleet(encode(fleet_datagram{"n", 1, place_note{"id", "s", each}}), why);
+        const auto got =
+            decodeFleetDatagram(encode(fleet_datagram{"n", 1, slot_report{"id", "s", each}}), why);
         ASSERT_TRUE(got) << static_cast<int>(each) << ": " << message(why);
-        EXPECT_EQ(std::get<place_note>(got->body).event, each);
+        EXPECT_EQ(std::get<slot_report>(got->body).event, each);
     }
 }
 
@@ -57,7 +58,7 @@
 {
     error why;
     const run_end sent = fullRunEnd();
-    const auto decoded = decodeMessage(encode(peer_message(sent)), why);
+    const auto decoded = decodePeerMessage(encode(peer_message(sent)), why);
     ASSERT_TRUE(decoded) << message(why);
     const auto &got = std::get<run_end>(*decoded);
     EXPECT_EQ(got.id, sent.id);
@@ -73,7 +74,7 @@
     error why;
     const std::string bytes = encode(fullDatagram());
     EXPECT_LE(bytes.size(), 300U);
-    const auto decoded = decodeDatagram(bytes, why);
+    const auto decoded = decodePeerDatagram(bytes, why);
     ASSERT_TRUE(decoded) << message(why);
     EXPECT_EQ(encode(*decoded), bytes);
     EXPECT_EQ(decoded->introductions.front().failureDomain, "vz-centar");
@@ -86,7 +87,7 @@
     request.deadlineMs = deadline;
     request.prefix = prefix;
     error why;
-    const auto decoded = decodeMessage(encode(peer_message(request)), why);
+    const auto decoded = decodePeerMessage(encode(peer_message(request)), why);
     RC_ASSERT(decoded.has_value());
     RC_ASSERT(std::get<run_request>(*decoded).body == body);
     RC_ASSERT(std::get<run_request>(*decoded).deadlineMs == deadline);
@@ -101,27 +102,27 @@
     const std::string frame = encode(peer_message(fullRunEnd()));
     for (std::size_t size = 0; size < datagram.size(); ++size) {
         error why;
-        EXPECT_FALSE(decodeDatagram(datagram.substr(0, size), why));
+        EXPECT_FALSE(decodePeerDatagram(datagram.substr(0, size), why));
         EXPECT_EQ(why.kind, error_kind::BadFrame);
     }
     for (std::size_t size = 0; size < frame.size(); ++size) {
         error why;
-        EXPECT_FALSE(decodeMessage(frame.substr(0, size), why));
+        EXPECT_FALSE(decodePeerMessage(frame.substr(0, size), why));
     }
     error why;
-    EXPECT_FALSE(decodeDatagram(datagram + '\0', why));
-    EXPECT_FALSE(decodeMessage(frame + '\0', why));
+    EXPECT_FALSE(decodePeerDatagram(datagram + '\0', why));
+    EXPECT_FALSE(decodePeerMessage(frame + '\0', why));
 }
 
 RC_GTEST_PROP(codec, survivesRandomBytes, (const std::vector<char> &bytes))
 {
     const std::string_view input(bytes.data(), bytes.size());
     error why;
-    if (const auto decoded = decodeMessage(input, why)) {
-        RC_ASSERT(decodeMessage(encode(*decoded), why).has_value());
+    if (const auto decoded = decodePeerMessage(input, why)) {
+        RC_ASSERT(decodePeerMessage(encode(*decoded), why).has_value());
     }
-    if (const auto decoded = decodeDatagram(input, why)) {
-        RC_ASSERT(decodeDatagram(encode(*decoded), why).has_value());
+    if (const auto decoded = decodePeerDatagram(input, why)) {
+        RC_ASSERT(decodePeerDatagram(encode(*decoded), why).has_value());
     }
 }
 
@@ -131,10 +132,10 @@
     const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
     bytes[at] = *rc::gen::arbitrary<char>();
     error why;
-    (void)decodeMessage(bytes, why);
+    (void)decodePeerMessage(bytes, why);
     std::string datagram = encode(fullDatagram());
     datagram[at % datagram.size()] = *rc::gen::arbitrary<char>();
-    (void)decodeDatagram(datagram, why);
+    (void)decodePeerDatagram(datagram, why);
 }
 
 // A daemon is killed for taking all memory: a corrupt length claims exabytes, and the decoder makes room
@@ -143,15 +144,15 @@
 {
     const std::string huge("\xff\xff\xff\xff\xff\xff\xff\xff\x7f", 9);
     const std::string runBytes = encode(peer_message(run_bytes{}));
-    const std::string answer = encode(peer_message(config_answer{}));
+    const std::string answer = encode(peer_message(config_response{}));
     error why;
-    EXPECT_FALSE(decodeMessage(runBytes.substr(0, runBytes.size() - 1) + huge, why));
-    EXPECT_FALSE(decodeMessage(answer.substr(0, answer.size() - 1) + huge, why));
+    EXPECT_FALSE(decodePeerMessage(runBytes.substr(0, runBytes.size() - 1) + huge, why));
+    EXPECT_FALSE(decodePeerMessage(answer.substr(0, answer.size() - 1) + huge, why));
     // A list of pairs of empty texts takes two bytes each here, and far more in memory.
     const std::string many("\x81\x80\x04", 3);
     static_assert(maxListElements == 0x10000);
     const std::string pairs(2 * (maxListElements + 1), '\0');
-    EXPECT_FALSE(decodeMessage(answer.substr(0, answer.size() - 1) + many + pairs, why));
+    EXPECT_FALSE(decodePeerMessage(answer.substr(0, answer.size() - 1) + many + pairs, why));
 }
 
 // A peer of another release sends an error kind that this one doesn't know; taken in, it would index the
@@ -161,16 +162,16 @@
     run_end sent = fullRunEnd();
     sent.why = static_cast<error_kind>(200);
     error why;
-    EXPECT_FALSE(decodeMessage(encode(peer_message(sent)), why));
+    EXPECT_FALSE(decodePeerMessage(encode(peer_message(sent)), why));
     peer_datagram datagram = fullDatagram();
     datagram.facts.front().state = static_cast<peer_state>(9);
-    EXPECT_FALSE(decodeDatagram(encode(datagram), why));
+    EXPECT_FALSE(decodePeerDatagram(encode(datagram), why));
     datagram = fullDatagram();
     datagram.from.clear();
-    EXPECT_FALSE(decodeDatagram(encode(datagram), why));
+    EXPECT_FALSE(decodePeerDatagram(encode(datagram), why));
     datagram = fullDatagram();
     datagram.facts.resize(maxFactsPerDatagram + 1, datagram.facts.front());
-    EXPECT_FALSE(decodeDatagram(encode(datagram), why));
+    EXPECT_FALSE(decodePeerDatagram(encode(datagram), why));
 }
 
 }
--- a/tests/unit/config_task_test.cpp
+++ b/tests/unit/config_task_test.cpp
@@ -109,11 +109,11 @@
             if (to->name != frame.to) {
                 continue;
             }
-            if (const auto *question = std::get_if<config_ask>(&frame.body)) {
-                to->messages.post(received<config_ask>{from.name, 1, *question});
-            } else if (const auto *answer = std::get_if<config_answer>(&frame.body)) {
+            if (const auto *question = std::get_if<config_request>(&frame.body)) {
+                to->messages.post(received<config_request>{from.name, 1, *question});
+            } else if (const auto *answer = std::get_if<config_response>(&frame.body)) {
                 ++to->answers;
-                to->messages.post(received<config_answer>{from.name, 1, *answer});
+                to->messages.post(received<config_response>{from.name, 1, *answer});
             }
         }
     }
@@ -327,7 +327,7 @@
     // The last patch reached only one peer before the service went.
     error why;
     const auto last = patchOf(1, "p2", adapterSet("late", 7));
-    ahead.messages.post(received<config_answer>{"zg-9", 1, {2, {toJson(last)}, {}}});
+    ahead.messages.post(received<config_response>{"zg-9", 1, {2, {toJson(last)}, {}}});
     ASSERT_TRUE(reaches(ahead, 2));
     auto &fresh = start("zg-4");
     wait(millis{100});
@@ -373,9 +373,9 @@
         return slow.kv.counters().reads > 1; // the head arrived, the chunks are being read
     }));
     const auto chunks = toChunks(*next);
-    config_answer answer{next->version, {}, {chunks.begin(), chunks.end()}};
+    config_response answer{next->version, {}, {chunks.begin(), chunks.end()}};
     answer.chunks.emplace_back("index", nlohmann::json(names(chunks)).dump());
-    slow.messages.post(received<config_answer>{"zg-9", 1, answer});
+    slow.messages.post(received<config_response>{"zg-9", 1, answer});
     const auto reads = chunks.size() + 1;
     ASSERT_TRUE(runUntil(m_loop, [&slow, reads] {
         return slow.kv.counters().reads > reads; // the next poll comes after the snapshot was dealt with
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -80,9 +80,10 @@
 TEST(Config, FindsTheMostSpecificRule)
 {
     const auto at = sample();
-    EXPECT_EQ(findAdapterRule(*at, "ana", "lib/sums")->best, priority::Urgent);
-    EXPECT_EQ(findAdapterRule(*at, "ana", "lib/lists")->best, priority::High) << "the better of two groups";
-    EXPECT_EQ(findAdapterRule(*at, "bo", "lib/lists")->best, priority::Low);
+    EXPECT_EQ(findAdapterRule(*at, "ana", "lib/sums")->bestPriority, priority::Urgent);
+    EXPECT_EQ(findAdapterRule(*at, "ana", "lib/lists")->bestPriority, priority::High)
+        << "the better of two groups";
+    EXPECT_EQ(findAdapterRule(*at, "bo", "lib/lists")->bestPriority, priority::Low);
     EXPECT_NE(findServiceRule(*at, "ana", "orders"), nullptr);
     EXPECT_EQ(findServiceRule(*at, "bo", "orders"), nullptr);
     EXPECT_EQ(*findCaller(*at, keyHash("b")), "bo");
@@ -173,7 +174,7 @@
     const auto next = applied(at, R"({"adapters":{"lib/sums":)" + adapterText(3) + "}}");
     std::size_t copied = 0;
     for (std::size_t i = 0; i < adapterShards; ++i) {
-        copied += next->adapters[i].shares(at->adapters[i]) ? 0 : 1;
+        copied += next->adapters[i].sharesEntriesWith(at->adapters[i]) ? 0 : 1;
     }
     EXPECT_EQ(copied, 1U);
     EXPECT_EQ(next->index, at->index);
--- a/tests/unit/key_journal_test.cpp
+++ b/tests/unit/key_journal_test.cpp
@@ -85,8 +85,8 @@
 TEST(KeyJournal, AHomeRunsOnlyWhatTheCallerCallsItsFirstAttempt)
 {
     key_journal journal;
-    EXPECT_EQ(beginKey(journal, begin(1, 2, "repeat"), {5'999}).state, key_state::CantKnow);
-    EXPECT_EQ(beginKey(journal, begin(2, 0, "unsaid"), {5'999}).state, key_state::CantKnow);
+    EXPECT_EQ(beginKey(journal, begin(1, 2, "repeat"), {5'999}).state, key_state::Undetermined);
+    EXPECT_EQ(beginKey(journal, begin(2, 0, "unsaid"), {5'999}).state, key_state::Undetermined);
     EXPECT_EQ(beginKey(journal, begin(3, 1, "first"), {5'999}).state, key_state::Fresh);
 }
 
@@ -95,8 +95,8 @@
     key_journal journal;
     beginKey(journal, begin(1), {5'000});
     finishKey(journal, finish(1, outcome::NotRun), {5'001});
-    EXPECT_EQ(beginKey(journal, begin(2, 1), {5'002}).state, key_state::CantKnow);
-    EXPECT_EQ(beginKey(journal, begin(3, 3), {5'003}).state, key_state::CantKnow);
+    EXPECT_EQ(beginKey(journal, begin(2, 1), {5'002}).state, key_state::Undetermined);
+    EXPECT_EQ(beginKey(journal, begin(3, 3), {5'003}).state, key_state::Undetermined);
     EXPECT_EQ(beginKey(journal, begin(4, 2), {5'004}).state, key_state::Fresh);
 }
 
@@ -112,7 +112,7 @@
 {
     key_journal journal;
     journal.bytes = maxJournalBytes;
-    EXPECT_EQ(beginKey(journal, begin(1), {5'000}).state, key_state::CantKnow);
+    EXPECT_EQ(beginKey(journal, begin(1), {5'000}).state, key_state::Undetermined);
     EXPECT_TRUE(journal.records.empty());
 }
 
--- a/tests/unit/metrics_test.cpp
+++ b/tests/unit/metrics_test.cpp
@@ -11,9 +11,9 @@
 {
     config at;
     at.version = 1;
-    at.callers.change()["ana"] = {};
-    at.callers.change()["dispatch \"east\""] = {};
-    at.targets.change()["plans"] = {"*", "plan-*", {500}, {4'000}, 0.99, 50};
+    at.callers.mutableEntries()["ana"] = {};
+    at.callers.mutableEntries()["dispatch \"east\""] = {};
+    at.targets.mutableEntries()["plans"] = {"*", "plan-*", {500}, {4'000}, 0.99, 50};
     return at;
 }
 
@@ -57,7 +57,7 @@
     metrics all;
     config at = twoCallers();
     for (std::size_t i = 0; i < 2 * maxMetricCallers; ++i) {
-        at.callers.change()["caller-" + std::to_string(i)] = {};
+        at.callers.mutableEntries()["caller-" + std::to_string(i)] = {};
     }
     for (std::size_t i = 0; i < 2 * maxMetricCallers; ++i) {
         request_record request = plan("caller-" + std::to_string(i));
@@ -83,8 +83,8 @@
     observe(all, plan("ana"), before, start);
     config after = before;
     after.version = 2;
-    after.targets.change().clear();
-    after.callers.change().erase("ana");
+    after.targets.mutableEntries().clear();
+    after.callers.mutableEntries().erase("ana");
     followConfig(all, after, start);
     observe(all, plan("ana"), before, start);
     EXPECT_TRUE(all.targets.empty());
--- a/tests/unit/quota_sim.cpp
+++ b/tests/unit/quota_sim.cpp
@@ -390,7 +390,7 @@
 
 double quota_sim::worstWindow() const
 {
-    const quota_rules &rules = m_options.rules;
+    const quota_tolerance &rules = m_options.rules;
     const quota_limit &limit = m_options.limit;
     const double inWindow = limit.rate * static_cast<double>(rules.window.count) / msPerSecond + limit.burst;
     const double allowed = inWindow * (1 + rules.overage) + rules.slack;
--- a/tests/unit/quota_sim.h
+++ b/tests/unit/quota_sim.h
@@ -24,7 +24,7 @@
 {
     int daemons = 12;
     quota_limit limit{10'000, 10'000};
-    quota_rules rules{millis{8'000}, 0.1, 17'000};
+    quota_tolerance rules{millis{8'000}, 0.1, 17'000};
     quota_way way = quota_way::PartsAndHome;
     quota_plan plan = usualQuotaPlan;
     double meanCost = 2'400;
@@ -90,8 +90,8 @@
         int to = 0;
         std::uint64_t incarnation = 0;
         bool isAsk = false;
-        quota_ask ask;
-        quota_answer answer;
+        quota_request ask;
+        quota_response answer;
     };
 
     struct holder
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -345,7 +345,7 @@
             return each.ask.shard == shardOf(ana);
         });
         ASSERT_NE(ask, asks.end());
-        const quota_answer answer{shardOf(ana), ask->ask.round, 500'000, {{ana, 100'000, toMilli(400), 0}}};
+        const quota_response answer{shardOf(ana), ask->ask.round, 500'000, {{ana, 100'000, toMilli(400), 0}}};
         const auto settled = takeAnswer(desk, answer, asked + answerLife + millis{late ? 1 : 0});
         EXPECT_EQ(settled.size(), late ? 0U : 1U);
         EXPECT_EQ(desk.shards[shardOf(ana)].contact.has_value(), !late);
@@ -357,8 +357,8 @@
 TEST(Quota, ALateMessageOfAnEndedProcessIsPassedOver)
 {
     quota_home home = homeOf({"a", "b"});
-    const auto askOf = [&home](std::uint64_t incarnation, std::uint64_t round, std::uint32_t heldPpm) {
-        const quota_ask ask{shardOf(ana), round, 0, 0, {{ana, 0, 0, heldPpm, 0, 0, 0}}};
+    const auto askOf = [&home](std::uint64_t incarnation, std::uint64_t round, std::uint32_t heldSharePpm) {
+        const quota_request ask{shardOf(ana), round, 0, 0, {{ana, 0, 0, heldSharePpm, 0, 0, 0}}};
         return answerAsk(
             home, usualQuotaPlan, {}, limitOfAna, {"a", incarnation, false}, ask, millis{101'000});
     };
@@ -377,7 +377,7 @@
     std::map<std::string, std::uint64_t> rounds;
     const auto hear = [&](const std::string &node, double need) {
         std::uint64_t &round = rounds[node];
-        const quota_ask ask{
+        const quota_request ask{
             shardOf(ana), round + 1, round, 500'000, {{ana, 0, 0, 0, toMilli(need), toMilli(need), 0}}};
         ++round;
         return answerAsk(home, usualQuotaPlan, {}, limitOfAna, {node, 1, true}, ask, now).has_value();
