--- a/packages/protocol/codec.cpp
+++ b/packages/protocol/codec.cpp
@@ -20,17 +20,18 @@
 namespace {
 
 constexpr unsigned bitsPerVarintByte = 7;
-constexpr unsigned varintMore = 0x80;
+constexpr unsigned varintContinuation = 0x80; ///< set in all but the last byte of a varint
 constexpr unsigned bitsPerByte = 8;
-/// More than the store holds for a deployment of the largest size known.
-constexpr std::uint32_t maxNewsBytes = 64 * 1024 * 1024;
+/// Limit on the decompressed size of a store_update, above the content of the store for the largest known
+/// deployment.
+constexpr std::uint32_t maxStoreUpdateBytes = 64 * 1024 * 1024;
 
-[[noreturn]] void refuse(const char *what)
+[[noreturn]] void reject(const char *reason)
 {
-    throw cereal::Exception(what);
+    throw cereal::Exception(reason);
 }
 
-// Small negative numbers become small positive ones, so that they take few bytes as well.
+// Maps small negative numbers to small positive ones, so that they take few bytes as well.
 std::uint64_t zigzag(std::int64_t value)
 {
     return (static_cast<std::uint64_t>(value) << 1) ^ static_cast<std::uint64_t>(value >> 63);
@@ -41,7 +42,7 @@
     return static_cast<std::int64_t>(value >> 1) ^ -static_cast<std::int64_t>(value & 1);
 }
 
-/// Writes to a string; integers as base-128 varints.
+/// Writes to a string, with integers as base-128 varints.
 class compact_writer : public cereal::OutputArchive<compact_writer, cereal::AllowEmptyClassElision>
 {
 public:
@@ -53,8 +54,8 @@
 
     void varint(std::uint64_t value)
     {
-        for (; value >= varintMore; value >>= bitsPerVarintByte) {
-            m_out.push_back(static_cast<char>(value | varintMore));
+        for (; value >= varintContinuation; value >>= bitsPerVarintByte) {
+            m_out.push_back(static_cast<char>(value | varintContinuation));
         }
         m_out.push_back(static_cast<char>(value));
     }
@@ -68,7 +69,7 @@
     std::string &m_out;
 };
 
-/// Reads what compact_writer wrote; throws cereal::Exception at the first byte that can't be right.
+/// Reads what compact_writer wrote. Throws cereal::Exception at the first invalid byte.
 class compact_reader : public cereal::InputArchive<compact_reader, cereal::AllowEmptyClassElision>
 {
 public:
@@ -78,7 +79,7 @@
     {
     }
 
-    std::size_t left() const
+    std::size_t remaining() const
     {
         return m_in.size();
     }
@@ -86,11 +87,11 @@
     std::string_view bytes(std::size_t size)
     {
         if (size > m_in.size()) {
-            refuse("it ends too early");
+            reject("it is truncated");
         }
-        const std::string_view taken = m_in.substr(0, size);
+        const std::string_view result = m_in.substr(0, size);
         m_in.remove_prefix(size);
-        return taken;
+        return result;
     }
 
     std::uint64_t varint()
@@ -99,23 +100,23 @@
         for (unsigned shift = 0; shift < std::numeric_limits<std::uint64_t>::digits;
              shift += bitsPerVarintByte) {
             const auto byte = static_cast<unsigned char>(bytes(1).front());
-            const std::uint64_t bits = byte & (varintMore - 1);
+            const std::uint64_t bits = byte & (varintContinuation - 1);
             if ((bits << shift) >> shift != bits) {
                 break;
             }
             value |= bits << shift;
-            if ((byte & varintMore) == 0) {
+            if ((byte & varintContinuation) == 0) {
                 return value;
             }
         }
-        refuse("a number is too large");
+        reject("a varint is longer than 64 bits");
     }
 
 private:
     std::string_view m_in;
 };
 
-// The functions below are found by cereal through the archives' namespace.
+// cereal finds the functions below by argument-dependent look-up through the archives' namespace.
 
 template <std::integral number>
 void save(compact_writer &archive, const number &value)
@@ -133,12 +134,12 @@
     const std::uint64_t raw = archive.varint();
     if constexpr (std::is_signed_v<number>) {
         if (!std::in_range<number>(unzigzag(raw))) {
-            refuse("a number is out of range");
+            reject("a number is out of range for its field");
         }
         value = static_cast<number>(unzigzag(raw));
     } else {
         if (raw > std::numeric_limits<number>::max()) {
-            refuse("a number is out of range");
+            reject("a number is out of range for its field");
         }
         value = static_cast<number>(raw);
     }
@@ -164,9 +165,9 @@
     value = std::bit_cast<double>(bits);
 }
 
-// The last enumerator of each enumeration on the wire, those of fleet_messages.h there. A value past it comes
-// from another release or from corruption; taken in, it would index tables of names past their end and match
-// no case of a switch.
+// The last enumerator of each enumeration that is sent; for those of fleet_messages.h see there. A larger
+// value comes from another release or from corruption. If it were accepted, it would index tables of names
+// past their end and match no case of a switch.
 constexpr priority lastOf(priority)
 {
     return priority::Low;
@@ -205,14 +206,15 @@
 {
     const std::uint64_t raw = archive.varint();
     if (raw > static_cast<std::underlying_type_t<enumeration>>(lastOf(enumeration{}))) {
-        refuse("a value is unknown");
+        reject("an enumerator is unknown");
     }
     value = static_cast<enumeration>(raw);
 }
 
-// A length that was corrupted, or made up, would have cereal's own loaders resize to gigabytes before
-// they miss the bytes. A text therefore never gets longer than what is left, and a list, whose elements
-// can be larger in memory than on the wire, is bounded as well and grows only as elements are read.
+// With a corrupted or forged length, cereal's own loaders would allocate gigabytes before they find that the
+// bytes are missing. Here a string cannot be longer than the remaining input. A list, whose elements can be
+// larger in memory than in encoded form, is limited to maxListElements as well and grows only as its elements
+// are read.
 void save(compact_writer &archive, const std::string &text)
 {
     archive.varint(text.size());
@@ -228,8 +230,8 @@
 void save(compact_writer &archive, const std::vector<element> &list)
 {
     archive.varint(list.size());
-    for (const element &each : list) {
-        archive(each);
+    for (const element &item : list) {
+        archive(item);
     }
 }
 
@@ -237,8 +239,8 @@
 void load(compact_reader &archive, std::vector<element> &list)
 {
     const std::uint64_t size = archive.varint();
-    if (size > archive.left() || size > maxListElements) {
-        refuse("a list is too long");
+    if (size > archive.remaining() || size > maxListElements) {
+        reject("a list is longer than the input or than the limit");
     }
     list.clear();
     for (std::uint64_t i = 0; i < size; ++i) {
@@ -257,7 +259,8 @@
 
 }
 
-// cereal would write an enumerator as its number and take any number back; ours check it.
+// By default cereal writes an enumerator as its number and reads any number back. These specializations make
+// it use the functions above, which check the number.
 namespace cereal {
 
 template <class enumeration>
@@ -281,7 +284,7 @@
 namespace {
 
 template <class message_type>
-std::string encodeAny(const message_type &message)
+std::string encodeMessage(const message_type &message)
 {
     std::string out;
     compact_writer archive(out);
@@ -290,40 +293,41 @@
 }
 
 template <class message_type>
-std::optional<message_type> decodeAny(std::string_view bytes, error &why)
+std::optional<message_type> decodeExactly(std::string_view bytes, error &why)
 {
     try {
         std::optional<message_type> message(std::in_place);
         compact_reader archive(bytes);
         archive(*message);
-        if (archive.left() == 0) {
+        if (archive.remaining() == 0) {
             return message;
         }
-        why = {error_kind::BadFrame, "peer message", "bytes are left over at its end"};
-    } catch (const std::exception &caught) {
-        why = {error_kind::BadFrame, "peer message", caught.what()};
+        why = {error_kind::BadFrame, "peer message", "there are extra bytes after its end"};
+    } catch (const std::exception &failure) {
+        why = {error_kind::BadFrame, "peer message", failure.what()};
     }
     return std::nullopt;
 }
 
-bool longName(const std::string &name)
+bool isInvalidName(const std::string &name)
 {
     return name.empty() || name.size() > maxNameBytes;
 }
 
+/// Whether the names and the numbers of facts and introductions are within the limits.
 bool withinLimits(const peer_datagram &datagram)
 {
     for (const peer_fact &fact : datagram.facts) {
-        if (longName(fact.name)) {
+        if (isInvalidName(fact.name)) {
             return false;
         }
     }
     for (const peer_introduction &introduction : datagram.introductions) {
-        if (longName(introduction.name) || introduction.failureDomain.size() > maxNameBytes) {
+        if (isInvalidName(introduction.name) || introduction.failureDomain.size() > maxNameBytes) {
             return false;
         }
     }
-    return !longName(datagram.from) && datagram.facts.size() <= maxFactsPerDatagram
+    return !isInvalidName(datagram.from) && datagram.facts.size() <= maxFactsPerDatagram
         && datagram.introductions.size() <= maxIntroductionsPerDatagram;
 }
 
@@ -331,22 +335,22 @@
 
 std::string encode(const peer_message &message)
 {
-    return encodeAny(message);
+    return encodeMessage(message);
 }
 
 std::string encode(const peer_datagram &datagram)
 {
-    return encodeAny(datagram);
+    return encodeMessage(datagram);
 }
 
 std::string encode(const fleet_datagram &datagram)
 {
-    return encodeAny(datagram);
+    return encodeMessage(datagram);
 }
 
-std::string encode(const store_update &news)
+std::string encode(const store_update &update)
 {
-    const std::string plain = encodeAny(news);
+    const std::string plain = encodeMessage(update);
     uLongf size = compressBound(plain.size());
     std::string packed(sizeof(std::uint32_t) + size, '\0');
     const auto length = static_cast<std::uint32_t>(plain.size());
@@ -359,82 +363,83 @@
 
 std::string encode(const daemon_record &record)
 {
-    return encodeAny(record);
+    return encodeMessage(record);
 }
 
 std::string encode(const ownership_record &record)
 {
-    return encodeAny(record);
+    return encodeMessage(record);
 }
 
 std::string encode(const quota_home_record &record)
 {
-    return encodeAny(record);
+    return encodeMessage(record);
 }
 
 std::string encode(const crash_record &record)
 {
-    return encodeAny(record);
+    return encodeMessage(record);
 }
 
 std::optional<fleet_datagram> decodeFleetDatagram(std::string_view bytes, error &why)
 {
-    return decodeAny<fleet_datagram>(bytes, why);
+    return decodeExactly<fleet_datagram>(bytes, why);
 }
 
 std::optional<store_update> decodeStoreUpdate(std::string_view bytes, error &why)
 {
     std::uint32_t length = 0;
     if (bytes.size() < sizeof(length)) {
-        why = {error_kind::BadFrame, "store news", "it ends too early"};
+        why = {error_kind::BadFrame, "store update", "it is truncated"};
         return std::nullopt;
     }
     std::memcpy(&length, bytes.data(), sizeof(length));
-    if (length > maxNewsBytes) {
-        why = {error_kind::BadFrame, "store news", "it is too long"};
+    if (length > maxStoreUpdateBytes) {
+        why = {error_kind::BadFrame, "store update", "its decompressed size exceeds the limit"};
         return std::nullopt;
     }
     std::string plain(length, '\0');
     uLongf size = length;
-    const int failed = uncompress(reinterpret_cast<Bytef *>(plain.data()), &size,
+    const int status = uncompress(reinterpret_cast<Bytef *>(plain.data()), &size,
         reinterpret_cast<const Bytef *>(bytes.data() + sizeof(length)), bytes.size() - sizeof(length));
-    if (failed != Z_OK || size != length) {
-        why = {error_kind::BadFrame, "store news", "it does not unpack"};
+    if (status != Z_OK || size != length) {
+        why = {error_kind::BadFrame, "store update", "it cannot be decompressed"};
         return std::nullopt;
     }
-    return decodeAny<store_update>(plain, why);
+    return decodeExactly<store_update>(plain, why);
 }
 
 std::optional<daemon_record> decodeDaemonRecord(std::string_view bytes, error &why)
 {
-    return decodeAny<daemon_record>(bytes, why);
+    return decodeExactly<daemon_record>(bytes, why);
 }
 
 std::optional<ownership_record> decodeOwnershipRecord(std::string_view bytes, error &why)
 {
-    return decodeAny<ownership_record>(bytes, why);
+    return decodeExactly<ownership_record>(bytes, why);
 }
 
 std::optional<quota_home_record> decodeQuotaHomeRecord(std::string_view bytes, error &why)
 {
-    return decodeAny<quota_home_record>(bytes, why);
+    return decodeExactly<quota_home_record>(bytes, why);
 }
 
 std::optional<crash_record> decodeCrashRecord(std::string_view bytes, error &why)
 {
-    return decodeAny<crash_record>(bytes, why);
+    return decodeExactly<crash_record>(bytes, why);
 }
 
 std::optional<peer_message> decodePeerMessage(std::string_view bytes, error &why)
 {
-    return decodeAny<peer_message>(bytes, why);
+    return decodeExactly<peer_message>(bytes, why);
 }
 
 std::optional<peer_datagram> decodePeerDatagram(std::string_view bytes, error &why)
 {
-    auto datagram = decodeAny<peer_datagram>(bytes, why);
+    auto datagram = decodeExactly<peer_datagram>(bytes, why);
     if (datagram && !withinLimits(*datagram)) {
-        why = {error_kind::BadFrame, "peer datagram", "a name is missing or too long, or it holds too much"};
+        why = {error_kind::BadFrame, "peer datagram",
+            "a name is empty or too long, or there are too many facts or introductions"};
         return std::nullopt;
     }
     return datagram;
--- a/packages/protocol/codec.h
+++ b/packages/protocol/codec.h
@@ -11,23 +11,27 @@
 
 namespace briarhead {
 
-/// More elements than any message needs; a longer list is a corrupt one.
+/// Limit on the length of a list in a message, above what any valid message needs. A longer list is an error.
 constexpr std::size_t maxListElements = 65'536;
 
-/// The bytes of a message, by cereal over an archive of our own that writes integers with as few bytes
-/// as they need, so that a datagram with its facts stays small.
+// Each encode() serializes a message with cereal, using an archive that writes integers as varints to keep
+// datagrams small.
+
 std::string encode(const peer_message &message);
 std::string encode(const peer_datagram &datagram);
 std::string encode(const fleet_datagram &datagram);
-/// Deflated, unlike the others.
+/// Compressed with zlib, unlike the others.
 std::string encode(const store_update &news);
 std::string encode(const daemon_record &record);
 std::string encode(const ownership_record &record);
 std::string encode(const quota_home_record &record);
 std::string encode(const crash_record &record);
 
-/// The message, or nothing with `why` of kind BadFrame. Never throws, and never takes more memory than
-/// a small multiple of the input, whatever lengths the input claims. Bytes left over are an error.
+// Each decode function returns the message, or nothing with `why` of kind BadFrame if the bytes are not
+// exactly one valid message. They never throw. Except for decodeStoreUpdate(), which allocates the
+// decompressed size that the input claims up to 64 MiB, they never allocate more than a small multiple of the
+// input's size, whatever lengths the input claims.
+
 std::optional<peer_message> decodePeerMessage(std::string_view bytes, error &why);
 std::optional<peer_datagram> decodePeerDatagram(std::string_view bytes, error &why);
 std::optional<fleet_datagram> decodeFleetDatagram(std::string_view bytes, error &why);
--- a/packages/protocol/crash_messages.h
+++ b/packages/protocol/crash_messages.h
@@ -4,16 +4,17 @@
 #include <string>
 #include <vector>
 
-// What daemons tell each other, and keep in the platform's store, of requests that end backend servers.
+// Messages between daemons, and records in the platform's store, about requests that crash backend servers.
 namespace briarhead {
 
-/// Starts of servers that ended under one request: from whoever saw it to the daemons that count for that
-/// request, and from these to all. Without any: a server has run it to an end after all.
+/// The incarnations of servers that crashed while they ran a request. Sent by the daemon that observed a
+/// crash to the daemons that count the crashes of that request, and by these to all daemons. An empty list
+/// means that a server has completed the request, so it is no longer blocked.
 struct crash_report
 {
     std::string fingerprint; ///< see request_fingerprint.h
-    std::vector<std::string> servers;
-    std::uint32_t probeCount = 0; ///< tries of it since it goes to no server
+    std::vector<std::string> servers; ///< incarnations
+    std::uint32_t probeCount = 0; ///< probe requests sent since it was blocked
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -22,11 +23,12 @@
     }
 };
 
-/// Kept in the platform's store, by fingerprint: the starts of servers that ended under a request.
+/// A record in the platform's store, by fingerprint: the incarnations of servers that crashed while they ran
+/// the request.
 struct crash_record
 {
-    std::vector<std::string> servers;
-    std::uint32_t probeCount = 0;
+    std::vector<std::string> servers; ///< incarnations; empty: no longer blocked
+    std::uint32_t probeCount = 0; ///< as in crash_report
 
     template <class Archive>
     void serialize(Archive &archive)
--- a/packages/protocol/fleet_messages.h
+++ b/packages/protocol/fleet_messages.h
@@ -10,26 +10,28 @@
 #include <variant>
 #include <vector>
 
-// Datagrams between the daemons that share backend servers by direct dispatch: the entry sends the request
-// itself, and asks the daemon that gives the server's orders for a place first. Times are spans that remain.
+// Datagrams between the daemons of a fleet with direct dispatch: an entry sends a request to a backend server
+// itself, after it has been granted a slot by the server's owner, the one daemon that schedules the server
+// and sends its load and unload orders. Times are remaining durations, since the daemons' clocks differ.
 namespace briarhead {
 
-/// Entry -> orderer: may this request be sent to that server? Repeated until answered.
+/// Entry -> owner: asks for a slot, the permission to send a request to a server. Repeated until there is a
+/// response.
 struct slot_request
 {
-    std::string id; ///< of the caller's attempt
+    std::string id; ///< of the attempt at the caller's request
     std::string server;
     std::string model;
-    std::string adapter; ///< empty: the base model alone
+    std::string adapter; ///< empty: the base model without an adapter
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
-    std::int32_t rank = 0; ///< 0 is the most urgent
-    std::int64_t waitMs = 0; ///< how long it may wait for its place
-    std::int64_t deadlineMs = 0; ///< left until its caller gives up
-    std::int64_t targetMs = 0; ///< left until its first event is late; negative: it is late already
-    std::int64_t limitMilli =
-        -1; ///< requests a second, in thousandths, that the server names; -1: none known
-    std::int64_t limitAgeMs = 0; ///< since the entry heard of it
+    std::int32_t rank = 0; ///< priority; 0 is the most urgent
+    std::int64_t waitMs = 0; ///< maximum wait for the slot
+    std::int64_t deadlineMs = 0; ///< until the caller's deadline
+    std::int64_t targetMs = 0; ///< until the first token is due; negative: overdue
+    /// The rate limit that the server announced, in thousandths of a request per second; -1: none known.
+    std::int64_t limitMilli = -1;
+    std::int64_t limitAgeMs = 0; ///< since the entry received the announcement
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -39,30 +41,32 @@
     }
 };
 
+/// The owner's decision on a slot_request.
 enum class slot_decision : std::uint8_t
 {
-    Queued, ///< heard; the grant or a refusal follows
+    Queued, ///< another slot_response, granted or refused, follows
     Granted,
     Refused,
 };
 
-/// The codec takes no value beyond.
+/// The last enumerator; the codec rejects larger values. So too for the enums below.
 constexpr slot_decision lastOf(slot_decision)
 {
     return slot_decision::Refused;
 }
 
+/// Why a slot_request was refused.
 enum class refusal : std::uint8_t
 {
     None,
-    TooBusy, ///< its wait would be over before its turn
-    NoSlot, ///< every place for adapters is in use
-    NotOwner, ///< that daemon does not give this server's orders
-    ServerLeaving,
-    ModelNotLoaded, ///< the base model isn't there
-    LoadTooSlow, ///< its adapter would be there too late: too many are on their way from the weight store
-    Limited, ///< its turn within the limit that the server names would come too late
-    Paused, ///< the server wants nothing from the entry for a while
+    TooBusy, ///< its wait would exceed the request's waitMs
+    NoSlot, ///< all adapter slots of the server are in use
+    NotOwner, ///< the receiver does not own the server
+    ServerLeaving, ///< the server announced that it will shut down
+    ModelNotLoaded, ///< the server does not have the base model
+    LoadTooSlow, ///< its adapter would be loaded too late, behind other loads from the weight store
+    Limited, ///< the rate limit that the server announced would delay it beyond waitMs
+    Paused, ///< the server asked this entry to pause, see server_notice::pauseMs
 };
 
 constexpr refusal lastOf(refusal)
@@ -70,18 +74,19 @@
     return refusal::Paused;
 }
 
+/// The name used in logs.
 std::string_view nameOf(refusal value);
 
-/// Orderer -> entry.
+/// Owner -> entry.
 struct slot_response
 {
     std::string id;
     std::string server;
     slot_decision decision = slot_decision::Queued;
     refusal why = refusal::None;
-    std::int64_t adapterVersion = 0; ///< the version that is resident; 0: not known
-    std::int64_t retryAfterMs = 0; ///< of a refusal
-    /// Of the server, as in slot_request. Says nothing where `why` is NotOrderer or ServerLeaving.
+    std::int64_t adapterVersion = 0; ///< the version of the adapter that is loaded; 0: unknown
+    std::int64_t retryAfterMs = 0; ///< with a refusal: when another request may be granted
+    /// The server's rate limit, as in slot_request. Not set if `why` is NotOwner or ServerLeaving.
     std::int64_t limitMilli = -1;
 
     template <class Archive>
@@ -91,13 +96,14 @@
     }
 };
 
+/// What happened to a request that was granted a slot.
 enum class slot_event : std::uint8_t
 {
-    FirstToken, ///< the prompt has been read
+    FirstToken, ///< its prefill is complete
     Ended, ///< the server no longer works on it
-    AdapterNotLoaded, ///< the server says that the adapter isn't there
-    Failed, ///< ended without an answer that counts
-    NotSent, ///< never reached the server
+    AdapterNotLoaded, ///< the server reported that it does not have the adapter
+    Failed, ///< ended without a usable response
+    NotSent, ///< it never reached the server
 };
 
 constexpr slot_event lastOf(slot_event)
@@ -105,7 +111,8 @@
     return slot_event::NotSent;
 }
 
-/// Entry -> orderer: what became of a grant. May be lost; a grant also ends by its deadline.
+/// Entry -> owner: reports an event of a request that was granted a slot. May be lost, so the slot is also
+/// released when the request's deadline expires.
 struct slot_report
 {
     std::string id;
@@ -119,13 +126,13 @@
     }
 };
 
-/// Entry -> orderer: what the answer to a granted request says of its server's limit. Sent only where a limit
-/// is named, or was.
+/// Entry -> owner: the rate limit that the server announced with the response to a granted request. Sent only
+/// if the response announces a limit, or an earlier one did.
 struct limit_report
 {
     std::string id;
     std::string server;
-    std::int64_t limitMilli = -1; ///< as in slot_request; -1: named no more
+    std::int64_t limitMilli = -1; ///< as in slot_request; -1: no longer announced
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -134,15 +141,16 @@
     }
 };
 
-/// What a server said of itself in an answer to the sender. To the daemon that holds the server's record, so
-/// that it grants nothing that can't be used; and, that it leaves, to all.
+/// What a server announced about itself in a response to the sender. Sent to the server's owner, so that it
+/// grants no slot that cannot be used; the notice that a server will shut down also goes to all other
+/// daemons.
 struct server_notice
 {
     std::string server;
-    std::string incarnation; ///< of the server; it is another one after each restart
-    bool leaving = false;
-    std::int64_t pauseMs = 0; ///< for which it wants nothing from the sender; 0: not said
-    bool relay = false; ///< to be passed on to all daemons
+    std::string incarnation; ///< of the server; changes with each restart
+    bool leaving = false; ///< the server will shut down
+    std::int64_t pauseMs = 0; ///< for how long the sender must send it no requests; 0: no pause announced
+    bool relay = false; ///< whether the receiver must forward it to all daemons
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -151,7 +159,8 @@
     }
 };
 
-/// Entry -> a server's new orderer: a request that the one before let in, and that still runs there.
+/// Entry -> the new owner of a server: a request that was granted a slot by the previous owner and still runs
+/// there.
 struct running_request
 {
     std::string id;
@@ -160,8 +169,8 @@
     std::string adapter;
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
-    bool reading = false; ///< its first token has not come
-    std::int64_t deadlineMs = 0; ///< left until its caller gives up
+    bool reading = false; ///< in prefill: there was no token yet
+    std::int64_t deadlineMs = 0; ///< until the caller's deadline
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -170,13 +179,13 @@
     }
 };
 
-/// One adapter that a server holds or will soon. A hash stands for its name, a fifth of the bytes; two that
-/// share one are told apart by the orderer.
+/// One adapter that a server has loaded or is loading. It is identified by a hash, which takes a fifth of the
+/// bytes of its name; adapters with the same hash are told apart by the owner, which knows the names.
 struct heartbeat_adapter
 {
-    std::uint32_t name = 0; ///< hash of MODEL/ADAPTER, see adapterHash
+    std::uint32_t name = 0; ///< hash of "MODEL/ADAPTER", see adapterHash()
     bool loading = false;
-    std::uint32_t recentUses = 0; ///< of late there, see heatHalfLife
+    std::uint32_t recentUses = 0; ///< on this server, decayed by heatHalfLife
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -185,18 +194,19 @@
     }
 };
 
-/// A server as its orderer knows it.
+/// The state of a server as known to its owner.
 struct server_heartbeat
 {
     std::string server;
-    std::uint64_t fence = 0;
-    bool modelLoaded = false; ///< the base model is there
+    std::uint64_t fence = 0; ///< fencing token of the owner
+    bool modelLoaded = false; ///< whether the server has a base model
     std::vector<heartbeat_adapter> adapters;
-    std::uint32_t availableSlots = 0; ///< free, or held by an adapter that nothing uses
-    std::int64_t backlogTokens = 0; ///< prompt tokens granted or queued and not yet read
-    std::int64_t prefillTokensPerSecond = 0; ///< of prompts, as measured
-    std::uint32_t running = 0;
-    std::uint32_t longAnswers = 0; ///< of those, answers that take seconds to write
+    std::uint32_t availableSlots = 0; ///< adapter slots that are free or whose adapter is not in use
+    std::int64_t backlogTokens =
+        0; ///< prompt tokens of granted or queued requests whose prefill is not complete
+    std::int64_t prefillTokensPerSecond = 0; ///< measured
+    std::uint32_t running = 0; ///< requests
+    std::uint32_t longAnswers = 0; ///< of those, the ones whose generation takes seconds
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -206,12 +216,12 @@
     }
 };
 
-/// A server's limit, as its orderer keeps it.
+/// The rate limit of a server, as applied by its owner.
 struct limit_heartbeat
 {
     std::string server;
-    std::int64_t limitMilli = -1; ///< -1: named no more, since a moment ago
-    std::int64_t waitMs = 0; ///< until a further request has its turn
+    std::int64_t limitMilli = -1; ///< as in slot_request; -1: until recently announced, but no longer
+    std::int64_t waitMs = 0; ///< until the limit permits another request
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -220,16 +230,18 @@
     }
 };
 
-/// A daemon -> the others that hear of its servers, a few times a second.
+/// Daemon -> the other daemons of its heartbeat groups, several times per second: the state of the servers
+/// that it owns.
 struct fleet_heartbeat
 {
-    bool relay = false; ///< to be passed on to all daemons of the receiver's failure domain
-    std::vector<server_heartbeat> servers; ///< those it gives orders to
-    std::int64_t ownershipLeftMs =
-        0; ///< it gives no order later than this from now unless its lease is renewed
-    std::int64_t maxFullSpeedLoads =
-        0; ///< adapters the weight store delivers at full speed, as learned; 0: not lately
-    std::vector<limit_heartbeat> limits; ///< of those servers
+    bool relay = false; ///< whether the receiver must forward it to all daemons of its failure domain
+    std::vector<server_heartbeat> servers;
+    /// Until the sender's lease expires unless renewed. It sends no orders to its servers after that.
+    std::int64_t ownershipLeftMs = 0;
+    /// Concurrent adapter loads that the weight store serves at full speed, as estimated by the sender; 0: it
+    /// has no recent estimate.
+    std::int64_t maxFullSpeedLoads = 0;
+    std::vector<limit_heartbeat> limits; ///< of those servers that announce one, or did until recently
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -238,12 +250,12 @@
     }
 };
 
-/// One item of the platform's store, as a watch tells of it.
+/// An item of the platform's store, as reported by a watch.
 struct store_item
 {
     std::string key;
     std::string value;
-    std::int64_t revision = 0;
+    std::int64_t revision = 0; ///< of the store, at which the item changed
     bool removed = false;
 
     template <class Archive>
@@ -253,14 +265,14 @@
     }
 };
 
-/// Reader -> the other daemons of its failure domain: what changed in the store between two revisions. Also
-/// sent when nothing did, as a sign that the reader reaches the store.
+/// Reader -> the other daemons of its failure domain: the changes in the store between two revisions. Also
+/// sent when there are none, to show that the reader is connected to the store.
 struct store_update
 {
-    std::int64_t from = 0;
-    std::int64_t to = 0;
-    bool fetch = false; ///< too much for a datagram: to be fetched from the reader
-    bool isSnapshot = false; ///< in an answer to a fetch: all items there are, not just changes
+    std::int64_t from = 0; ///< revision
+    std::int64_t to = 0; ///< revision
+    bool fetch = false; ///< too large for a datagram: the receiver must fetch the changes from the reader
+    bool isSnapshot = false; ///< in the response to a fetch: `items` has all items, not just changes
     std::vector<store_item> items;
 
     template <class Archive>
@@ -270,11 +282,11 @@
     }
 };
 
-/// store_update in packed form: an operator's configuration is some tens of kilobytes of text, and a reader
-/// sends it to its whole failure domain over a link of 10 Mbit/s.
+/// A compressed store_update. An operators' configuration is tens of kilobytes of text, which a reader sends
+/// to all daemons of its failure domain over a link of 10 Mbit/s.
 struct compressed_update
 {
-    std::string bytes;
+    std::string bytes; ///< encode(store_update)
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -283,10 +295,11 @@
     }
 };
 
+/// Any of the datagrams above, with its sender.
 struct fleet_datagram
 {
     std::string from; ///< the sender's node name
-    std::uint64_t incarnation = 0;
+    std::uint64_t incarnation = 0; ///< of the sender
     std::variant<slot_request, slot_response, slot_report, running_request, fleet_heartbeat, store_update,
         compressed_update, crash_report, quota_request, quota_response, quota_release, limit_report,
         server_notice>
@@ -299,12 +312,12 @@
     }
 };
 
-/// Kept in the platform's store: a daemon that lives, under its lease.
+/// A record in the platform's store: a live daemon. Removed when the daemon's lease expires.
 struct daemon_record
 {
     std::string node;
     std::string ip;
-    std::uint16_t port = 0; ///< for datagrams
+    std::uint16_t port = 0; ///< of its datagram socket
     std::string failureDomain;
     std::uint64_t incarnation = 0;
 
@@ -317,12 +330,12 @@
 
 using daemon_map = std::map<std::string, daemon_record>; ///< by node
 
-/// Kept in the platform's store: who gives a server's orders. The fencing token is the record's revision.
+/// A record in the platform's store: the owner of a server. The fencing token is the record's revision.
 struct ownership_record
 {
-    std::string node; ///< empty: given up, to be taken by whoever is proposed
+    std::string node; ///< empty: released, to be claimed by the daemon proposed as the next owner
     std::uint64_t incarnation = 0;
-    std::int64_t lease = 0; ///< the record goes with it
+    std::int64_t lease = 0; ///< of the owner; the record is removed when it expires
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -331,11 +344,12 @@
     }
 };
 
-/// Kept in the platform's store: the home of a shard of client accounts. Its term is the record's revision.
+/// A record in the platform's store: the home of a shard of client accounts. Its term is the record's
+/// revision.
 struct quota_home_record
 {
     ownership_record ownership;
-    bool predecessorExpired = false; ///< whoever was the home before gives nothing any more
+    bool predecessorExpired = false; ///< the previous home's grants have expired
 
     template <class Archive>
     void serialize(Archive &archive)
--- a/packages/protocol/messages.cpp
+++ b/packages/protocol/messages.cpp
@@ -19,9 +19,9 @@
 constexpr std::array<std::string_view, 5> probeKindNames{"ping", "ping_request", "ack", "notice", "join"};
 static_assert(probeKindNames.size() == static_cast<std::size_t>(probe_kind::Join) + 1);
 
-/// Values come off the wire, so they may lie beyond the table.
+/// "invalid" for a value that is not an enumerator.
 template <class kind, std::size_t size>
-std::string_view lookUp(const std::array<std::string_view, size> &names, kind value)
+std::string_view nameIn(const std::array<std::string_view, size> &names, kind value)
 {
     const auto index = static_cast<std::size_t>(value);
     return index < size ? names[index] : "invalid";
@@ -39,17 +39,17 @@
 
 std::string_view nameOf(key_state value)
 {
-    return lookUp(keyStateNames, value);
+    return nameIn(keyStateNames, value);
 }
 
 std::string_view nameOf(peer_state value)
 {
-    return lookUp(peerStateNames, value);
+    return nameIn(peerStateNames, value);
 }
 
 std::string_view nameOf(probe_kind value)
 {
-    return lookUp(probeKindNames, value);
+    return nameIn(probeKindNames, value);
 }
 
 }
--- a/packages/protocol/messages.h
+++ b/packages/protocol/messages.h
@@ -11,12 +11,12 @@
 #include <variant>
 #include <vector>
 
-// Messages between daemons. Each is a plain struct with a cereal function; frames and datagrams carry
-// one `peer_message` or `peer_datagram`. Times are sent as spans that remain, never as points in time,
-// since two instances' clocks don't agree.
+// Messages between daemons. Each is a plain struct with a cereal function; a frame carries one
+// `peer_message`, a datagram one `peer_datagram`. Times are sent as remaining durations, not as points in
+// time, since the clocks of two instances differ.
 namespace briarhead {
 
-/// Entry -> owner: run this request on this server.
+/// Entry -> owner: requests to run a caller's request on a server.
 struct run_request
 {
     request_id id;
@@ -25,14 +25,15 @@
     std::uint64_t configVersion = 0;
     std::string caller;
     priority rank = priority::Normal;
-    std::int64_t deadlineMs = 0; ///< left
+    std::int64_t deadlineMs = 0; ///< until the caller's deadline
     bool idempotent = true;
-    bool mayLoad = true; ///< the owner may load the adapter for it
-    std::uint64_t prefix = 0; ///< hash of the prompt's head, for prefix affinity
+    bool mayLoad = true; ///< whether the owner may load the adapter for it
+    std::uint64_t prefix = 0; ///< hash of the start of the prompt, for prefix affinity
     std::string path;
     std::string body;
-    std::string fingerprint; ///< of what its caller sent, see request_fingerprint.h
-    bool isProbe = false; ///< runs though servers ended under it, to find out whether they still do
+    std::string fingerprint; ///< of the caller's request, see request_fingerprint.h
+    bool isProbe = false; ///< a probe: servers crashed while they ran it, and it is run to find out whether
+                          ///< they still do
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -42,13 +43,13 @@
     }
 };
 
-/// Owner -> entry: the engine began, on this adapter and version.
+/// Owner -> entry: the engine has started the request, with this adapter and version.
 struct run_started
 {
     request_id id;
     std::string adapter;
-    std::int64_t stallMs = 0; ///< time the request waited for the adapter to be loaded
-    std::int64_t queuedMs = 0; ///< time it waited otherwise, before the engine took it
+    std::int64_t stallMs = 0; ///< time that the request waited for the adapter to be loaded
+    std::int64_t queuedMs = 0; ///< other time that it waited before the engine started it
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -57,7 +58,7 @@
     }
 };
 
-/// Owner -> entry: bytes of the engine's stream (server-sent events text).
+/// Owner -> entry: bytes of the engine's response stream (server-sent events).
 struct run_bytes
 {
     request_id id;
@@ -70,7 +71,8 @@
     }
 };
 
-/// What an owner says of one server; rides on answers so that entries learn without extra messages.
+/// The load of a server as known to its owner. Sent along with responses, so that entries learn it without
+/// extra messages.
 struct server_hint
 {
     std::string server;
@@ -78,7 +80,7 @@
     std::uint32_t waiting = 0;
     std::uint32_t batchLimit = 0;
     std::uint32_t freeSlots = 0;
-    bool closed = false; ///< takes no new work now: leaving, drained, starting or changing hands
+    bool closed = false; ///< accepts no requests now: leaving, drained, starting or changing owner
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -87,17 +89,18 @@
     }
 };
 
-/// Owner -> entry: the request ended. `owner` names the owner to ask instead when why is NotOwner.
+/// Owner -> entry: the request ended.
 struct run_end
 {
     request_id id;
     outcome result = outcome::NotRun;
     error_kind why = error_kind::None;
     std::string detail;
-    std::int64_t retryAfterMs = 0;
-    std::string owner;
+    std::int64_t retryAfterMs = 0; ///< when a retry may succeed; 0: unknown
+    std::string owner; ///< if `why` is NotOwner, the owner to send the request to instead
     server_hint hint;
-    std::vector<std::string> replicas; ///< servers entries should spread this adapter over
+    std::vector<std::string>
+        replicas; ///< the servers over which entries should spread requests for this adapter
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -106,7 +109,7 @@
     }
 };
 
-/// Entry -> owner: the caller is gone or the deadline has passed.
+/// Entry -> owner: cancels a request because its caller disconnected or its deadline expired.
 struct run_cancel
 {
     request_id id;
@@ -118,13 +121,13 @@
     }
 };
 
-/// Entry -> home of an idempotency key: may this attempt run?
+/// Entry -> home of an idempotency key: asks whether an attempt may run.
 struct key_begin
 {
     request_id id;
-    std::string key; ///< caller and key
-    std::uint32_t attempt = 0; ///< as the caller says; 0: not said
-    std::int64_t retentionMs = 0;
+    std::string key; ///< the caller's name and its idempotency key
+    std::uint32_t attempt = 0; ///< number of the attempt as given by the caller; 0: not given
+    std::int64_t retentionMs = 0; ///< how long to keep the key's record
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -133,26 +136,27 @@
     }
 };
 
-/// What a home says of a key.
+/// The state of an idempotency key at its home.
 enum class key_state : std::uint8_t
 {
-    Fresh, ///< no attempt ran; this one is now recorded as started
-    Started, ///< another attempt may be running or may have run: outcome unknown
-    Finished, ///< done; the kept answer rides along
-    Undetermined, ///< this home is too new to know: outcome unknown
-    NotHome, ///< by this daemon's view another daemon is the home
+    Fresh, ///< no attempt has run; this one is now recorded as started
+    Started, ///< an attempt may be running or may have run: its outcome is unknown
+    Finished, ///< an attempt is done; its response is included
+    Undetermined, ///< the home has no record from which to tell, or no room for one: the outcome is unknown
+    NotHome, ///< from this daemon's view of the members another daemon is the home
 };
 
+/// The name used in logs.
 std::string_view nameOf(key_state value);
 
-/// Home -> entry.
+/// Home -> entry: the response to key_begin.
 struct key_response
 {
     request_id id;
     key_state state = key_state::Undetermined;
-    int status = 0;
+    int status = 0; ///< HTTP status of the stored response, if Finished; so too the next two
     std::string contentType;
-    std::string answer;
+    std::string answer; ///< body
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -161,7 +165,8 @@
     }
 };
 
-/// Entry -> home: how the attempt ended. NotRun frees the key again.
+/// Entry -> home: how an attempt ended. After NotRun the next attempt may run; after Done the response is
+/// stored.
 struct key_finish
 {
     request_id id;
@@ -178,10 +183,10 @@
     }
 };
 
-/// Asks a peer for the configuration after a version.
+/// Requests the changes to the configuration since a version from a peer.
 struct config_request
 {
-    std::uint64_t have = 0;
+    std::uint64_t have = 0; ///< the sender's version
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -190,12 +195,14 @@
     }
 };
 
-/// The answer: the patches after `have`, or the whole when the peer no longer holds those patches.
+/// The response to config_request: the patches after `have`, or the complete configuration if the peer no
+/// longer has those patches.
 struct config_response
 {
     std::uint64_t version = 0;
-    std::vector<std::string> patches; ///< JSON, in order, first is have + 1
-    std::vector<std::pair<std::string, std::string>> chunks; ///< name -> text of the whole at `version`
+    std::vector<std::string> patches; ///< JSON, in order, the first one to version have + 1
+    std::vector<std::pair<std::string, std::string>>
+        chunks; ///< name -> text, of the complete configuration at `version`
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -204,13 +211,14 @@
     }
 };
 
-/// Owner -> broker of the store's budget: may I load? Sent again every second while waiting.
+/// Owner -> broker of the weight store's load budget: requests permission to load an adapter. Repeated every
+/// second while waiting.
 struct load_request
 {
     std::uint64_t ticket = 0;
     std::string server;
     adapter_ref adapter;
-    double urgency = 0; ///< higher goes first, see coordination/load_order.h
+    double urgency = 0; ///< the highest is granted first, see coordination/load_order.h
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -219,7 +227,7 @@
     }
 };
 
-/// Broker -> owner: go.
+/// Broker -> owner: permission to start the load.
 struct load_grant
 {
     std::uint64_t ticket = 0;
@@ -231,7 +239,7 @@
     }
 };
 
-/// Owner -> broker: the load ended, or is no longer wanted.
+/// Owner -> broker: the load ended or is no longer needed.
 struct load_release
 {
     std::uint64_t ticket = 0;
@@ -243,11 +251,11 @@
     }
 };
 
-/// Any daemon -> any daemon, for the operator's command: a status page of one part, as JSON.
+/// Any daemon -> any daemon: requests a status report for an operator's command.
 struct status_request
 {
-    std::uint64_t id = 0;
-    std::string part;
+    std::uint64_t id = 0; ///< returned with the response
+    std::string part; ///< which report
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -256,6 +264,7 @@
     }
 };
 
+/// The response to status_request.
 struct status_response
 {
     std::uint64_t id = 0;
@@ -268,11 +277,11 @@
     }
 };
 
-/// Any daemon -> the owner: an operator wants this server drained (or no longer).
+/// Any daemon -> owner: an operator's command to drain a server, or to stop draining it.
 struct drain_request
 {
     std::string server;
-    bool drain = true;
+    bool drain = true; ///< false: stop draining
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -281,7 +290,8 @@
     }
 };
 
-/// Old owner -> the daemon proposed for a server: the record was released, read it again.
+/// Previous owner -> the daemon proposed as the next owner of a server: the ownership record was released and
+/// should be read again.
 struct owner_released
 {
     std::string server;
@@ -293,12 +303,13 @@
     }
 };
 
-/// Everything that goes over a TCP link between two daemons.
+/// Any message that is sent over a TCP connection between two daemons.
 using peer_message = std::variant<run_request, run_started, run_bytes, run_end, run_cancel, key_begin,
     key_response, key_finish, config_request, config_response, load_request, load_grant, load_release,
     status_request, status_response, drain_request, owner_released, crash_report>;
 
-/// How a peer is seen. Order matters: with equal incarnations the higher state wins.
+/// The membership state of a peer. The order matters: of two facts with the same incarnation and refutation
+/// the higher state prevails.
 enum class peer_state : std::uint8_t
 {
     Alive,
@@ -307,15 +318,17 @@
     Dead,
 };
 
+/// The name used in status reports and logs.
 std::string_view nameOf(peer_state value);
 
-/// One fact about a peer, spread on probes.
+/// A fact about the membership of a peer, disseminated with probes.
 struct peer_fact
 {
     std::string name;
-    std::uint64_t incarnation = 0;
+    std::uint64_t incarnation = 0; ///< of the peer's process
     peer_state state = peer_state::Alive;
-    std::uint32_t refutation = 0; ///< how often the peer has refuted its suspicion; orders facts
+    std::uint32_t refutation =
+        0; ///< how often the peer has refuted that it is suspect; orders the facts about it
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -324,14 +337,14 @@
     }
 };
 
-/// Where a new daemon is reached, told by the daemons themselves until the platform's list shows it.
+/// The addresses of a new daemon. Sent between the daemons until the platform's live list has them.
 struct peer_introduction
 {
     std::string name;
     std::uint64_t incarnation = 0;
     std::string failureDomain;
     std::string ip;
-    std::uint16_t port = 0;
+    std::uint16_t port = 0; ///< for peers
     std::uint16_t callerPort = 0;
 
     template <class Archive>
@@ -341,24 +354,26 @@
     }
 };
 
+/// The kind of a peer_datagram.
 enum class probe_kind : std::uint8_t
 {
     Ping,
-    PingRequest, ///< please ping `target` for me
+    PingRequest, ///< asks the receiver to ping `target` on behalf of the sender
     Ack,
-    Notice, ///< carries only facts and the configuration version
-    Join, ///< a ping of a new process that also asks which peers are not alive
+    Notice, ///< only carries facts and the configuration version
+    Join, ///< a ping from a new process, which also asks which peers are not alive
 };
 
-/// The one datagram between daemons (SWIM-like): bounded size whatever the fleet's size.
+/// A membership datagram between daemons, as in SWIM. Its size is bounded, independent of the size of the
+/// fleet.
 struct peer_datagram
 {
     probe_kind kind = probe_kind::Ping;
-    std::string from;
-    std::uint64_t incarnation = 0;
-    std::uint64_t sequence = 0;
-    std::string target; ///< PingRequest and its relayed Ack: whom it is about
-    std::uint64_t configVersion = 0;
+    std::string from; ///< the sender's instance name
+    std::uint64_t incarnation = 0; ///< of the sender
+    std::uint64_t sequence = 0; ///< of the probe; an Ack repeats that of its Ping
+    std::string target; ///< the peer that a PingRequest or its relayed Ack is about
+    std::uint64_t configVersion = 0; ///< of the sender
     std::vector<peer_fact> facts; ///< at most maxFactsPerDatagram
     std::uint32_t refutation = 0; ///< of the sender
     std::vector<peer_introduction> introductions; ///< at most maxIntroductionsPerDatagram
--- a/packages/protocol/quota_messages.h
+++ b/packages/protocol/quota_messages.h
@@ -3,20 +3,22 @@
 #include <cstdint>
 #include <vector>
 
-// What daemons tell each other of client accounts' limits. Accounts go by a hash of their name. Whole
-// numbers, which take few bytes: units are in thousandths, fractions of a limit in millionths.
+// Messages between daemons about the limits of client accounts. Each account has a home, a daemon that shares
+// out its limit among the daemons. Accounts are identified by a hash of their name. Integers take fewer bytes
+// than floating point, so units are sent in thousandths (Milli) and shares of a limit in millionths (Ppm).
 namespace briarhead {
 
-/// What a daemon wants of one account's limit.
+/// A daemon's need for one account's limit.
 struct quota_demand
 {
     std::uint64_t account = 0; ///< accountHash()
-    std::int64_t demandMilli = 0; ///< units a second that callers ask for there
-    std::int64_t costMilli = 0; ///< units of a usual request there
-    std::uint32_t heldSharePpm = 0; ///< of the limit, that it holds
-    std::int64_t needMilli = 0; ///< units that callers wait for now, beyond what it has
-    std::int64_t firstNeedMilli = 0; ///< of these, what the first one lacks; fewer are of no use
-    std::int64_t unusedMilli = 0; ///< units given earlier and not used, returned by this message alone
+    std::int64_t demandMilli = 0; ///< units per second requested by the daemon's callers
+    std::int64_t costMilli = 0; ///< units of a typical request at the daemon
+    std::uint32_t heldSharePpm = 0; ///< share of the limit that the daemon holds
+    std::int64_t needMilli = 0; ///< units that waiting callers need beyond what the daemon has
+    std::int64_t firstNeedMilli =
+        0; ///< of needMilli, the units that the first waiting caller needs; a smaller grant would be useless
+    std::int64_t unusedMilli = 0; ///< units granted earlier that were not used; this message returns them
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -25,14 +27,15 @@
     }
 };
 
-/// Daemon -> the home of some accounts. Sent anew, with another round, until answered.
+/// Daemon -> home of a shard of accounts. Sent again, with the next round, until there is a response.
 struct quota_request
 {
     std::uint32_t shard = 0; ///< of accounts, see shardOf()
-    std::uint64_t round = 0; ///< grows with each ask for the shard within one incarnation
-    std::uint64_t lastAnsweredRound = 0; ///< the latest round whose answer came; 0: none
-    std::uint32_t fallbackSharePpm =
-        0; ///< of each limit, that it uses once it has been without an answer for long
+    std::uint64_t round =
+        0; ///< increases with each request for the shard within an incarnation of the daemon
+    std::uint64_t lastAnsweredRound = 0; ///< the latest round whose response was received; 0: none
+    /// Share of each limit that the daemon uses when it has been without a response for too long.
+    std::uint32_t fallbackSharePpm = 0;
     std::vector<quota_demand> demands;
 
     template <class Archive>
@@ -42,13 +45,14 @@
     }
 };
 
+/// What the home grants to a daemon for one account.
 struct quota_grant
 {
     std::uint64_t account = 0;
-    std::uint32_t grantedSharePpm = 0; ///< of the limit, that the daemon holds from now on
-    std::int64_t unitsMilli = 0; ///< for the callers that wait
+    std::uint32_t grantedSharePpm = 0; ///< share of the limit that the daemon holds from now on
+    std::int64_t unitsMilli = 0; ///< units for the waiting callers
     std::int64_t availableInMs =
-        0; ///< where the limit is used up: until there may be some; 0: it isn't known
+        0; ///< if the limit is used up: when units may be available again; 0: unknown
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -57,11 +61,12 @@
     }
 };
 
-/// Home -> those that may succeed it: it gives nothing any more of the shard, and won't again in this term.
+/// Home -> its possible successors: it has stopped granting anything for the shard, and will not resume in
+/// this term.
 struct quota_release
 {
     std::uint32_t shard = 0;
-    std::int64_t term = 0;
+    std::int64_t term = 0; ///< of the home, see quota_home_record
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -70,11 +75,11 @@
     }
 };
 
-/// Home -> daemon, one for each ask.
+/// Home -> daemon: the response to one quota_request.
 struct quota_response
 {
     std::uint32_t shard = 0;
-    std::uint64_t round = 0; ///< of the ask
+    std::uint64_t round = 0; ///< of the request
     std::uint32_t fallbackSharePpm = 0; ///< see quota_request
     std::vector<quota_grant> grants;
 
--- a/packages/protocol/seal.cpp
+++ b/packages/protocol/seal.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::string_view helloMagic = "BRHD";
 constexpr unsigned char helloVersion = 1;
-constexpr std::size_t helloHeadBytes = helloMagic.size() + 2 + sizeof(std::uint64_t) + nonceBytes;
+constexpr std::size_t helloHeaderBytes = helloMagic.size() + 2 + sizeof(std::uint64_t) + nonceBytes;
 constexpr unsigned bitsPerByte = 8;
 
 std::string_view viewOf(const unsigned char *bytes, std::size_t size)
@@ -28,7 +28,7 @@
     return reinterpret_cast<const unsigned char *>(text.data());
 }
 
-// Little-endian on the wire, whatever the machine.
+// Integers are sent in little-endian byte order, independent of the machine.
 template <class number>
 std::string numberBytes(number value)
 {
@@ -62,10 +62,10 @@
     return out;
 }
 
-// In constant time, so that an answer's delay tells nothing of the right tag.
-bool sameTag(const seal_tag &tag, std::string_view sent)
+// Compares in constant time, so that response times reveal nothing about the correct tag.
+bool isTagEqual(const seal_tag &tag, std::string_view received)
 {
-    return sent.size() == tag.size() && sodium_memcmp(tag.data(), sent.data(), tag.size()) == 0;
+    return received.size() == tag.size() && sodium_memcmp(tag.data(), received.data(), tag.size()) == 0;
 }
 
 seal_tag frameTag(const seal_key &key, std::uint64_t counter, std::string_view bytes)
@@ -104,7 +104,7 @@
         return std::nullopt;
     }
     const std::string_view bytes = datagram.substr(sealTagBytes);
-    if (!sameTag(keyedHash<seal_tag>(keys.datagram, {bytes}), datagram.substr(0, sealTagBytes))) {
+    if (!isTagEqual(keyedHash<seal_tag>(keys.datagram, {bytes}), datagram.substr(0, sealTagBytes))) {
         return std::nullopt;
     }
     return bytes;
@@ -112,32 +112,33 @@
 
 hello makeHello(const std::string &instance, std::uint64_t incarnation)
 {
-    hello said{instance, incarnation, {}};
-    randombytes_buf(said.nonce.data(), said.nonce.size());
-    return said;
+    hello message{instance, incarnation, {}};
+    randombytes_buf(message.nonce.data(), message.nonce.size());
+    return message;
 }
 
-std::string sealHello(const seal_keys &keys, const hello &said)
+std::string sealHello(const seal_keys &keys, const hello &message)
 {
     std::string out(helloMagic);
     out.push_back(static_cast<char>(helloVersion));
-    out.push_back(static_cast<char>(said.instance.size()));
-    out += numberBytes(said.incarnation);
-    out += viewOf(said.nonce.data(), said.nonce.size());
-    out += said.instance;
+    out.push_back(static_cast<char>(message.instance.size()));
+    out += numberBytes(message.incarnation);
+    out += viewOf(message.nonce.data(), message.nonce.size());
+    out += message.instance;
     const auto tag = keyedHash<seal_tag>(keys.hello, {out});
     out += viewOf(tag.data(), tag.size());
     return out;
 }
 
-wire_state openHello(const seal_keys &keys, std::string_view buffer, hello &said, std::size_t &used)
+wire_state openHello(const seal_keys &keys, std::string_view buffer, hello &message, std::size_t &used)
 {
-    // A stranger's first bytes are refused as soon as they differ, not when a whole hello is there.
-    const std::size_t magicSeen = std::min(buffer.size(), helloMagic.size());
-    if (buffer.substr(0, magicSeen) != helloMagic.substr(0, magicSeen)) {
+    // Reject bytes that are no hello as soon as they differ from the magic, without waiting for a complete
+    // hello.
+    const std::size_t magicReceived = std::min(buffer.size(), helloMagic.size());
+    if (buffer.substr(0, magicReceived) != helloMagic.substr(0, magicReceived)) {
         return wire_state::Bad;
     }
-    if (buffer.size() < helloHeadBytes) {
+    if (buffer.size() < helloHeaderBytes) {
         return wire_state::Incomplete;
     }
     std::string_view rest = buffer.substr(helloMagic.size());
@@ -145,26 +146,26 @@
     if (static_cast<unsigned char>(rest[0]) != helloVersion || nameSize == 0 || nameSize > maxNameBytes) {
         return wire_state::Bad;
     }
-    const std::size_t taggedSize = helloHeadBytes + nameSize;
+    const std::size_t taggedSize = helloHeaderBytes + nameSize;
     if (buffer.size() < taggedSize + sealTagBytes) {
         return wire_state::Incomplete;
     }
     const auto tag = keyedHash<seal_tag>(keys.hello, {buffer.substr(0, taggedSize)});
-    if (!sameTag(tag, buffer.substr(taggedSize, sealTagBytes))) {
+    if (!isTagEqual(tag, buffer.substr(taggedSize, sealTagBytes))) {
         return wire_state::Bad;
     }
     rest.remove_prefix(2);
-    said.incarnation = numberOf<std::uint64_t>(rest);
+    message.incarnation = numberOf<std::uint64_t>(rest);
     rest.remove_prefix(sizeof(std::uint64_t));
-    std::copy_n(bytesOf(rest), nonceBytes, said.nonce.begin());
-    said.instance = rest.substr(nonceBytes, nameSize);
+    std::copy_n(bytesOf(rest), nonceBytes, message.nonce.begin());
+    message.instance = rest.substr(nonceBytes, nameSize);
     used = taggedSize + sealTagBytes;
     return wire_state::Ready;
 }
 
 seal_key directionKey(const seal_keys &keys, std::string_view senderHello, std::string_view receiverHello)
 {
-    // A hello says its own length, so that two of them joined can be split in one way only.
+    // A hello contains its own length, so the concatenation of two is unambiguous.
     return keyedHash<seal_key>(keys.link, {senderHello, receiverHello});
 }
 
@@ -177,7 +178,7 @@
 {
     const seal_tag tag = frameTag(m_key, m_counter++, bytes);
     std::string out;
-    out.reserve(frameHeadBytes + bytes.size());
+    out.reserve(frameHeaderBytes + bytes.size());
     out += numberBytes(static_cast<std::uint32_t>(bytes.size()));
     out += viewOf(tag.data(), tag.size());
     out += bytes;
@@ -194,20 +195,20 @@
     if (buffer.size() < sizeof(std::uint32_t)) {
         return wire_state::Incomplete;
     }
-    // The length comes before the tag that covers the frame, so it is bounded before it is believed.
+    // The length is not authenticated before the whole frame has been received, so check its limit first.
     const std::size_t size = numberOf<std::uint32_t>(buffer);
     if (size > maxFrameBytes) {
         return wire_state::Bad;
     }
-    if (buffer.size() < frameHeadBytes + size) {
+    if (buffer.size() < frameHeaderBytes + size) {
         return wire_state::Incomplete;
     }
-    bytes = buffer.substr(frameHeadBytes, size);
-    if (!sameTag(frameTag(m_key, m_counter, bytes), buffer.substr(sizeof(std::uint32_t), sealTagBytes))) {
+    bytes = buffer.substr(frameHeaderBytes, size);
+    if (!isTagEqual(frameTag(m_key, m_counter, bytes), buffer.substr(sizeof(std::uint32_t), sealTagBytes))) {
         return wire_state::Bad;
     }
     ++m_counter;
-    used = frameHeadBytes + size;
+    used = frameHeaderBytes + size;
     return wire_state::Ready;
 }
 
--- a/packages/state/burn.cpp
+++ b/packages/state/burn.cpp
@@ -32,19 +32,22 @@
 
 constexpr std::array<std::string_view, 3> levelNames{"fine", "slow", "fast"};
 
-/// A target of 100% has no budget to divide by; one request in a million stands in for it.
+/// Stands in for the error budget of a target of 100%, which is zero and cannot be divided by: one request in
+/// a million.
 constexpr double minBudget = 1e-6;
 
-/// Burn rates that spend 2% of a month's budget in an hour, 5% in six hours, and more than all in a month.
+/// Burn rates that spend 2% of a month's budget in an hour, 5% in six hours, and the whole budget in a month.
 constexpr double fastHourRate = 14.4;
 constexpr double fastSixHoursRate = 6;
 constexpr double slowDayRate = 1;
-/// Fewer misses than this in the long window raise no alarm, however few requests there were.
-constexpr std::uint64_t minMissesForAlarm = 3;
+/// Minimum number of misses in the long window for an alert, so that a single miss among few requests raises
+/// none.
+constexpr std::uint64_t minMissesForAlert = 3;
 
-bool burning(const target_burn &target, burn_span longSpan, burn_span shortSpan, double rate)
+/// Whether the burn rate of both windows is at least `rate`.
+bool exceedsRate(const target_burn &target, burn_span longSpan, burn_span shortSpan, double rate)
 {
-    return missedOf(windowOf(target, longSpan).counts) >= minMissesForAlarm
+    return missedOf(windowOf(target, longSpan).counts) >= minMissesForAlert
         && burnRate(target, longSpan) >= rate && burnRate(target, shortSpan) >= rate;
 }
 
@@ -74,7 +77,7 @@
     merge(into.stallTimes, from.stallTimes);
 }
 
-void takeDefinition(target_burn &into, const target_burn &from)
+void copyDefinition(target_burn &into, const target_burn &from)
 {
     into.callers = from.callers;
     into.adapters = from.adapters;
@@ -84,8 +87,9 @@
     into.penalty = from.penalty;
 }
 
-/// Each instance bounds its own callers, but a thousand instances may each name others.
-void boundCallers(target_burn &target)
+/// Sums all but the callers with the most misses under `otherCallers`. Each instance limits the callers in
+/// its own report, but a thousand instances may each list different ones.
+void limitCallers(target_burn &target)
 {
     if (target.byCaller.size() <= maxReportCallers) {
         return;
@@ -99,9 +103,9 @@
     std::ranges::sort(byMisses, std::ranges::greater{});
     for (std::size_t i = maxReportCallers - 1; i < byMisses.size(); ++i) {
         const auto node = target.byCaller.extract(byMisses[i].second);
-        caller_burn &rest = target.byCaller[std::string(otherCallers)];
-        merge(rest.hour, node.mapped().hour);
-        merge(rest.day, node.mapped().day);
+        caller_burn &others = target.byCaller[std::string(otherCallers)];
+        merge(others.hour, node.mapped().hour);
+        merge(others.day, node.mapped().day);
     }
 }
 
@@ -162,8 +166,8 @@
 
 double coverage(const burn_report &report, const burn_window &window, burn_span span)
 {
-    const double whole = static_cast<double>(lengthOf(span).count) * report.known;
-    return whole > 0 ? std::min(1.0, static_cast<double>(window.covered.count) / whole) : 0;
+    const double fullMs = static_cast<double>(lengthOf(span).count) * report.known;
+    return fullMs > 0 ? std::min(1.0, static_cast<double>(window.covered.count) / fullMs) : 0;
 }
 
 double budgetSpent(const burn_report &report, const target_burn &target, burn_span span)
@@ -193,12 +197,12 @@
 
 burn_level levelOf(const target_burn &target)
 {
-    if (burning(target, burn_span::Hour, burn_span::FiveMinutes, fastHourRate)
-        || burning(target, burn_span::SixHours, burn_span::HalfHour, fastSixHoursRate)) {
+    if (exceedsRate(target, burn_span::Hour, burn_span::FiveMinutes, fastHourRate)
+        || exceedsRate(target, burn_span::SixHours, burn_span::HalfHour, fastSixHoursRate)) {
         return burn_level::Fast;
     }
-    return burning(target, burn_span::Day, burn_span::SixHours, slowDayRate) ? burn_level::Slow
-                                                                             : burn_level::Fine;
+    return exceedsRate(target, burn_span::Day, burn_span::SixHours, slowDayRate) ? burn_level::Slow
+                                                                                 : burn_level::Fine;
 }
 
 void merge(burn_report &into, const burn_report &from)
@@ -208,17 +212,17 @@
     into.answered += from.answered;
     into.known += from.known;
     for (const target_burn &target : from.targets) {
-        const auto at = std::lower_bound(into.targets.begin(), into.targets.end(), target.name,
-            [](const target_burn &each, const std::string &name) {
-                return each.name < name;
+        const auto position = std::lower_bound(into.targets.begin(), into.targets.end(), target.name,
+            [](const target_burn &existing, const std::string &name) {
+                return existing.name < name;
             });
-        if (at == into.targets.end() || at->name != target.name) {
-            into.targets.insert(at, target);
+        if (position == into.targets.end() || position->name != target.name) {
+            into.targets.insert(position, target);
             continue;
         }
-        mergeCounts(*at, target);
+        mergeCounts(*position, target);
         if (newer) {
-            takeDefinition(*at, target);
+            copyDefinition(*position, target);
         }
     }
 }
@@ -233,7 +237,7 @@
         }
     }
     sum.known = std::max(known, sum.answered);
-    std::ranges::for_each(sum.targets, boundCallers);
+    std::ranges::for_each(sum.targets, limitCallers);
     return toJson(sum);
 }
 
--- a/packages/state/burn_json.cpp
+++ b/packages/state/burn_json.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <exception>
 
-// The JSON form of the burn report. Values that follow from others (rates, penalties, quantiles) are
-// written for whoever reads it, and ignored when it is read back.
+// The JSON form of the burn report. Derived values (rates, penalties, quantiles) are written for people and
+// other tools, and ignored by parseBurn().
 namespace briarhead {
 
 namespace {
@@ -60,7 +60,7 @@
     return windows;
 }
 
-/// Windows are found by name, so that a release with other windows can still be read.
+/// Matches windows by name, so that the report of a release with other windows can still be read.
 void windowsFromJson(const json &from, target_burn &target)
 {
     for (const json &row : from) {
@@ -194,8 +194,8 @@
 {
     try {
         return reportFromJson(json::parse(text));
-    } catch (const json::exception &problem) {
-        why = {error_kind::BadFrame, "burn report", problem.what()};
+    } catch (const json::exception &failure) {
+        why = {error_kind::BadFrame, "burn report", failure.what()};
     }
     return std::nullopt;
 }
--- a/packages/state/clock.h
+++ b/packages/state/clock.h
@@ -5,8 +5,8 @@
 
 namespace briarhead {
 
-/// The one clock type: a count of milliseconds, either a point on CLOCK_BOOTTIME or a span.
-/// CLOCK_BOOTTIME goes on while the machine is suspended, so a lease also runs out during a freeze.
+/// A number of milliseconds: either a point in time on CLOCK_BOOTTIME or a duration.
+/// CLOCK_BOOTTIME keeps advancing while the machine is suspended, so a lease also expires during a suspend.
 struct millis
 {
     std::int64_t count = 0;
@@ -24,10 +24,11 @@
     }
 };
 
-/// Now, on CLOCK_BOOTTIME. Only tasks read it; decisions take the time as an argument.
+/// The current time on CLOCK_BOOTTIME. Only tasks call this; decision functions take the time as an argument.
 millis bootNow();
 
-/// Milliseconds since the Unix epoch, for history entries that people read. Never used to decide.
+/// Milliseconds since the Unix epoch, for timestamps in history entries. Must not be used in decisions, since
+/// the wall clock can be set back.
 millis wallNow();
 
 }
--- a/packages/state/config.cpp
+++ b/packages/state/config.cpp
@@ -21,13 +21,13 @@
 constexpr unsigned shardBits = 8;
 static_assert(adapterShards == std::size_t{1} << shardBits);
 
-/// How exactly a rule's pattern names the adapter: the pattern's length, and above all lengths for the name.
+/// The specificity of a rule for the exact name, higher than that of any prefix.
 constexpr std::size_t exactMatch = maxNameBytes + 1;
 
 struct rule_match
 {
     const rule_config *rule = nullptr;
-    std::size_t exactness = 0;
+    std::size_t specificity = 0; ///< length of the matching prefix, or exactMatch
 };
 
 rule_match matchAdapter(const detail::selector_rules &rules, std::string_view adapter)
@@ -53,44 +53,46 @@
     return found != rules.services.end() ? rule_match{found->second, exactMatch} : rule_match{};
 }
 
-/// Keeps the better match; between equals the earlier one, so that selectors are asked most specific first.
-void takeBetter(rule_match &best, const rule_match &other)
+/// Replaces `best` by a more specific match. Of equally specific matches the first is kept, so the selectors
+/// must be tried in order of precedence.
+void keepBetter(rule_match &best, const rule_match &other)
 {
-    if (other.rule != nullptr && (best.rule == nullptr || other.exactness > best.exactness)) {
+    if (other.rule != nullptr && (best.rule == nullptr || other.specificity > best.specificity)) {
         best = other;
     }
 }
 
-/// Between the groups of one caller the better priority counts, since neither group is the more specific.
-void takeBetterOfGroups(rule_match &best, const rule_match &other)
+/// As keepBetter(), but of equally specific matches the one with the higher priority is kept: no group of a
+/// caller takes precedence over another.
+void keepBetterOfGroups(rule_match &best, const rule_match &other)
 {
-    const bool tie = best.rule != nullptr && other.rule != nullptr && other.exactness == best.exactness;
+    const bool tie = best.rule != nullptr && other.rule != nullptr && other.specificity == best.specificity;
     if (tie && other.rule->bestPriority < best.rule->bestPriority) {
         best = other;
     }
-    takeBetter(best, other);
+    keepBetter(best, other);
 }
 
 template <class matcher>
 const rule_config *findRule(
-    const config &at, std::string_view caller, std::string_view target, matcher &&match)
+    const config &configuration, std::string_view caller, std::string_view target, matcher &&match)
 {
-    if (!at.index) {
+    if (!configuration.index) {
         return nullptr;
     }
     const auto matchSelector = [&](std::string_view selector) {
-        const auto found = at.index->bySelector.find(selector);
-        return found != at.index->bySelector.end() ? match(found->second, target) : rule_match{};
+        const auto found = configuration.index->bySelector.find(selector);
+        return found != configuration.index->bySelector.end() ? match(found->second, target) : rule_match{};
     };
     rule_match best = matchSelector(caller);
-    if (const auto known = at.callers.find(caller); known != at.callers.end()) {
-        rule_match ofGroups;
-        for (const auto &group : known->second.groups) {
-            takeBetterOfGroups(ofGroups, matchSelector(std::string(groupPrefix) + group));
+    if (const auto found = configuration.callers.find(caller); found != configuration.callers.end()) {
+        rule_match bestOfGroups;
+        for (const auto &group : found->second.groups) {
+            keepBetterOfGroups(bestOfGroups, matchSelector(std::string(groupPrefix) + group));
         }
-        takeBetter(best, ofGroups);
+        keepBetter(best, bestOfGroups);
     }
-    takeBetter(best, matchSelector(anyCaller));
+    keepBetter(best, matchSelector(anyCaller));
     return best.rule;
 }
 
@@ -105,6 +107,7 @@
     }
 }
 
+/// Sets prefixBytes from the keys of `prefixes`.
 void listPrefixLengths(detail::selector_rules &rules)
 {
     std::set<std::size_t, std::greater<>> lengths;
@@ -114,7 +117,8 @@
     rules.prefixBytes.assign(lengths.begin(), lengths.end());
 }
 
-/// Whether a path lies under a prefix by whole segments: "/orders" holds "/orders/7" but not "/orders7".
+/// Whether the path starts with the prefix by whole segments: "/orders/7" is under "/orders", "/orders7" is
+/// not.
 bool isUnder(std::string_view path, std::string_view prefix)
 {
     if (!path.starts_with(prefix)) {
@@ -127,12 +131,12 @@
 
 namespace detail {
 
-std::shared_ptr<const access_index> buildIndex(const config &at)
+std::shared_ptr<const access_index> buildIndex(const config &configuration)
 {
     auto index = std::make_shared<access_index>();
-    index->callers = at.callers;
-    index->rules = at.rules;
-    index->services = at.services;
+    index->callers = configuration.callers;
+    index->rules = configuration.rules;
+    index->services = configuration.services;
     for (const auto &[name, caller] : index->callers) {
         index->callerByKey.emplace(caller.keyHash, &name);
         index->groups.insert(caller.groups.begin(), caller.groups.end());
@@ -174,47 +178,49 @@
     return XXH64(adapter.data(), adapter.size(), 0) >> (hashBits - shardBits);
 }
 
-const adapter_config *findAdapter(const config &at, std::string_view name)
+const adapter_config *findAdapter(const config &configuration, std::string_view name)
 {
-    const auto &shard = at.adapters[shardOf(name)];
+    const auto &shard = configuration.adapters[shardOf(name)];
     const auto found = shard.find(name);
     return found != shard.end() ? &found->second : nullptr;
 }
 
-std::size_t adapterCount(const config &at)
+std::size_t adapterCount(const config &configuration)
 {
     std::size_t count = 0;
-    for (const auto &shard : at.adapters) {
+    for (const auto &shard : configuration.adapters) {
         count += shard.size();
     }
     return count;
 }
 
-const std::string *findCaller(const config &at, std::string_view keyHash)
+const std::string *findCaller(const config &configuration, std::string_view keyHash)
 {
-    if (!at.index) {
+    if (!configuration.index) {
         return nullptr;
     }
-    const auto found = at.index->callerByKey.find(keyHash);
-    return found != at.index->callerByKey.end() ? found->second : nullptr;
+    const auto found = configuration.index->callerByKey.find(keyHash);
+    return found != configuration.index->callerByKey.end() ? found->second : nullptr;
 }
 
-const rule_config *findAdapterRule(const config &at, std::string_view caller, std::string_view adapter)
+const rule_config *findAdapterRule(
+    const config &configuration, std::string_view caller, std::string_view adapter)
 {
-    return findRule(at, caller, adapter, matchAdapter);
+    return findRule(configuration, caller, adapter, matchAdapter);
 }
 
-const rule_config *findServiceRule(const config &at, std::string_view caller, std::string_view service)
+const rule_config *findServiceRule(
+    const config &configuration, std::string_view caller, std::string_view service)
 {
-    return findRule(at, caller, service, matchService);
+    return findRule(configuration, caller, service, matchService);
 }
 
-const service_config *findService(const config &at, std::string_view path, std::string &name)
+const service_config *findService(const config &configuration, std::string_view path, std::string &name)
 {
-    if (!at.index) {
+    if (!configuration.index) {
         return nullptr;
     }
-    for (const auto *entry : at.index->longestPrefixFirst) {
+    for (const auto *entry : configuration.index->longestPrefixFirst) {
         if (isUnder(path, entry->second.pathPrefix)) {
             name = entry->first;
             return &entry->second;
@@ -226,9 +232,9 @@
 config_ptr emptyConfig()
 {
     static const config_ptr empty = [] {
-        auto made = std::make_shared<config>();
-        made->index = detail::buildIndex(*made);
-        return made;
+        auto result = std::make_shared<config>();
+        result->index = detail::buildIndex(*result);
+        return result;
     }();
     return empty;
 }
--- a/packages/state/config.h
+++ b/packages/state/config.h
@@ -21,10 +21,11 @@
 
 }
 
-/// Limits on the configuration, checked on every patch.
+// Limits on the configuration, checked on every patch.
+
 constexpr std::size_t maxNameBytes = 128;
-/// No configuration may allow a longer deadline: a new owner of a server waits for requests of the one
-/// before.
+/// Upper limit of policy_config::maxDeadline. A new owner of a server waits for the requests of the previous
+/// owner to end, so the deadline bounds that wait.
 constexpr std::int64_t maxAllowedDeadlineMs = 600'000;
 constexpr std::size_t maxNoteBytes = 1'024;
 constexpr std::size_t maxAdapters = 200'000;
@@ -35,26 +36,27 @@
 constexpr std::size_t maxServices = 1'000;
 constexpr std::size_t maxTargets = 5'000;
 constexpr std::size_t maxPatchBytes = 256 * 1024;
-constexpr std::size_t adapterShards = 256;
+constexpr std::size_t adapterShards = 256; ///< see config::adapters
 
-// Names are 1 to maxNameBytes letters, digits and "._-/"; a ':' would be read as the version's separator.
+// Names consist of 1 to maxNameBytes letters, digits and "._-/". ':' is not allowed, since it separates an
+// adapter's name from its version.
 
-/// One adapter: the versions that may be loaded, and the one new requests run on.
+/// One adapter.
 struct adapter_config
 {
     std::string baseModel;
-    std::uint32_t active = 0;
-    std::vector<std::uint32_t> versions; ///< ascending; holds `active`
+    std::uint32_t active = 0; ///< the version that new requests run on
+    std::vector<std::uint32_t> versions; ///< that may be loaded; ascending, includes `active`
 };
 
-/// One caller. The key is kept as a hash only (hex BLAKE2b-256, see state/key_hash.h).
+/// One caller (client account).
 struct caller_config
 {
-    std::string keyHash;
+    std::string keyHash; ///< of its key, see state/key_hash.h; the key itself is not stored
     std::vector<std::string> groups;
 };
 
-/// Priorities in the order engines honour them; lower runs first.
+/// Request priorities. Engines run requests with the lower value first.
 enum class priority : std::uint8_t
 {
     Urgent,
@@ -66,50 +68,51 @@
 std::string_view nameOf(priority value);
 std::optional<priority> priorityOf(std::string_view name);
 
-/// Lets a caller or group reach adapters or services. `adapters` is an exact name, or a prefix and '*'.
+/// Allows a caller or group of callers to use adapters or a service.
 struct rule_config
 {
     std::string callers; ///< a caller's name, "group:NAME" or "*"
-    std::string adapters; ///< adapter pattern; empty for a rule on a service
-    std::string service; ///< a service's name; empty for a rule on adapters
-    priority bestPriority = priority::Normal; ///< the best priority the caller may ask for, and the default
-    std::uint32_t inFlight = 0; ///< requests at a time per caller and entry instance, 0: no limit
-    std::uint32_t perSecond = 0; ///< requests a second per caller and entry instance, 0: no limit
+    std::string adapters; ///< an adapter's name, or a prefix and '*'; empty in a rule for a service
+    std::string service; ///< a service's name; empty in a rule for adapters
+    priority bestPriority =
+        priority::Normal; ///< the highest priority that the caller may request, and the default
+    std::uint32_t inFlight = 0; ///< concurrent requests per caller and entry instance; 0: unlimited
+    std::uint32_t perSecond = 0; ///< requests per second per caller and entry instance; 0: unlimited
 };
 
-/// A plain service, reached by a path prefix.
+/// A plain HTTP service, selected by a path prefix.
 struct service_config
 {
-    std::string pathPrefix; ///< "/orders"
-    bool idempotent = false; ///< whether all of its calls may be repeated
-    millis timeout{10'000};
+    std::string pathPrefix; ///< such as "/orders"
+    bool idempotent = false; ///< whether any call to it may be retried
+    millis timeout{10'000}; ///< of one call
 };
 
-/// A service-level target with the penalty of the tender for each miss.
+/// A service-level target, with the contractual penalty for each request that misses it.
 struct target_config
 {
     std::string callers; ///< as in rule_config
     std::string adapters; ///< as in rule_config; empty: all
-    millis firstToken; ///< 0: not part of this target
-    millis endToEnd; ///< time to the whole answer, 0: not part of this target
-    double share = 0.95; ///< of requests that must meet it
-    double penalty = 0; ///< per missed request, in the tender's currency
+    millis firstToken; ///< time to the first token; 0: not part of the target
+    millis endToEnd; ///< time to the complete response; 0: not part of the target
+    double share = 0.95; ///< of requests that must meet the target
+    double penalty = 0; ///< per missed request, in the contract's currency
 };
 
-/// The tunables that operators may change while the system runs.
+/// The parameters that operators can change while the system runs.
 struct policy_config
 {
-    double stallWeight = 0.5; ///< 1: avoid load stalls at any cost, 0: fill batches at any cost
-    double storeLoadsPerSecond = 3;
-    std::uint32_t storeConcurrency = 1;
-    std::uint32_t maxReplicas = 4;
-    millis defaultDeadline{30'000};
-    millis maxDeadline{120'000};
-    millis idempotencyRetention{600'000};
+    double stallWeight = 0.5; ///< 1: avoid load stalls at any cost; 0: fill batches at any cost
+    double storeLoadsPerSecond = 3; ///< adapter loads from the weight store, over all servers
+    std::uint32_t storeConcurrency = 1; ///< concurrent adapter loads from the weight store
+    std::uint32_t maxReplicas = 4; ///< servers per adapter
+    millis defaultDeadline{30'000}; ///< of requests that state none
+    millis maxDeadline{120'000}; ///< that a request may state
+    millis idempotencyRetention{600'000}; ///< how long results are kept by idempotency key
 };
 
-/// Named entries of one kind, in name order. Copies share the entries until one of them is changed, so
-/// that a patch costs memory and time only for the parts it touches.
+/// The entries of one kind, sorted by name. Copy-on-write: copies share the entries until one copy is
+/// changed, so a patch costs memory and time only for the sections that it changes.
 template <class value>
 class config_section
 {
@@ -140,12 +143,12 @@
     {
         return entries().empty();
     }
-    /// Whether both share the same entries; false says nothing about equality.
+    /// Whether both refer to the same copy of the entries. If not, the entries may still be equal.
     bool sharesEntriesWith(const config_section &other) const
     {
         return m_entries == other.m_entries;
     }
-    /// The entries for a change; copied first where another configuration holds them too.
+    /// Returns the entries for modification, after copying them if another section shares them.
     map_type &mutableEntries()
     {
         if (!m_entries) {
@@ -168,12 +171,13 @@
 
 using adapter_shard = config_section<adapter_config>;
 
-/// The operators' whole configuration at one version. Immutable once built: a request keeps the
-/// version it was admitted under by holding the pointer. Parts that a patch leaves alone are shared.
+/// The operators' complete configuration at one version. Immutable once built: a request keeps the version
+/// under which it was admitted by holding a config_ptr. Versions share the sections that did not change
+/// between them.
 struct config
 {
     std::uint64_t version = 0;
-    std::array<adapter_shard, adapterShards> adapters;
+    std::array<adapter_shard, adapterShards> adapters; ///< an adapter is in the shard shardOf(name)
     config_section<caller_config> callers;
     config_section<rule_config> rules;
     config_section<service_config> services;
@@ -184,21 +188,26 @@
 
 using config_ptr = std::shared_ptr<const config>;
 
-/// The shard an adapter's name falls into (xxhash of the name).
+/// The index of an adapter's shard, from the xxHash of its name.
 std::size_t shardOf(std::string_view adapter);
-/// The adapter, or nullptr.
-const adapter_config *findAdapter(const config &at, std::string_view name);
-std::size_t adapterCount(const config &at);
-/// The name of the caller whose key hashes to `keyHash`, or nullptr.
-const std::string *findCaller(const config &at, std::string_view keyHash);
-/// The most specific rule (exact adapter before longest prefix before "*"; then the caller's own before
-/// its groups' before "*"; of its groups' the one with the best priority) that lets a caller reach it.
-const rule_config *findAdapterRule(const config &at, std::string_view caller, std::string_view adapter);
-const rule_config *findServiceRule(const config &at, std::string_view caller, std::string_view service);
-/// The service with the longest prefix of `path` (whole path segments), or nullptr; `name` gets its name.
-const service_config *findService(const config &at, std::string_view path, std::string &name);
+/// The adapter, or nullptr if there is none of that name.
+const adapter_config *findAdapter(const config &configuration, std::string_view name);
+std::size_t adapterCount(const config &configuration);
+/// The name of the caller whose key has this hash, or nullptr.
+const std::string *findCaller(const config &configuration, std::string_view keyHash);
+/// The most specific rule that allows the caller to use the adapter or service, or nullptr. A rule for the
+/// exact adapter takes precedence over the longest prefix, and that over "*". Among equally specific adapter
+/// patterns a rule for the caller itself takes precedence over one for a group, and that over "*"; of several
+/// groups the rule with the highest priority is used.
+const rule_config *findAdapterRule(
+    const config &configuration, std::string_view caller, std::string_view adapter);
+const rule_config *findServiceRule(
+    const config &configuration, std::string_view caller, std::string_view service);
+/// The service whose path prefix is the longest match for `path` by whole segments, or nullptr. Stores its
+/// name in `name`.
+const service_config *findService(const config &configuration, std::string_view path, std::string &name);
 
-/// One change as submitted by an operator. Its JSON form:
+/// A change to the configuration, as submitted by an operator. Its JSON form:
 ///   {"base": 41, "id": "...", "by": "...", "note": "...",
 ///    "set": {"adapters": {"NAME": {"base_model": "...", "active": 2, "versions": [1, 2]}},
 ///            "callers": {"NAME": {"key_hash": "...", "groups": ["..."]}},
@@ -211,51 +220,60 @@
 ///                       "max_replicas": 4, "default_deadline_ms": 30000, "max_deadline_ms": 120000,
 ///                       "idempotency_retention_ms": 600000}},
 ///    "remove": {"adapters": ["NAME"], ...}}
-/// A value under "set" replaces the whole entry of that name; "policy" replaces the keys it names.
+/// A value under "set" replaces the entry of that name as a whole, except for "policy", where only the given
+/// keys are replaced.
 struct config_patch
 {
-    std::uint64_t base = 0; ///< the version it was written against
-    std::string id; ///< chosen by the operator's command; makes a repeated submission recognisable
-    std::string by;
-    std::string note;
-    std::int64_t atMs = 0; ///< wall clock at acceptance
+    std::uint64_t base = 0; ///< the configuration version that it applies to
+    std::string id; ///< chosen by the client; identifies a repeated submission
+    std::string by; ///< the operator
+    std::string note; ///< free text for the history
+    std::int64_t atMs = 0; ///< wall-clock time of acceptance, Unix epoch
     std::string set; ///< JSON text
     std::string remove; ///< JSON text
 };
 
-/// Reads a patch and checks its frame; the entries are checked by applyPatch.
+/// Parses a submitted patch and checks its size and its top-level keys; applyPatch() checks the entries.
 std::optional<config_patch> parsePatch(std::string_view json, error &why);
-/// Reads a patch that was accepted before, whatever its size; applyPatch still checks its entries.
+/// As parsePatch(), for a patch that was accepted before, without the limit on its size.
 std::optional<config_patch> parseStoredPatch(std::string_view json, error &why);
-/// The patch as JSON, as it stands in the head and in the history.
+/// The patch in the JSON form that is stored in the head and in the history.
 std::string toJson(const config_patch &patch);
-/// The configuration after the patch, at version base + 1; checks names, sizes, values and references.
-config_ptr applyPatch(const config &at, const config_patch &patch, error &why);
-/// The differences the patch makes, one line each ("+ adapters/x ...", "~ ...", "- ..."), for a dry run.
-std::vector<std::string> describePatch(const config &at, const config_patch &patch);
+/// Returns the configuration with the patch applied, at version base + 1. Returns nullptr if the patch's base
+/// is not the version of `configuration`, or a name, size, value or reference is invalid.
+config_ptr applyPatch(const config &configuration, const config_patch &patch, error &why);
+/// The differences that the patch makes, for a dry run: one line per entry added ("+ adapters/x ..."),
+/// changed
+/// ("~ ...") or removed ("- ...").
+std::vector<std::string> describePatch(const config &configuration, const config_patch &patch);
 /// The empty configuration, version 0.
 config_ptr emptyConfig();
 
-/// Snapshot chunks, by name: "policy", and per section one text, or several split by the hash of the names
-/// ("adapters.01") so that each stays below maxChunkBytes and a change touches one of them. The same
-/// configuration always gives the same texts.
+/// A snapshot of the configuration is stored as chunks, one per section ("policy", "callers"). A large
+/// section is split by the hash of its entries' names ("adapters.01"), so that each chunk stays below
+/// maxChunkBytes and a changed entry changes one chunk only.
 constexpr std::size_t maxChunkBytes = 512 * 1024;
-std::map<std::string, std::string> toChunks(const config &at);
+/// The chunks by name. The same configuration always gives the same texts.
+std::map<std::string, std::string> toChunks(const config &configuration);
+/// Returns nullptr if a chunk is malformed or unknown, or the configuration is invalid.
 config_ptr fromChunks(std::uint64_t version, const std::map<std::string, std::string> &chunks, error &why);
-/// The whole configuration as one JSON text, for operators.
-std::string toJson(const config &at);
+/// The complete configuration as one JSON text, for operators.
+std::string toJson(const config &configuration);
 
-/// The value under the configuration's one key in the key-value service.
+/// The head of the stored configuration: the value of its key in the key-value service. The configuration is
+/// the snapshot with the patches applied.
 struct config_head
 {
     std::uint64_t version = 0;
     std::uint64_t snapshotVersion = 0;
-    std::map<std::string, std::string> chunks; ///< chunk name -> key suffix, "HASH-VERSION"
-    std::vector<std::string> retired; ///< key suffixes that the last snapshot stopped using
-    std::vector<config_patch> patches; ///< snapshotVersion + 1 .. version, in order
+    std::map<std::string, std::string> chunks; ///< of the snapshot: chunk name -> key suffix "HASH-VERSION"
+    std::vector<std::string> retired; ///< key suffixes that the latest snapshot no longer uses
+    std::vector<config_patch> patches; ///< to versions snapshotVersion + 1 to version, in order
 };
 
 std::string toJson(const config_head &head);
+/// Returns nothing if the text is malformed or its patches do not lead from the snapshot to the head's
+/// version.
 std::optional<config_head> parseHead(std::string_view json, error &why);
 
 }
--- a/packages/state/config_chunks.cpp
+++ b/packages/state/config_chunks.cpp
@@ -12,17 +12,18 @@
 
 namespace {
 
-using detail::entry_place;
+using detail::entry_location;
 using nlohmann::json;
 
-/// Chunks are split above this size. Half of the limit, so that a chunk has room for the largest entry.
+/// A chunk is split when it exceeds this size: half of the limit, so that even the largest entry fits in
+/// addition.
 constexpr std::size_t splitChunkBytes = maxChunkBytes / 2;
 constexpr unsigned hashBits = 64;
 
-/// One entry as text: "NAME":{...}
-struct entry_line
+/// One entry as JSON text: "NAME":{...}
+struct serialized_entry
 {
-    std::uint64_t hash = 0;
+    std::uint64_t hash = 0; ///< of the name
     std::string text;
 };
 
@@ -32,78 +33,80 @@
 }
 
 template <class section>
-void addLines(const section &entries, std::vector<entry_line> &lines)
+void appendSerialized(const section &entries, std::vector<serialized_entry> &serialized)
 {
     for (const auto &[name, entry] : entries) {
-        lines.push_back({hashOf(name), '"' + name + "\":" + detail::entryText(entry)});
+        serialized.push_back({hashOf(name), '"' + name + "\":" + detail::entryToJson(entry)});
     }
 }
 
-std::string joinLines(std::span<const entry_line> lines)
+std::string joinEntries(std::span<const serialized_entry> serialized)
 {
     std::string text = "{";
-    for (const auto &line : lines) {
-        text += (text.size() > 1 ? "," : "") + line.text;
+    for (const auto &entry : serialized) {
+        text += (text.size() > 1 ? "," : "") + entry.text;
     }
     return text + '}';
 }
 
-std::size_t bytesOf(std::span<const entry_line> lines)
+/// The size of the entries as one JSON object.
+std::size_t bytesOf(std::span<const serialized_entry> serialized)
 {
     std::size_t bytes = 2;
-    for (const auto &line : lines) {
-        bytes += line.text.size() + 1;
+    for (const auto &entry : serialized) {
+        bytes += entry.text.size() + 1;
     }
     return bytes;
 }
 
-/// Splits sorted lines by the next bit of their hash until each part fits one chunk. Splitting by hash
-/// keeps the other parts as they are when entries come and go.
+/// Splits the entries, which are sorted by hash, by the next bit of the hash until each part fits one chunk.
+/// `bits` are the bits that all these entries have in common, as text. Since the parts depend on the hash,
+/// adding or removing an entry changes its own chunk only.
 void splitInto(std::map<std::string, std::string> &chunks, const std::string &section,
-    const std::string &bits, std::span<const entry_line> lines)
+    const std::string &bits, std::span<const serialized_entry> serialized)
 {
-    if (lines.empty()) {
+    if (serialized.empty()) {
         return;
     }
-    if (bytesOf(lines) <= splitChunkBytes || bits.size() == hashBits) {
-        chunks.emplace(bits.empty() ? section : section + '.' + bits, joinLines(lines));
+    if (bytesOf(serialized) <= splitChunkBytes || bits.size() == hashBits) {
+        chunks.emplace(bits.empty() ? section : section + '.' + bits, joinEntries(serialized));
         return;
     }
     const auto mask = std::uint64_t{1} << (hashBits - 1 - bits.size());
-    const auto middle = std::ranges::find_if(lines, [mask](const entry_line &line) {
-        return (line.hash & mask) != 0;
+    const auto firstWithBit = std::ranges::find_if(serialized, [mask](const serialized_entry &entry) {
+        return (entry.hash & mask) != 0;
     });
-    const auto low = static_cast<std::size_t>(middle - lines.begin());
-    splitInto(chunks, section, bits + '0', lines.first(low));
-    splitInto(chunks, section, bits + '1', lines.subspan(low));
+    const auto zeroBitCount = static_cast<std::size_t>(firstWithBit - serialized.begin());
+    splitInto(chunks, section, bits + '0', serialized.first(zeroBitCount));
+    splitInto(chunks, section, bits + '1', serialized.subspan(zeroBitCount));
 }
 
-void addSection(
-    std::map<std::string, std::string> &chunks, std::string_view section, std::vector<entry_line> lines)
+void addSection(std::map<std::string, std::string> &chunks, std::string_view section,
+    std::vector<serialized_entry> serialized)
 {
-    std::ranges::sort(lines, [](const entry_line &a, const entry_line &b) {
+    std::ranges::sort(serialized, [](const serialized_entry &a, const serialized_entry &b) {
         return std::tie(a.hash, a.text) < std::tie(b.hash, b.text);
     });
-    splitInto(chunks, std::string(section), {}, lines);
+    splitInto(chunks, std::string(section), {}, serialized);
 }
 
 template <class entries>
-std::vector<entry_line> linesOf(const entries &section)
+std::vector<serialized_entry> serializeEntries(const entries &section)
 {
-    std::vector<entry_line> lines;
-    lines.reserve(section.size());
-    addLines(section, lines);
-    return lines;
+    std::vector<serialized_entry> serialized;
+    serialized.reserve(section.size());
+    appendSerialized(section, serialized);
+    return serialized;
 }
 
-std::vector<entry_line> adapterLines(const config &at)
+std::vector<serialized_entry> serializeAdapters(const config &configuration)
 {
-    std::vector<entry_line> lines;
-    lines.reserve(adapterCount(at));
-    for (const auto &shard : at.adapters) {
-        addLines(shard, lines);
+    std::vector<serialized_entry> serialized;
+    serialized.reserve(adapterCount(configuration));
+    for (const auto &shard : configuration.adapters) {
+        appendSerialized(shard, serialized);
     }
-    return lines;
+    return serialized;
 }
 
 template <class value, class chooser>
@@ -111,8 +114,9 @@
 {
     for (const auto &[name, item] : from.items()) {
         value entry;
-        const entry_place place{{}, section, name};
-        if (!detail::checkName(name, place.path(), why) || !detail::readEntry(item, place, entry, why)) {
+        const entry_location location{{}, section, name};
+        if (!detail::checkName(name, location.path(), why)
+            || !detail::readEntry(item, location, entry, why)) {
             return false;
         }
         sectionOf(name).mutableEntries().insert_or_assign(name, std::move(entry));
@@ -120,7 +124,7 @@
     return true;
 }
 
-/// Reads one chunk into the configuration under construction.
+/// Reads one chunk into a configuration under construction.
 bool readChunk(config &into, std::string_view chunk, const json &from, error &why)
 {
     using namespace detail;
@@ -135,23 +139,23 @@
         };
         return readEntries<adapter_config>(from, section, shard, why);
     }
-    const auto same = [](auto &whole) {
-        return [&whole](const std::string &) -> auto &
+    const auto unsharded = [](auto &entries) {
+        return [&entries](const std::string &) -> auto &
         {
-            return whole;
+            return entries;
         };
     };
     if (section == section::callers) {
-        return readEntries<caller_config>(from, section, same(into.callers), why);
+        return readEntries<caller_config>(from, section, unsharded(into.callers), why);
     }
     if (section == section::rules) {
-        return readEntries<rule_config>(from, section, same(into.rules), why);
+        return readEntries<rule_config>(from, section, unsharded(into.rules), why);
     }
     if (section == section::services) {
-        return readEntries<service_config>(from, section, same(into.services), why);
+        return readEntries<service_config>(from, section, unsharded(into.services), why);
     }
     if (section == section::targets) {
-        return readEntries<target_config>(from, section, same(into.targets), why);
+        return readEntries<target_config>(from, section, unsharded(into.targets), why);
     }
     why = {error_kind::BadPatch, std::string(chunk), "is a chunk of a kind that this release doesn't know"};
     return false;
@@ -162,7 +166,7 @@
 {
     for (const auto &[name, entry] : section) {
         text += first ? "\"" : ",\"";
-        text += name + "\":" + detail::entryText(entry);
+        text += name + "\":" + detail::entryToJson(entry);
         first = false;
     }
 }
@@ -190,7 +194,7 @@
 }
 
 /// Whether the patches lead from the snapshot to the head's version without a gap.
-bool isWhole(const config_head &head)
+bool isContiguous(const config_head &head)
 {
     std::uint64_t version = head.snapshotVersion;
     for (const auto &patch : head.patches) {
@@ -204,51 +208,51 @@
 
 }
 
-std::map<std::string, std::string> toChunks(const config &at)
+std::map<std::string, std::string> toChunks(const config &configuration)
 {
     using namespace detail;
     std::map<std::string, std::string> chunks;
-    chunks.emplace(section::policy, entryText(at.policy));
-    addSection(chunks, section::adapters, adapterLines(at));
-    addSection(chunks, section::callers, linesOf(at.callers));
-    addSection(chunks, section::rules, linesOf(at.rules));
-    addSection(chunks, section::services, linesOf(at.services));
-    addSection(chunks, section::targets, linesOf(at.targets));
+    chunks.emplace(section::policy, entryToJson(configuration.policy));
+    addSection(chunks, section::adapters, serializeAdapters(configuration));
+    addSection(chunks, section::callers, serializeEntries(configuration.callers));
+    addSection(chunks, section::rules, serializeEntries(configuration.rules));
+    addSection(chunks, section::services, serializeEntries(configuration.services));
+    addSection(chunks, section::targets, serializeEntries(configuration.targets));
     return chunks;
 }
 
 config_ptr fromChunks(std::uint64_t version, const std::map<std::string, std::string> &chunks, error &why)
 {
-    auto made = std::make_shared<config>();
-    made->version = version;
+    auto result = std::make_shared<config>();
+    result->version = version;
     for (const auto &[name, text] : chunks) {
         const auto from = json::parse(text, nullptr, false);
         if (!from.is_object()) {
             why = {error_kind::BadPatch, name, "is not a JSON object"};
             return nullptr;
         }
-        if (!readChunk(*made, name, from, why)) {
+        if (!readChunk(*result, name, from, why)) {
             return nullptr;
         }
     }
-    made->index = detail::buildIndex(*made);
-    return detail::checkWhole(*made, *emptyConfig(), why) ? made : nullptr;
+    result->index = detail::buildIndex(*result);
+    return detail::checkConsistency(*result, *emptyConfig(), why) ? result : nullptr;
 }
 
-std::string toJson(const config &at)
+std::string toJson(const config &configuration)
 {
     using namespace detail;
-    std::string text = "{\"version\":" + std::to_string(at.version) + ",\"policy\":" + entryText(at.policy)
-        + ",\"adapters\":{";
+    std::string text = "{\"version\":" + std::to_string(configuration.version)
+        + ",\"policy\":" + entryToJson(configuration.policy) + ",\"adapters\":{";
     bool first = true;
-    for (const auto &shard : at.adapters) {
+    for (const auto &shard : configuration.adapters) {
         appendEntries(text, shard, first);
     }
     text += '}';
-    appendSection(text, section::callers, at.callers);
-    appendSection(text, section::rules, at.rules);
-    appendSection(text, section::services, at.services);
-    appendSection(text, section::targets, at.targets);
+    appendSection(text, section::callers, configuration.callers);
+    appendSection(text, section::rules, configuration.rules);
+    appendSection(text, section::services, configuration.services);
+    appendSection(text, section::targets, configuration.targets);
     return text + '}';
 }
 
@@ -276,11 +280,11 @@
         head.chunks = from.at("chunks").get<std::map<std::string, std::string>>();
         head.retired = from.value("retired", std::vector<std::string>());
         head.patches = readPatches(from.at("patches"), why);
-    } catch (const json::exception &wrong) {
-        why = {error_kind::BadPatch, "head", wrong.what()};
+    } catch (const json::exception &failure) {
+        why = {error_kind::BadPatch, "head", failure.what()};
         return std::nullopt;
     }
-    if (!isWhole(head)) {
+    if (!isContiguous(head)) {
         if (why.kind != error_kind::None) {
             return std::nullopt;
         }
--- a/packages/state/config_json.cpp
+++ b/packages/state/config_json.cpp
@@ -15,15 +15,15 @@
 
 constexpr std::size_t keyHashBytes = 64;
 constexpr std::size_t maxServicePathBytes = 256;
-constexpr std::int64_t maxTimeMs = 24 * 3'600 * 1'000;
-constexpr std::int64_t maxDeadlineLimitMs = 3'600 * 1'000;
+constexpr std::int64_t maxRetentionMs = 24 * 3'600 * 1'000;
+constexpr std::int64_t maxTimeoutMs = 3'600 * 1'000;
 constexpr std::uint32_t maxPolicyCount = 64;
 constexpr double maxLoadsPerSecond = 1'000;
 constexpr double maxPenalty = 1e12;
-constexpr std::uint32_t maxLimit = 1'000'000;
+constexpr std::uint32_t maxRuleLimit = 1'000'000;
 
-/// Paths that the daemon serves itself; a service there would never be reached.
-constexpr std::array<std::string_view, 5> ownPaths{"/v1", "/admin", "/healthz", "/readyz", "/metrics"};
+/// Path prefixes that the daemon serves itself. A service under one of them would never be reached.
+constexpr std::array<std::string_view, 5> reservedPaths{"/v1", "/admin", "/healthz", "/readyz", "/metrics"};
 
 bool isNameByte(char c)
 {
@@ -43,13 +43,13 @@
     });
 }
 
-/// Reads the fields of one entry. After the first failure the rest is passed over.
+/// Reads the fields of one entry. After the first error all further calls do nothing.
 class field_reader
 {
 public:
-    field_reader(const json &object, const entry_place &place, error &why)
+    field_reader(const json &object, const entry_location &location, error &why)
         : m_object(object)
-        , m_place(place)
+        , m_location(location)
         , m_why(why)
     {
         if (!object.is_object()) {
@@ -57,29 +57,29 @@
         }
     }
 
-    bool good() const
+    bool valid() const
     {
-        return m_good;
+        return m_valid;
     }
 
     void fail(std::string_view key, std::string detail)
     {
-        if (m_good) {
-            m_good = false;
-            m_why = {error_kind::BadPatch, m_place.path(key), std::move(detail)};
+        if (m_valid) {
+            m_valid = false;
+            m_why = {error_kind::BadPatch, m_location.path(key), std::move(detail)};
         }
     }
 
-    /// The field, or nullptr where it is absent; then a required one fails.
+    /// The field, or nullptr if it is absent, which is an error for a required one.
     const json *field(std::string_view key, bool required = false)
     {
-        if (!m_good) {
+        if (!m_valid) {
             return nullptr;
         }
         m_known.push_back(key);
         const auto found = m_object.find(key);
         if (found != m_object.end()) {
-            ++m_seen;
+            ++m_readCount;
             return &*found;
         }
         if (required) {
@@ -109,35 +109,37 @@
     }
 
     template <std::integral number>
-    void integer(std::string_view key, number &into, number least, number most, bool required = false)
+    void integer(std::string_view key, number &into, number minValue, number maxValue, bool required = false)
     {
         const json *value = field(key, required);
-        if (value != nullptr && !toInteger(*value, into, least, most)) {
-            fail(key, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+        if (value != nullptr && !toInteger(*value, into, minValue, maxValue)) {
+            fail(key,
+                "must be a whole number from " + std::to_string(minValue) + " to "
+                    + std::to_string(maxValue));
         }
     }
 
-    void span(std::string_view key, millis &into, std::int64_t least, std::int64_t most)
+    void span(std::string_view key, millis &into, std::int64_t minValue, std::int64_t maxValue)
     {
-        integer(key, into.count, least, most);
+        integer(key, into.count, minValue, maxValue);
     }
 
-    void real(std::string_view key, double &into, double least, double most)
+    void real(std::string_view key, double &into, double minValue, double maxValue)
     {
         const json *value = field(key);
         if (value == nullptr) {
             return;
         }
-        const double number = value->is_number() ? value->get<double>() : least - 1;
-        if (!(number >= least && number <= most)) {
-            fail(key, "must be a number from " + json(least).dump() + " to " + json(most).dump());
+        const double number = value->is_number() ? value->get<double>() : minValue - 1;
+        if (!(number >= minValue && number <= maxValue)) {
+            fail(key, "must be a number from " + json(minValue).dump() + " to " + json(maxValue).dump());
             return;
         }
         into = number;
     }
 
     template <std::integral number>
-    static bool toInteger(const json &value, number &into, number least, number most)
+    static bool toInteger(const json &value, number &into, number minValue, number maxValue)
     {
         if (!value.is_number_integer()) {
             return false;
@@ -147,26 +149,27 @@
                 > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max())) {
             return false;
         }
-        const auto wide = value.get<std::int64_t>();
-        if (std::cmp_less(wide, least) || std::cmp_greater(wide, most)) {
+        const auto wideValue = value.get<std::int64_t>();
+        if (std::cmp_less(wideValue, minValue) || std::cmp_greater(wideValue, maxValue)) {
             return false;
         }
-        into = static_cast<number>(wide);
+        into = static_cast<number>(wideValue);
         return true;
     }
 
-    /// Refuses keys that no field was read from: a misspelt key would else be lost in silence.
-    bool finish()
+    /// Reports an error for any key that was not read: a misspelt key would otherwise be ignored silently.
+    /// Returns whether the entry is valid.
+    bool refuseUnknownKeys()
     {
-        if (!m_good || m_seen == m_object.size()) {
-            return m_good;
+        if (!m_valid || m_readCount == m_object.size()) {
+            return m_valid;
         }
         for (const auto &[key, value] : m_object.items()) {
             if (std::ranges::find(m_known, key) == m_known.end()) {
                 fail(key, "is not a known key; known are " + knownKeys());
             }
         }
-        return m_good;
+        return m_valid;
     }
 
 private:
@@ -180,16 +183,16 @@
     }
 
     const json &m_object;
-    const entry_place &m_place;
+    const entry_location &m_location;
     error &m_why;
-    std::vector<std::string_view> m_known;
-    std::size_t m_seen = 0;
-    bool m_good = true;
+    std::vector<std::string_view> m_known; ///< keys that were asked for
+    std::size_t m_readCount = 0; ///< keys of the object that were read
+    bool m_valid = true;
 };
 
 void checkNameField(field_reader &fields, std::string_view key, std::string_view value)
 {
-    if (fields.good() && !isName(value)) {
+    if (fields.valid() && !isName(value)) {
         fields.fail(
             key, "must be a name of 1 to " + std::to_string(maxNameBytes) + " letters, digits and \"._-/\"");
     }
@@ -198,18 +201,18 @@
 void checkSelector(field_reader &fields, std::string_view callers)
 {
     constexpr std::string_view groupPrefix = "group:";
-    const bool good = callers == "*" || isName(callers)
+    const bool valid = callers == "*" || isName(callers)
         || (callers.starts_with(groupPrefix) && isName(callers.substr(groupPrefix.size())));
-    if (fields.good() && !good) {
+    if (fields.valid() && !valid) {
         fields.fail("callers", "must be a caller's name, \"group:NAME\" or \"*\"");
     }
 }
 
 void checkPattern(field_reader &fields, std::string_view pattern)
 {
-    const auto stem = pattern.ends_with('*') ? pattern.substr(0, pattern.size() - 1) : pattern;
-    const bool good = pattern == "*" || isName(stem);
-    if (fields.good() && !good) {
+    const auto name = pattern.ends_with('*') ? pattern.substr(0, pattern.size() - 1) : pattern;
+    const bool valid = pattern == "*" || isName(name);
+    if (fields.valid() && !valid) {
         fields.fail("adapters", "must be an adapter's name, a prefix and '*', or \"*\"");
     }
 }
@@ -279,14 +282,14 @@
 void checkServicePath(field_reader &fields, std::string_view path)
 {
     constexpr std::string_view key = "path_prefix";
-    const bool shape = path.size() > 1 && path.size() <= maxServicePathBytes && path.front() == '/'
+    const bool wellFormed = path.size() > 1 && path.size() <= maxServicePathBytes && path.front() == '/'
         && path.back() != '/' && std::ranges::all_of(path, isNameByte);
-    if (!shape) {
+    if (!wellFormed) {
         fields.fail(key, "must be a path such as \"/orders\"");
     }
-    for (const auto own : ownPaths) {
-        if (path == own || path.starts_with(std::string(own) + '/')) {
-            fields.fail(key, "lies under " + std::string(own) + ", which the daemon serves itself");
+    for (const auto reserved : reservedPaths) {
+        if (path == reserved || path.starts_with(std::string(reserved) + '/')) {
+            fields.fail(key, "lies under " + std::string(reserved) + ", which the daemon serves itself");
         }
     }
 }
@@ -321,7 +324,7 @@
     return false;
 }
 
-std::string entry_place::path(std::string_view key) const
+std::string entry_location::path(std::string_view key) const
 {
     std::string text(root);
     text += pointerTo({section});
@@ -334,39 +337,39 @@
     return text;
 }
 
-bool readEntry(const json &from, const entry_place &place, adapter_config &into, error &why)
+bool readEntry(const json &from, const entry_location &location, adapter_config &into, error &why)
 {
-    field_reader fields(from, place, why);
+    field_reader fields(from, location, why);
     fields.text("base_model", into.baseModel, true);
     checkNameField(fields, "base_model", into.baseModel);
     readVersions(fields, into);
     fields.integer("active", into.active, 1U, std::numeric_limits<std::uint32_t>::max(), true);
-    if (fields.good() && !std::ranges::binary_search(into.versions, into.active)) {
+    if (fields.valid() && !std::ranges::binary_search(into.versions, into.active)) {
         fields.fail("active", "is version " + std::to_string(into.active) + ", which \"versions\" lacks");
     }
-    return fields.finish();
+    return fields.refuseUnknownKeys();
 }
 
-bool readEntry(const json &from, const entry_place &place, caller_config &into, error &why)
+bool readEntry(const json &from, const entry_location &location, caller_config &into, error &why)
 {
-    field_reader fields(from, place, why);
+    field_reader fields(from, location, why);
     fields.text("key_hash", into.keyHash, true);
     if (into.keyHash.size() != keyHashBytes || !isLowerHex(into.keyHash)) {
         fields.fail(
             "key_hash", "must be 64 hexadecimal digits in lower case, as `briarheadctl hash-key` prints");
     }
     readGroups(fields, into);
-    return fields.finish();
+    return fields.refuseUnknownKeys();
 }
 
-bool readEntry(const json &from, const entry_place &place, rule_config &into, error &why)
+bool readEntry(const json &from, const entry_location &location, rule_config &into, error &why)
 {
-    field_reader fields(from, place, why);
+    field_reader fields(from, location, why);
     fields.text("callers", into.callers, true);
     checkSelector(fields, into.callers);
     fields.text("adapters", into.adapters);
     fields.text("service", into.service);
-    if (fields.good() && into.adapters.empty() == into.service.empty()) {
+    if (fields.valid() && into.adapters.empty() == into.service.empty()) {
         fields.fail({}, "must hold either \"adapters\" or \"service\"");
     }
     if (!into.adapters.empty()) {
@@ -375,62 +378,62 @@
         checkNameField(fields, "service", into.service);
     }
     readPriority(fields, "best", into.bestPriority);
-    fields.integer("in_flight", into.inFlight, 0U, maxLimit);
-    fields.integer("per_second", into.perSecond, 0U, maxLimit);
-    return fields.finish();
+    fields.integer("in_flight", into.inFlight, 0U, maxRuleLimit);
+    fields.integer("per_second", into.perSecond, 0U, maxRuleLimit);
+    return fields.refuseUnknownKeys();
 }
 
-bool readEntry(const json &from, const entry_place &place, service_config &into, error &why)
+bool readEntry(const json &from, const entry_location &location, service_config &into, error &why)
 {
-    field_reader fields(from, place, why);
+    field_reader fields(from, location, why);
     fields.text("path_prefix", into.pathPrefix, true);
-    if (fields.good()) {
+    if (fields.valid()) {
         checkServicePath(fields, into.pathPrefix);
     }
     fields.flag("idempotent", into.idempotent);
-    fields.span("timeout_ms", into.timeout, 1, maxDeadlineLimitMs);
-    return fields.finish();
+    fields.span("timeout_ms", into.timeout, 1, maxTimeoutMs);
+    return fields.refuseUnknownKeys();
 }
 
-bool readEntry(const json &from, const entry_place &place, target_config &into, error &why)
+bool readEntry(const json &from, const entry_location &location, target_config &into, error &why)
 {
-    field_reader fields(from, place, why);
+    field_reader fields(from, location, why);
     fields.text("callers", into.callers, true);
     checkSelector(fields, into.callers);
     fields.text("adapters", into.adapters);
     if (!into.adapters.empty()) {
         checkPattern(fields, into.adapters);
     }
-    fields.span("first_token_ms", into.firstToken, 0, maxDeadlineLimitMs);
-    fields.span("whole_ms", into.endToEnd, 0, maxDeadlineLimitMs);
-    if (fields.good() && into.firstToken.count == 0 && into.endToEnd.count == 0) {
+    fields.span("first_token_ms", into.firstToken, 0, maxTimeoutMs);
+    fields.span("whole_ms", into.endToEnd, 0, maxTimeoutMs);
+    if (fields.valid() && into.firstToken.count == 0 && into.endToEnd.count == 0) {
         fields.fail({}, "must hold \"first_token_ms\" or \"whole_ms\"");
     }
     fields.real("share", into.share, 0, 1);
     fields.real("penalty", into.penalty, 0, maxPenalty);
-    return fields.finish();
+    return fields.refuseUnknownKeys();
 }
 
-bool readEntry(const json &from, const entry_place &place, policy_config &into, error &why)
+bool readEntry(const json &from, const entry_location &location, policy_config &into, error &why)
 {
-    constexpr double leastLoadsPerSecond = 0.01;
-    field_reader fields(from, place, why);
+    constexpr double minLoadsPerSecond = 0.01;
+    field_reader fields(from, location, why);
     fields.real("stall_weight", into.stallWeight, 0, 1);
-    fields.real("store_loads_per_second", into.storeLoadsPerSecond, leastLoadsPerSecond, maxLoadsPerSecond);
+    fields.real("store_loads_per_second", into.storeLoadsPerSecond, minLoadsPerSecond, maxLoadsPerSecond);
     fields.integer("store_concurrency", into.storeConcurrency, 1U, maxPolicyCount);
     fields.integer("max_replicas", into.maxReplicas, 1U, maxPolicyCount);
-    fields.span("default_deadline_ms", into.defaultDeadline, 1, maxDeadlineLimitMs);
+    fields.span("default_deadline_ms", into.defaultDeadline, 1, maxTimeoutMs);
     fields.span("max_deadline_ms", into.maxDeadline, 1, maxAllowedDeadlineMs);
-    fields.span("idempotency_retention_ms", into.idempotencyRetention, 1, maxTimeMs);
-    if (fields.good() && into.defaultDeadline > into.maxDeadline) {
+    fields.span("idempotency_retention_ms", into.idempotencyRetention, 1, maxRetentionMs);
+    if (fields.valid() && into.defaultDeadline > into.maxDeadline) {
         fields.fail("default_deadline_ms", "is longer than max_deadline_ms");
     }
-    return fields.finish();
+    return fields.refuseUnknownKeys();
 }
 
-std::string entryText(const adapter_config &entry)
+std::string entryToJson(const adapter_config &entry)
 {
-    // Written by hand: names need no escaping, and 160,000 of these make up a snapshot.
+    // Composed by hand, for speed: a snapshot can have 160,000 of these, and names need no escaping.
     std::string text = "{\"active\":" + std::to_string(entry.active) + ",\"base_model\":\"" + entry.baseModel
         + "\",\"versions\":[";
     for (std::size_t i = 0; i < entry.versions.size(); ++i) {
@@ -439,12 +442,12 @@
     return text + "]}";
 }
 
-std::string entryText(const caller_config &entry)
+std::string entryToJson(const caller_config &entry)
 {
     return json{{"key_hash", entry.keyHash}, {"groups", entry.groups}}.dump();
 }
 
-std::string entryText(const rule_config &entry)
+std::string entryToJson(const rule_config &entry)
 {
     json text{{"callers", entry.callers}, {"best", nameOf(entry.bestPriority)}, {"in_flight", entry.inFlight},
         {"per_second", entry.perSecond}};
@@ -456,14 +459,14 @@
     return text.dump();
 }
 
-std::string entryText(const service_config &entry)
+std::string entryToJson(const service_config &entry)
 {
     return json{{"path_prefix", entry.pathPrefix}, {"idempotent", entry.idempotent},
         {"timeout_ms", entry.timeout.count}}
         .dump();
 }
 
-std::string entryText(const target_config &entry)
+std::string entryToJson(const target_config &entry)
 {
     return json{{"callers", entry.callers}, {"adapters", entry.adapters},
         {"first_token_ms", entry.firstToken.count}, {"whole_ms", entry.endToEnd.count},
@@ -471,7 +474,7 @@
         .dump();
 }
 
-std::string entryText(const policy_config &entry)
+std::string entryToJson(const policy_config &entry)
 {
     return json{{"stall_weight", entry.stallWeight}, {"store_loads_per_second", entry.storeLoadsPerSecond},
         {"store_concurrency", entry.storeConcurrency}, {"max_replicas", entry.maxReplicas},
--- a/packages/state/config_patch.cpp
+++ b/packages/state/config_patch.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using detail::entry_place;
+using detail::entry_location;
 using detail::pointerTo;
 using nlohmann::json;
 
@@ -24,48 +24,50 @@
     return false;
 }
 
-/// The section that holds an entry of this name and kind, to read or to change; an adapter's is its shard.
-template <class configuration, class value>
-auto &sectionFor(configuration &at, std::string_view name, value *)
+/// The section for entries of type `value`, or for an adapter the shard of its name. The last argument only
+/// selects the type.
+template <class config_type, class value>
+auto &sectionFor(config_type &configuration, std::string_view name, value *)
 {
     if constexpr (std::is_same_v<value, adapter_config>) {
-        return at.adapters[shardOf(name)];
+        return configuration.adapters[shardOf(name)];
     } else if constexpr (std::is_same_v<value, caller_config>) {
-        return at.callers;
+        return configuration.callers;
     } else if constexpr (std::is_same_v<value, rule_config>) {
-        return at.rules;
+        return configuration.rules;
     } else if constexpr (std::is_same_v<value, service_config>) {
-        return at.services;
+        return configuration.services;
     } else {
-        return at.targets;
+        return configuration.targets;
     }
 }
 
-/// The change of one section: all entries to set, then the names to remove.
+/// The change that a patch makes to one section. Entries are set before others are removed.
 struct section_change
 {
     std::string_view section;
-    const json *set = nullptr; ///< object by name
-    const json *remove = nullptr; ///< list of names
+    const json *set = nullptr; ///< object of entries by name, or nullptr
+    const json *remove = nullptr; ///< list of names, or nullptr
 };
 
 template <class value>
-bool setEntries(config &at, const section_change &change, error &why)
+bool setEntries(config &configuration, const section_change &change, error &why)
 {
     if (change.set == nullptr) {
         return true;
     }
-    const entry_place whole{setRoot, change.section, {}};
+    const entry_location sectionLocation{setRoot, change.section, {}};
     if (!change.set->is_object()) {
-        return fail(why, whole.path(), "must be an object of entries by name");
+        return fail(why, sectionLocation.path(), "must be an object of entries by name");
     }
     for (const auto &[name, from] : change.set->items()) {
-        const entry_place place{setRoot, change.section, name};
+        const entry_location location{setRoot, change.section, name};
         value entry;
-        if (!detail::checkName(name, whole.path(name), why) || !detail::readEntry(from, place, entry, why)) {
+        if (!detail::checkName(name, sectionLocation.path(name), why)
+            || !detail::readEntry(from, location, entry, why)) {
             return false;
         }
-        sectionFor(at, name, static_cast<value *>(nullptr))
+        sectionFor(configuration, name, static_cast<value *>(nullptr))
             .mutableEntries()
             .insert_or_assign(name, std::move(entry));
     }
@@ -73,21 +75,21 @@
 }
 
 template <class value>
-bool removeEntries(config &at, const section_change &change, error &why)
+bool removeEntries(config &configuration, const section_change &change, error &why)
 {
     if (change.remove == nullptr) {
         return true;
     }
-    const entry_place whole{removeRoot, change.section, {}};
+    const entry_location sectionLocation{removeRoot, change.section, {}};
     if (!change.remove->is_array()) {
-        return fail(why, whole.path(), "must be a list of names");
+        return fail(why, sectionLocation.path(), "must be a list of names");
     }
     for (const auto &item : *change.remove) {
         const auto name = item.is_string() ? item.get<std::string>() : std::string();
         const bool alsoSet = change.set != nullptr && change.set->contains(name);
-        auto &section = sectionFor(at, name, static_cast<value *>(nullptr));
+        auto &section = sectionFor(configuration, name, static_cast<value *>(nullptr));
         if (alsoSet || !section.contains(name)) {
-            return fail(why, whole.path(),
+            return fail(why, sectionLocation.path(),
                 "holds " + item.dump()
                     + (alsoSet ? ", which the patch sets as well" : ", which does not exist"));
         }
@@ -97,12 +99,12 @@
 }
 
 template <class value>
-bool changeSection(config &at, const section_change &change, error &why)
+bool applySection(config &configuration, const section_change &change, error &why)
 {
-    return setEntries<value>(at, change, why) && removeEntries<value>(at, change, why);
+    return setEntries<value>(configuration, change, why) && removeEntries<value>(configuration, change, why);
 }
 
-/// The two texts of a patch, parsed.
+/// The "set" and "remove" texts of a patch, parsed.
 struct patch_body
 {
     json set = json::object();
@@ -110,24 +112,24 @@
 
     section_change change(std::string_view section) const
     {
-        const auto ofSet = set.find(section);
-        const auto ofRemove = remove.find(section);
+        const auto inSet = set.find(section);
+        const auto inRemove = remove.find(section);
         return {
-            section, ofSet != set.end() ? &*ofSet : nullptr, ofRemove != remove.end() ? &*ofRemove : nullptr};
+            section, inSet != set.end() ? &*inSet : nullptr, inRemove != remove.end() ? &*inRemove : nullptr};
     }
 };
 
 bool checkSections(const json &part, std::string_view root, bool withPolicy, error &why)
 {
     using namespace detail;
-    constexpr std::array named{
+    constexpr std::array sections{
         section::adapters, section::callers, section::rules, section::services, section::targets};
     if (!part.is_object()) {
         return fail(why, std::string(root), "must be an object");
     }
     for (const auto &[key, value] : part.items()) {
         const bool known =
-            std::ranges::find(named, key) != named.end() || (withPolicy && key == section::policy);
+            std::ranges::find(sections, key) != sections.end() || (withPolicy && key == section::policy);
         if (!known) {
             return fail(why, std::string(root) + pointerTo({key}),
                 std::string("is not a known key; known are adapters, callers, rules, services, targets")
@@ -152,35 +154,38 @@
     return body;
 }
 
-bool changeAll(config &at, const patch_body &body, error &why)
+bool applySections(config &configuration, const patch_body &body, error &why)
 {
     using namespace detail;
     const auto policy = body.set.find(section::policy);
-    const bool policyGood =
-        policy == body.set.end() || readEntry(*policy, {setRoot, section::policy, {}}, at.policy, why);
-    return policyGood && changeSection<adapter_config>(at, body.change(section::adapters), why)
-        && changeSection<caller_config>(at, body.change(section::callers), why)
-        && changeSection<rule_config>(at, body.change(section::rules), why)
-        && changeSection<service_config>(at, body.change(section::services), why)
-        && changeSection<target_config>(at, body.change(section::targets), why);
+    const bool policyValid = policy == body.set.end()
+        || readEntry(*policy, {setRoot, section::policy, {}}, configuration.policy, why);
+    return policyValid && applySection<adapter_config>(configuration, body.change(section::adapters), why)
+        && applySection<caller_config>(configuration, body.change(section::callers), why)
+        && applySection<rule_config>(configuration, body.change(section::rules), why)
+        && applySection<service_config>(configuration, body.change(section::services), why)
+        && applySection<target_config>(configuration, body.change(section::targets), why);
 }
 
-bool sharesIndexed(const config &at, const config &before)
+/// Whether the sections that the index is built from are unchanged.
+bool sharesIndexedSections(const config &configuration, const config &before)
 {
-    return at.callers.sharesEntriesWith(before.callers) && at.rules.sharesEntriesWith(before.rules)
-        && at.services.sharesEntriesWith(before.services);
+    return configuration.callers.sharesEntriesWith(before.callers)
+        && configuration.rules.sharesEntriesWith(before.rules)
+        && configuration.services.sharesEntriesWith(before.services);
 }
 
-// ---- the frame of a patch
+// ---- top-level keys of a patch
 
-bool readText(const json &from, const char *key, std::size_t most, std::string &into, error &why)
+bool readText(const json &from, const char *key, std::size_t maxBytes, std::string &into, error &why)
 {
     const auto found = from.find(key);
     if (found == from.end()) {
         return true;
     }
-    if (!found->is_string() || found->get_ref<const std::string &>().size() > most) {
-        return fail(why, pointerTo({key}), "must be a text of at most " + std::to_string(most) + " bytes");
+    if (!found->is_string() || found->get_ref<const std::string &>().size() > maxBytes) {
+        return fail(
+            why, pointerTo({key}), "must be a text of at most " + std::to_string(maxBytes) + " bytes");
     }
     into = found->get<std::string>();
     return true;
@@ -193,16 +198,16 @@
     if (found == from.end()) {
         return true;
     }
-    constexpr auto most = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
-    if (!found->is_number_unsigned() || found->get<std::uint64_t>() >= most) {
+    constexpr auto maxValue = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
+    if (!found->is_number_unsigned() || found->get<std::uint64_t>() >= maxValue) {
         return fail(why, pointerTo({key}), "must be a whole number from 0");
     }
     into = found->get<number>();
     return true;
 }
 
-/// Whether brackets nest deeper than any patch needs. Guards against a text of thousands of '[': parsing
-/// it is harmless, but writing it out again recurses once per level and would end the process.
+/// Whether brackets are nested deeper than any patch needs. Guards against a text of thousands of '[':
+/// parsing it is harmless, but serializing it recurses once per level and would overflow the stack.
 bool nestsTooDeep(std::string_view text)
 {
     constexpr int maxDepth = 16;
@@ -223,7 +228,7 @@
     return false;
 }
 
-/// The text as JSON, or a discarded value.
+/// The text as JSON, or a discarded value if it is not valid.
 json parseText(std::string_view text, error &why)
 {
     if (nestsTooDeep(text)) {
@@ -232,13 +237,13 @@
     }
     try {
         return json::parse(text);
-    } catch (const json::exception &wrong) {
-        fail(why, "/", std::string("is not valid JSON: ") + wrong.what());
+    } catch (const json::exception &failure) {
+        fail(why, "/", std::string("is not valid JSON: ") + failure.what());
         return json(json::value_t::discarded);
     }
 }
 
-bool checkFrame(const json &from, error &why)
+bool checkTopLevel(const json &from, error &why)
 {
     constexpr std::array<std::string_view, 7> known{"base", "id", "by", "note", "at_ms", "set", "remove"};
     if (!from.is_object()) {
@@ -257,32 +262,34 @@
     return true;
 }
 
-// ---- the difference a patch makes
+// ---- dry run
 
 template <class value>
-std::string describeEntry(const std::string &place, const value *old, const json &from)
+/// The line for one entry that is set, or nothing if it stays the same.
+std::string describeEntry(const std::string &path, const value *old, const json &from)
 {
     value entry;
     error ignored;
-    const bool good = detail::readEntry(from, {}, entry, ignored);
-    const auto text = good ? detail::entryText(entry) : from.dump();
+    const bool valid = detail::readEntry(from, {}, entry, ignored);
+    const auto text = valid ? detail::entryToJson(entry) : from.dump();
     if (old == nullptr) {
         return "+ " + place + ' ' + text;
     }
-    const auto oldText = detail::entryText(*old);
+    const auto oldText = detail::entryToJson(*old);
     return oldText == text ? std::string() : "~ " + place + ' ' + oldText + " -> " + text;
 }
 
 template <class value>
-void describeSection(const config &at, const section_change &change, std::vector<std::string> &lines)
+void describeSection(
+    const config &configuration, const section_change &change, std::vector<std::string> &lines)
 {
-    const std::string start = std::string(change.section) + '/';
+    const std::string prefix = std::string(change.section) + '/';
     if (change.set != nullptr && change.set->is_object()) {
         for (const auto &[name, from] : change.set->items()) {
-            const auto &section = sectionFor(at, name, static_cast<value *>(nullptr));
+            const auto &section = sectionFor(configuration, name, static_cast<value *>(nullptr));
             const auto old = section.find(name);
             auto line =
-                describeEntry<value>(start + name, old != section.end() ? &old->second : nullptr, from);
+                describeEntry<value>(prefix + name, old != section.end() ? &old->second : nullptr, from);
             if (!line.empty()) {
                 lines.push_back(std::move(line));
             }
@@ -290,20 +297,20 @@
     }
     if (change.remove != nullptr && change.remove->is_array()) {
         for (const auto &name : *change.remove) {
-            lines.push_back("- " + start + (name.is_string() ? name.get<std::string>() : name.dump()));
+            lines.push_back("- " + prefix + (name.is_string() ? name.get<std::string>() : name.dump()));
         }
     }
 }
 
-void describePolicy(const config &at, const patch_body &body, std::vector<std::string> &lines)
+void describePolicy(const config &configuration, const patch_body &body, std::vector<std::string> &lines)
 {
     const auto found = body.set.find(detail::section::policy);
     if (found == body.set.end() || !found->is_object()) {
         return;
     }
-    const auto now = json::parse(detail::entryText(at.policy));
+    const auto current = json::parse(detail::entryToJson(configuration.policy));
     for (const auto &[key, value] : found->items()) {
-        const auto old = now.value(key, json());
+        const auto old = current.value(key, json());
         if (old != value) {
             lines.push_back("~ policy/" + key + ' ' + old.dump() + " -> " + value.dump());
         }
@@ -315,12 +322,12 @@
 std::optional<config_patch> detail::readPatch(const json &from, error &why)
 {
     config_patch patch;
-    const bool good = checkFrame(from, why) && readNumber(from, "base", patch.base, why)
+    const bool valid = checkTopLevel(from, why) && readNumber(from, "base", patch.base, why)
         && readText(from, "id", maxNameBytes, patch.id, why)
         && readText(from, "by", maxNameBytes, patch.by, why)
         && readText(from, "note", maxNoteBytes, patch.note, why) && readNumber(from, "at_ms", patch.atMs, why)
         && checkName(patch.id, "/id", why);
-    if (!good) {
+    if (!valid) {
         return std::nullopt;
     }
     patch.set = from.value("set", json::object()).dump();
@@ -352,10 +359,11 @@
 
 std::string toJson(const config_patch &patch)
 {
-    const json frame{{"base", patch.base}, {"id", patch.id}, {"by", patch.by}, {"note", patch.note},
+    const json header{{"base", patch.base}, {"id", patch.id}, {"by", patch.by}, {"note", patch.note},
         {"at_ms", patch.atMs}};
-    // The two bodies are JSON already; parsing them only to write them again would cost their size.
-    std::string text = frame.dump();
+    // `set` and `remove` are JSON text already; parsing them just to serialize them again would cost time and
+    // memory in proportion to their size.
+    std::string text = header.dump();
     text.back() = ',';
     text += "\"set\":";
     text += patch.set.empty() ? "{}" : patch.set;
@@ -365,30 +373,30 @@
     return text;
 }
 
-config_ptr applyPatch(const config &at, const config_patch &patch, error &why)
+config_ptr applyPatch(const config &configuration, const config_patch &patch, error &why)
 {
-    if (patch.base != at.version) {
+    if (patch.base != configuration.version) {
         why = {error_kind::StalePatch, "/base",
             "the patch is written against version " + std::to_string(patch.base) + ", the current version is "
-                + std::to_string(at.version)};
+                + std::to_string(configuration.version)};
         return nullptr;
     }
     const auto body = parseBody(patch, why);
     if (!body) {
         return nullptr;
     }
-    auto next = std::make_shared<config>(at);
-    next->version = at.version + 1;
-    if (!changeAll(*next, *body, why)) {
+    auto next = std::make_shared<config>(configuration);
+    next->version = configuration.version + 1;
+    if (!applySections(*next, *body, why)) {
         return nullptr;
     }
-    if (!next->index || !sharesIndexed(*next, at)) {
+    if (!next->index || !sharesIndexedSections(*next, configuration)) {
         next->index = detail::buildIndex(*next);
     }
-    return detail::checkWhole(*next, at, why) ? next : nullptr;
+    return detail::checkConsistency(*next, configuration, why) ? next : nullptr;
 }
 
-std::vector<std::string> describePatch(const config &at, const config_patch &patch)
+std::vector<std::string> describePatch(const config &configuration, const config_patch &patch)
 {
     using namespace detail;
     std::vector<std::string> lines;
@@ -397,12 +405,12 @@
     if (!body) {
         return lines;
     }
-    describeSection<adapter_config>(at, body->change(section::adapters), lines);
-    describeSection<caller_config>(at, body->change(section::callers), lines);
-    describeSection<rule_config>(at, body->change(section::rules), lines);
-    describeSection<service_config>(at, body->change(section::services), lines);
-    describeSection<target_config>(at, body->change(section::targets), lines);
-    describePolicy(at, *body, lines);
+    describeSection<adapter_config>(configuration, body->change(section::adapters), lines);
+    describeSection<caller_config>(configuration, body->change(section::callers), lines);
+    describeSection<rule_config>(configuration, body->change(section::rules), lines);
+    describeSection<service_config>(configuration, body->change(section::services), lines);
+    describeSection<target_config>(configuration, body->change(section::targets), lines);
+    describePolicy(configuration, *body, lines);
     return lines;
 }
 
--- a/packages/state/error.cpp
+++ b/packages/state/error.cpp
@@ -80,7 +80,7 @@
     if (!why.where.empty()) {
         line += why.where + ": ";
     }
-    // Without a detail the code stands in, so that the line always says what was wrong.
+    // Falls back to the error code when there is no detail, so that the line always says what went wrong.
     line += why.detail.empty() ? std::string(textOf(why.kind).code) : why.detail;
     line += ". ";
     line += textOf(why.kind).remedy;
--- a/packages/state/error.h
+++ b/packages/state/error.h
@@ -6,8 +6,8 @@
 
 namespace briarhead {
 
-/// Every kind of failure the project reports. Functions that can fail return std::optional and
-/// leave the last reason in an `error &why` argument.
+/// Every kind of failure that is reported. Functions that can fail return std::optional (or a pointer or
+/// bool) and store the reason in an `error &why` argument.
 enum class error_kind : std::uint8_t
 {
     None,
@@ -38,17 +38,17 @@
     Internal,
 };
 
-/// One row of the table of names: the stable code that callers and scripts see, and the remedy.
+/// The texts for one error kind: the stable code that callers and scripts see, and the suggested remedy.
 struct error_text
 {
     std::string_view code;
     std::string_view remedy;
 };
 
-/// The table row of a kind.
+/// The texts for a kind; those of Internal for a value that is not an enumerator.
 const error_text &textOf(error_kind kind);
 
-/// A failure: its kind, the place it was found at (file and path, field, server) and what was seen.
+/// A failure: its kind, where it was found (file and JSON path, field, server) and what was found there.
 struct error
 {
     error_kind kind = error_kind::None;
@@ -56,7 +56,7 @@
     std::string detail;
 };
 
-/// "where: detail. remedy", one line, for logs and answers.
+/// One line, "where: detail. remedy", for logs and response bodies.
 std::string message(const error &why);
 
 }
--- a/packages/state/key_hash.h
+++ b/packages/state/key_hash.h
@@ -5,8 +5,8 @@
 
 namespace briarhead {
 
-/// Hex BLAKE2b-256 of a caller's or operator's key. Keys are long random strings, so no salt or
-/// stretching is needed, and one look-up per request stays cheap.
+/// Returns the BLAKE2b-256 hash of a caller's or operator's key as lower-case hex. Keys are long random
+/// strings, so neither a salt nor key stretching is needed, and hashing one key per request stays cheap.
 std::string keyHash(std::string_view key);
 
 }
--- a/packages/state/latency.cpp
+++ b/packages/state/latency.cpp
@@ -9,7 +9,7 @@
 
 constexpr int underflowBin = -1;
 constexpr int overflowBin = static_cast<int>(latencyBins);
-constexpr std::size_t allBins = latencyBins + 2;
+constexpr std::size_t binsWithUnderAndOverflow = latencyBins + 2;
 
 }
 
@@ -23,10 +23,10 @@
 
 }
 
-void record(latency_histogram &into, double ms)
+void record(latency_histogram &into, double durationMs)
 {
-    into.bins(ms);
-    into.sumMs += ms;
+    into.bins(durationMs);
+    into.sumMs += durationMs;
 }
 
 void merge(latency_histogram &into, const latency_histogram &from)
@@ -35,47 +35,47 @@
     into.sumMs += from.sumMs;
 }
 
-std::uint64_t countOf(const latency_histogram &of)
+std::uint64_t countOf(const latency_histogram &histogram)
 {
     std::uint64_t count = 0;
     for (int bin = underflowBin; bin <= overflowBin; ++bin) {
-        count += of.bins.at(bin);
+        count += histogram.bins.at(bin);
     }
     return count;
 }
 
-double quantileMs(const latency_histogram &of, double quantile)
+double quantileMs(const latency_histogram &histogram, double quantile)
 {
-    const std::uint64_t count = countOf(of);
+    const std::uint64_t count = countOf(histogram);
     if (count == 0) {
         return 0;
     }
     const auto rank = std::max<std::uint64_t>(1, std::ceil(quantile * static_cast<double>(count)));
-    std::uint64_t below = 0;
+    std::uint64_t cumulative = 0;
     for (int bin = underflowBin; bin < overflowBin; ++bin) {
-        below += of.bins.at(bin);
-        if (below >= rank) {
-            return of.bins.axis().value(bin + 1);
+        cumulative += histogram.bins.at(bin);
+        if (cumulative >= rank) {
+            return histogram.bins.axis().value(bin + 1);
         }
     }
     return maxLatencyMs;
 }
 
-std::uint64_t countBelow(const latency_histogram &of, std::size_t doublings)
+std::uint64_t countBelow(const latency_histogram &histogram, std::size_t doublings)
 {
     std::uint64_t count = 0;
     const auto end = static_cast<int>(std::min(doublings * latencyBinsPerDoubling, latencyBins));
     for (int bin = underflowBin; bin < end; ++bin) {
-        count += of.bins.at(bin);
+        count += histogram.bins.at(bin);
     }
     return count;
 }
 
-std::vector<std::uint64_t> countsOf(const latency_histogram &of)
+std::vector<std::uint64_t> countsOf(const latency_histogram &histogram)
 {
     std::vector<std::uint64_t> counts;
     for (int bin = underflowBin; bin <= overflowBin; ++bin) {
-        counts.push_back(of.bins.at(bin));
+        counts.push_back(histogram.bins.at(bin));
     }
     while (!counts.empty() && counts.back() == 0) {
         counts.pop_back();
@@ -83,14 +83,14 @@
     return counts;
 }
 
-bool setCounts(latency_histogram &of, const std::vector<std::uint64_t> &counts)
+bool setCounts(latency_histogram &histogram, const std::vector<std::uint64_t> &counts)
 {
-    if (counts.size() > allBins) {
+    if (counts.size() > binsWithUnderAndOverflow) {
         return false;
     }
-    of.bins.reset();
+    histogram.bins.reset();
     for (std::size_t i = 0; i < counts.size(); ++i) {
-        of.bins.at(static_cast<int>(i) + underflowBin) = counts[i];
+        histogram.bins.at(static_cast<int>(i) + underflowBin) = counts[i];
     }
     return true;
 }
--- a/packages/state/latency.h
+++ b/packages/state/latency.h
@@ -12,8 +12,8 @@
 
 namespace briarhead {
 
-/// Four bins per doubling from 1 ms to 2^18 ms (about 4.4 min): a quantile is at most 19% too high. All
-/// instances of one release use the same axis, so their histograms add up.
+/// Four bins per doubling from 1 ms to 2^18 ms (about 4.4 min), so a reported quantile is at most 19% too
+/// high. All instances of a release use the same axis, so their histograms can be summed.
 constexpr std::size_t latencyDoublings = 18;
 constexpr std::size_t latencyBinsPerDoubling = 4;
 constexpr std::size_t latencyBins = latencyDoublings * latencyBinsPerDoubling;
@@ -30,27 +30,29 @@
 
 }
 
-/// How long something took, over many requests. Memory is fixed, whatever is recorded.
+/// A histogram of durations over many requests. Its memory does not grow with the number of samples.
 struct latency_histogram
 {
     detail::latency_bins bins = detail::makeLatencyBins();
     double sumMs = 0;
 };
 
-void record(latency_histogram &into, double ms);
+void record(latency_histogram &into, double durationMs);
 void merge(latency_histogram &into, const latency_histogram &from);
-std::uint64_t countOf(const latency_histogram &of);
+/// The total number of samples.
+std::uint64_t countOf(const latency_histogram &histogram);
 
-/// The upper edge of the bin that holds the quantile, in milliseconds; 0 without samples, and the end of the
-/// axis for a quantile past it.
-double quantileMs(const latency_histogram &of, double quantile);
+/// The upper edge, in milliseconds, of the bin that contains the quantile (0 to 1). 0 if there are no
+/// samples; maxLatencyMs if the quantile lies in the overflow bin.
+double quantileMs(const latency_histogram &histogram, double quantile);
 
-/// Samples at or under 2^doublings ms.
-std::uint64_t countBelow(const latency_histogram &of, std::size_t doublings);
+/// The number of samples in the bins below 2^doublings ms.
+std::uint64_t countBelow(const latency_histogram &histogram, std::size_t doublings);
 
-/// The counts from underflow to overflow, without the empty bins at the end.
-std::vector<std::uint64_t> countsOf(const latency_histogram &of);
-/// The reverse; false, and nothing set, for more counts than the axis has bins.
-bool setCounts(latency_histogram &of, const std::vector<std::uint64_t> &counts);
+/// The count of each bin from underflow to overflow, without the empty bins at the end.
+std::vector<std::uint64_t> countsOf(const latency_histogram &histogram);
+/// Sets the bins from the result of countsOf(). Returns false, and changes nothing, if there are more counts
+/// than bins.
+bool setCounts(latency_histogram &histogram, const std::vector<std::uint64_t> &counts);
 
 }
--- a/packages/state/outcome.h
+++ b/packages/state/outcome.h
@@ -9,33 +9,31 @@
 
 namespace briarhead {
 
-/// The three outcomes a caller can be told, and never a fourth.
-/// Done: the whole answer was delivered. NotRun: it is certain that no engine began the request.
-/// Unknown: it was handed over and its outcome cannot be had.
+/// The outcome of a request as reported to its caller. There are only these three.
 enum class outcome : std::uint8_t
 {
-    Done,
-    NotRun,
-    Unknown,
+    Done, ///< the complete response was delivered
+    NotRun, ///< it is certain that no engine started the request
+    Unknown, ///< the request was sent on, and whether it ran cannot be determined
 };
 
-/// The name used in answers and metrics: "done", "not_run", "unknown".
+/// The name used in responses and metrics: "done", "not_run", "unknown".
 std::string_view nameOf(outcome value);
 
-/// Why a request ended the way it did, with the time after which coming back helps (0: no hint).
+/// How a request ended.
 struct request_result
 {
     outcome result = outcome::NotRun;
-    error why;
-    millis retryAfter;
+    error why; ///< the reason, unless `result` is Done
+    millis retryAfter; ///< how long to wait before a retry can succeed; 0: unknown
 };
 
-/// The identity of one attempt at a request: unique over instances, restarts and time.
+/// Identifies one attempt at a request. Unique across instances, their restarts and time.
 struct request_id
 {
     std::string instance;
-    std::uint64_t incarnation = 0;
-    std::uint64_t sequence = 0;
+    std::uint64_t incarnation = 0; ///< of the instance's process
+    std::uint64_t sequence = 0; ///< counts the attempts of that process
 
     // clang-tidy 14 takes the zero in the generated comparisons for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
@@ -50,7 +48,7 @@
 /// "instance.incarnation.sequence", as sent in X-Request-Id.
 std::string toString(const request_id &id);
 
-/// An adapter at one version. Written "adapter:version" on the engines' wire.
+/// An adapter at one version. Written "adapter:version" in requests to engines.
 struct adapter_ref
 {
     std::string adapter;
--- a/packages/state/settings.cpp
+++ b/packages/state/settings.cpp
@@ -4,7 +4,7 @@
 #include "state/settings_schema.h"
 
 #include <nlohmann/json.hpp>
-// valijson asks for no warnings, and gives some.
+// The headers of valijson trigger these warnings.
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wshadow"
 #pragma GCC diagnostic ignored "-Wextra"
@@ -39,32 +39,34 @@
 
 const valijson::Schema &schema()
 {
-    static const auto parsed = [] {
-        auto made = std::make_unique<valijson::Schema>();
+    static const auto parsedSchema = [] {
+        auto result = std::make_unique<valijson::Schema>();
         valijson::SchemaParser parser;
-        parser.populateSchema(valijson::adapters::NlohmannJsonAdapter(schemaText()), *made);
-        return made;
+        parser.populateSchema(valijson::adapters::NlohmannJsonAdapter(schemaText()), *result);
+        return result;
     }();
-    return *parsed;
+    return *parsedSchema;
 }
 
-/// valijson writes a place as "<root>" and then each step in brackets: "[kv_urls]", "[0]".
-std::vector<std::string> stepsOf(const ValidationResults::Error &found)
+/// The path to a validation error, key by key. valijson writes it as "<root>" and then each key or index in
+/// brackets: "[kv_urls]", "[0]".
+std::vector<std::string> pathOf(const ValidationResults::Error &violation)
 {
-    std::vector<std::string> steps;
-    for (const auto &part : found.context) {
+    std::vector<std::string> keys;
+    for (const auto &part : violation.context) {
         if (part.size() > 2 && part.front() == '[' && part.back() == ']') {
-            steps.push_back(part.substr(1, part.size() - 2));
+            keys.push_back(part.substr(1, part.size() - 2));
         }
     }
-    return steps;
+    return keys;
 }
 
-std::string pointerOf(const std::vector<std::string> &steps)
+/// The path as a JSON pointer, "/" for the root.
+std::string pointerOf(const std::vector<std::string> &keys)
 {
     std::string path;
-    for (const auto &step : steps) {
-        path += detail::pointerTo({step});
+    for (const auto &key : keys) {
+        path += detail::pointerTo({key});
     }
     return path.empty() ? "/" : path;
 }
@@ -78,7 +80,7 @@
     return list;
 }
 
-/// The first key of the file that the schema doesn't know.
+/// The first key of the file that is not in the schema.
 std::optional<std::string> unknownKey(const json &from)
 {
     const auto &known = schemaText().at("properties");
@@ -90,6 +92,7 @@
     return std::nullopt;
 }
 
+/// The first required key that is absent from the file.
 std::optional<std::string> missingKey(const json &from)
 {
     for (const auto &key : schemaText().at("required")) {
@@ -105,101 +108,102 @@
     return schemaText().at("properties").at(key).value("description", "");
 }
 
-error badSetting(const std::string &file, const std::string &path, std::string detail)
+error settingError(const std::string &file, const std::string &path, std::string detail)
 {
     return {error_kind::BadSettings, file + ' ' + path, std::move(detail)};
 }
 
-/// What to say of a value that the schema turned down: what stands there and what is allowed.
-error explain(const json &from, const std::string &file, const ValidationResults &results)
+/// The error for a file that failed validation: the path, the value found there and what is allowed.
+error explainViolation(const json &from, const std::string &file, const ValidationResults &results)
 {
     if (!from.is_object()) {
-        return badSetting(file, "/", "must be one JSON object");
+        return settingError(file, "/", "must be one JSON object");
     }
     if (const auto key = unknownKey(from)) {
-        return badSetting(file, pointerOf({*key}), "is not a known key; known are " + knownKeys());
+        return settingError(file, pointerOf({*key}), "is not a known key; known are " + knownKeys());
     }
     if (const auto key = missingKey(from)) {
-        return badSetting(file, pointerOf({*key}), "is missing; it must be " + descriptionOf(*key));
+        return settingError(file, pointerOf({*key}), "is missing; it must be " + descriptionOf(*key));
     }
-    // The deepest place is the one to correct; its parents fail only because of it.
-    const auto deepest = std::ranges::max_element(results, {}, [](const auto &found) {
-        return found.context.size();
+    // Report the deepest violation: the enclosing values are invalid only because of it.
+    const auto deepest = std::ranges::max_element(results, {}, [](const auto &violation) {
+        return violation.context.size();
     });
-    const auto steps = deepest != results.end() ? stepsOf(*deepest) : std::vector<std::string>();
-    if (steps.empty()) {
-        return badSetting(file, "/", "does not fit the schema");
+    const auto keys = deepest != results.end() ? pathOf(*deepest) : std::vector<std::string>();
+    if (keys.empty()) {
+        return settingError(file, "/", "does not fit the schema");
     }
-    const auto path = pointerOf(steps);
-    const json::json_pointer place(path);
-    const auto value = from.contains(place) ? from.at(place).dump() : std::string("nothing");
-    return badSetting(file, path, "is " + value + "; it must be " + descriptionOf(steps.front()));
+    const auto path = pointerOf(keys);
+    const json::json_pointer pointer(path);
+    const auto value = from.contains(pointer) ? from.at(pointer).dump() : std::string("nothing");
+    return settingError(file, path, "is " + value + "; it must be " + descriptionOf(keys.front()));
 }
 
-bool isIpNumber(const std::string &text)
+bool isIpAddress(const std::string &text)
 {
     std::array<unsigned char, sizeof(in6_addr)> ignored{};
     return inet_pton(AF_INET, text.c_str(), ignored.data()) == 1
         || inet_pton(AF_INET6, text.c_str(), ignored.data()) == 1;
 }
 
-/// The rules that the schema can't express.
-bool checkBeyondSchema(const settings &all, const std::string &file, error &why)
+/// Checks the rules that the schema cannot express.
+bool checkBeyondSchema(const settings &parsed, const std::string &file, error &why)
 {
-    if (!isIpNumber(all.callerAddress)) {
-        why = badSetting(file, "/caller_address",
-            "is \"" + all.callerAddress + "\"; it must be " + descriptionOf("caller_address"));
+    if (!isIpAddress(parsed.callerAddress)) {
+        why = settingError(file, "/caller_address",
+            "is \"" + parsed.callerAddress + "\"; it must be " + descriptionOf("caller_address"));
         return false;
     }
-    if (!isIpNumber(all.peerAddress)) {
-        why = badSetting(file, "/peer_address",
-            "is \"" + all.peerAddress + "\"; it must be " + descriptionOf("peer_address"));
+    if (!isIpAddress(parsed.peerAddress)) {
+        why = settingError(file, "/peer_address",
+            "is \"" + parsed.peerAddress + "\"; it must be " + descriptionOf("peer_address"));
         return false;
     }
-    if (all.peerPort == all.callerPort && all.peerAddress == all.callerAddress) {
-        why = badSetting(file, "/peer_port",
-            "is " + std::to_string(all.peerPort) + ", the same as caller_port on the same address");
+    if (parsed.peerPort == parsed.callerPort && parsed.peerAddress == parsed.callerAddress) {
+        why = settingError(file, "/peer_port",
+            "is " + std::to_string(parsed.peerPort) + ", the same as caller_port on the same address");
         return false;
     }
     return true;
 }
 
 template <class value>
-void take(const json &from, const char *key, value &into)
+void readIfPresent(const json &from, const char *key, value &into)
 {
     if (const auto found = from.find(key); found != from.end()) {
         into = found->get<value>();
     }
 }
 
-void take(const json &from, const char *key, millis &into)
+void readIfPresent(const json &from, const char *key, millis &into)
 {
-    take(from, key, into.count);
+    readIfPresent(from, key, into.count);
 }
 
-settings readChecked(const json &from)
+/// Converts a file that is valid by the schema; absent keys keep their defaults.
+settings convert(const json &from)
 {
-    settings all;
-    take(from, "instance", all.instance);
-    take(from, "failure_domain", all.failureDomain);
-    take(from, "region", all.region);
-    take(from, "caller_address", all.callerAddress);
-    take(from, "caller_port", all.callerPort);
-    take(from, "peer_address", all.peerAddress);
-    take(from, "peer_port", all.peerPort);
-    take(from, "kv_urls", all.kvUrls);
-    take(from, "live_list_url", all.liveListUrl);
-    take(from, "peer_key", all.peerKey);
-    take(from, "operator_key_hashes", all.operatorKeyHashes);
-    take(from, "body_limit_bytes", all.bodyLimitBytes);
-    take(from, "log_level", all.logLevel);
-    take(from, "routing", all.routing);
-    take(from, "lease_ttl_ms", all.leaseTtl);
-    take(from, "probe_interval_ms", all.probeInterval);
-    take(from, "live_list_interval_ms", all.liveListInterval);
-    take(from, "drain_timeout_ms", all.drainTimeout);
-    take(from, "kv_timeout_ms", all.kvTimeout);
-    return all;
+    settings parsed;
+    readIfPresent(from, "instance", parsed.instance);
+    readIfPresent(from, "failure_domain", parsed.failureDomain);
+    readIfPresent(from, "region", parsed.region);
+    readIfPresent(from, "caller_address", parsed.callerAddress);
+    readIfPresent(from, "caller_port", parsed.callerPort);
+    readIfPresent(from, "peer_address", parsed.peerAddress);
+    readIfPresent(from, "peer_port", parsed.peerPort);
+    readIfPresent(from, "kv_urls", parsed.kvUrls);
+    readIfPresent(from, "live_list_url", parsed.liveListUrl);
+    readIfPresent(from, "peer_key", parsed.peerKey);
+    readIfPresent(from, "operator_key_hashes", parsed.operatorKeyHashes);
+    readIfPresent(from, "body_limit_bytes", parsed.bodyLimitBytes);
+    readIfPresent(from, "log_level", parsed.logLevel);
+    readIfPresent(from, "routing", parsed.routing);
+    readIfPresent(from, "lease_ttl_ms", parsed.leaseTtl);
+    readIfPresent(from, "probe_interval_ms", parsed.probeInterval);
+    readIfPresent(from, "live_list_interval_ms", parsed.liveListInterval);
+    readIfPresent(from, "drain_timeout_ms", parsed.drainTimeout);
+    readIfPresent(from, "kv_timeout_ms", parsed.kvTimeout);
+    return parsed;
 }
 
 }
@@ -209,19 +213,19 @@
     json from;
     try {
         from = json::parse(text);
-    } catch (const json::exception &wrong) {
-        why = badSetting(file, "/", std::string("is not valid JSON: ") + wrong.what());
+    } catch (const json::exception &failure) {
+        why = settingError(file, "/", std::string("is not valid JSON: ") + failure.what());
         return std::nullopt;
     }
     ValidationResults results;
-    // Strong types: the text "8080" is not a port number.
+    // Strong types: the string "8080" is not accepted as a port number.
     valijson::Validator validator(valijson::Validator::kStrongTypes);
     if (!validator.validate(schema(), valijson::adapters::NlohmannJsonAdapter(from), &results)) {
-        why = explain(from, file, results);
+        why = explainViolation(from, file, results);
         return std::nullopt;
     }
-    auto all = readChecked(from);
-    return checkBeyondSchema(all, file, why) ? std::optional(std::move(all)) : std::nullopt;
+    auto parsed = convert(from);
+    return checkBeyondSchema(parsed, file, why) ? std::optional(std::move(parsed)) : std::nullopt;
 }
 
 std::optional<settings> readSettings(const std::string &path, error &why)
--- a/packages/state/settings_schema.h
+++ b/packages/state/settings_schema.h
@@ -4,8 +4,8 @@
 
 namespace briarhead::detail {
 
-/// The JSON schema of the settings file, checked at start. Each key's description, range and default
-/// stand here and nowhere else.
+/// The JSON schema that the settings file is validated against at startup. The single source of each key's
+/// range and of its description in error messages.
 constexpr std::string_view settingsSchema = R"schema({
   "$schema": "http://json-schema.org/draft-07/schema#",
   "title": "briarhead settings",
@@ -25,17 +25,17 @@
     "region": {"$ref": "#/definitions/name",
       "description": "the region it serves: 1 to 64 letters, digits and \"._-\""},
     "caller_address": {"type": "string", "default": "127.0.0.1",
-      "description": "an IP number, where callers and operators connect"},
+      "description": "an IP address on which callers and operators connect"},
     "caller_port": {"$ref": "#/definitions/port", "default": 8080,
       "description": "a port from 1 to 65535, for callers and operators"},
     "peer_address": {"type": "string", "default": "127.0.0.1",
-      "description": "an IP number, for UDP and TCP between daemons"},
+      "description": "an IP address for UDP and TCP between daemons"},
     "peer_port": {"$ref": "#/definitions/port", "default": 8081,
-      "description": "a port from 1 to 65535, for UDP and TCP between daemons; not caller_port"},
+      "description": "a port from 1 to 65535, for UDP and TCP between daemons; different from caller_port"},
     "kv_urls": {"type": "array", "minItems": 1, "maxItems": 16, "items": {"$ref": "#/definitions/url"},
-      "description": "1 to 16 URLs of the key-value service, such as \"http://10.0.0.5:2379\", by IP number"},
+      "description": "1 to 16 URLs of the key-value service, such as \"http://10.0.0.5:2379\", with an IP address as the host"},
     "live_list_url": {"$ref": "#/definitions/url",
-      "description": "the URL of the live list, such as \"http://10.0.0.6:8500\", by IP number"},
+      "description": "the URL of the live list, such as \"http://10.0.0.6:8500\", with an IP address as the host"},
     "peer_key": {"type": "string", "pattern": "^[0-9a-f]{64}$",
       "description": "64 hexadecimal digits in lower case, the same on every daemon; `openssl rand -hex 32` makes one"},
     "operator_key_hashes": {"type": "array", "maxItems": 64, "default": [],
@@ -48,15 +48,15 @@
     "routing": {"enum": ["briarhead", "random", "least_loaded", "rendezvous_lru"], "default": "briarhead",
       "description": "\"briarhead\", or a baseline for measurement: \"random\", \"least_loaded\", \"rendezvous_lru\""},
     "lease_ttl_ms": {"type": "integer", "minimum": 1000, "maximum": 120000, "default": 10000,
-      "description": "a whole number of milliseconds from 1000 to 120000: the ownership lease of a small fleet"},
+      "description": "a whole number of milliseconds from 1000 to 120000: the ownership lease in a small fleet"},
     "probe_interval_ms": {"type": "integer", "minimum": 50, "maximum": 60000, "default": 500,
-      "description": "a whole number of milliseconds from 50 to 60000: between probes of a peer"},
+      "description": "a whole number of milliseconds from 50 to 60000: the interval between probes of a peer"},
     "live_list_interval_ms": {"type": "integer", "minimum": 100, "maximum": 600000, "default": 2000,
-      "description": "a whole number of milliseconds from 100 to 600000: between reads of the live list"},
+      "description": "a whole number of milliseconds from 100 to 600000: the interval between reads of the live list"},
     "drain_timeout_ms": {"type": "integer", "minimum": 0, "maximum": 3600000, "default": 120000,
-      "description": "a whole number of milliseconds from 0 to 3600000: the longest graceful shutdown"},
+      "description": "a whole number of milliseconds from 0 to 3600000: the maximum duration of a graceful shutdown"},
     "kv_timeout_ms": {"type": "integer", "minimum": 50, "maximum": 60000, "default": 1000,
-      "description": "a whole number of milliseconds from 50 to 60000: the longest call to the key-value service"}
+      "description": "a whole number of milliseconds from 50 to 60000: the timeout of a call to the key-value service"}
   }
 })schema";
 
--- a/tests/unit/burn_test.cpp
+++ b/tests/unit/burn_test.cpp
@@ -18,25 +18,26 @@
 constexpr millis start{1'000'000'000};
 const target_config summaries{"group:lecturers", "summary-*", {500}, {4'000}, 0.95, 20};
 
-request_record done(std::int64_t firstTokenMs, std::int64_t wholeMs, std::int64_t stallMs = 0)
+request_record completed(std::int64_t firstTokenMs, std::int64_t endToEndMs, std::int64_t stallMs = 0)
 {
     return {"ana", "summary-biology", "e1", false, outcome::Done, error_kind::None, priority::Normal,
-        {firstTokenMs}, {wholeMs}, {stallMs}, {}, 40};
+        {firstTokenMs}, {endToEndMs}, {stallMs}, {}, 40};
 }
 
 request_record failed(error_kind why)
 {
-    request_record request = done(0, 100);
+    request_record request = completed(0, 100);
     request.result = outcome::NotRun;
     request.why = why;
     request.tokens = 0;
     return request;
 }
 
+/// The cause if the request misses the target `summaries`.
 std::optional<burn_cause> causeOf(const request_record &request)
 {
-    const auto verdict = judge(summaries, request);
-    return verdict && verdict->missed ? std::optional(verdict->cause) : std::nullopt;
+    const auto result = judge(summaries, request);
+    return result && result->missed ? std::optional(result->cause) : std::nullopt;
 }
 
 burn_report reportOf(const burn_track &track, millis now)
@@ -52,12 +53,12 @@
     return report.value_or(burn_report{});
 }
 
-TEST(Judgement, AttributesAMiss)
+TEST(Judgement, AttributesAMissToItsCause)
 {
-    EXPECT_EQ(causeOf(done(500, 4'000)), std::nullopt);
-    EXPECT_EQ(causeOf(done(1'200, 3'000, 900)), burn_cause::LoadStall);
-    EXPECT_EQ(causeOf(done(400, 4'001)), burn_cause::Other);
-    request_record queued = done(1'200, 3'000, 100);
+    EXPECT_EQ(causeOf(completed(500, 4'000)), std::nullopt);
+    EXPECT_EQ(causeOf(completed(1'200, 3'000, 900)), burn_cause::LoadStall);
+    EXPECT_EQ(causeOf(completed(400, 4'001)), burn_cause::Other);
+    request_record queued = completed(1'200, 3'000, 100);
     queued.queued = {900};
     EXPECT_EQ(causeOf(queued), burn_cause::Queueing);
     EXPECT_EQ(causeOf(failed(error_kind::Overloaded)), burn_cause::Refusal);
@@ -68,28 +69,28 @@
     EXPECT_EQ(causeOf(timedOut), burn_cause::FailedServer);
     timedOut.stall = timedOut.whole;
     EXPECT_EQ(causeOf(timedOut), burn_cause::LoadStall);
-    EXPECT_EQ(causeOf(done(0, 501)), burn_cause::Other);
+    EXPECT_EQ(causeOf(completed(0, 501)), burn_cause::Other);
     EXPECT_FALSE(judge(summaries, failed(error_kind::Forbidden)).has_value());
 }
 
-TEST(Judgement, ConcernsItsCallersAndAdapters)
+TEST(Judgement, TargetConcernsOnlyItsCallersAndAdapters)
 {
-    config at;
-    at.callers.mutableEntries()["ana"].groups = {"lecturers"};
-    request_record request = done(1, 1);
-    EXPECT_TRUE(concerns(summaries, at, request));
+    config configuration;
+    configuration.callers.mutableEntries()["ana"].groups = {"lecturers"};
+    request_record request = completed(1, 1);
+    EXPECT_TRUE(concerns(summaries, configuration, request));
     request.adapter = "lists-biology";
-    EXPECT_FALSE(concerns(summaries, at, request));
+    EXPECT_FALSE(concerns(summaries, configuration, request));
     request.caller = "eve";
-    EXPECT_FALSE(concerns({"group:lecturers"}, at, request));
-    EXPECT_TRUE(concerns({"*"}, at, request));
+    EXPECT_FALSE(concerns({"group:lecturers"}, configuration, request));
+    EXPECT_TRUE(concerns({"*"}, configuration, request));
     request.service = true;
-    EXPECT_TRUE(concerns({"*"}, at, request));
-    EXPECT_FALSE(concerns({"*", "*"}, at, request));
+    EXPECT_TRUE(concerns({"*"}, configuration, request));
+    EXPECT_FALSE(concerns({"*", "*"}, configuration, request));
 }
 
-// The ring must agree with a plain list of times, whatever pauses lie between the requests.
-RC_GTEST_PROP(BurnRing, CountsWhatAListCounts, ())
+// The ring must count as many requests as a plain list of times, whatever the pauses between the requests.
+RC_GTEST_PROP(BurnRing, CountsAsManyRequestsAsAPlainList, ())
 {
     burn_ring ring{{10'000}, 360};
     std::vector<std::int64_t> buckets;
@@ -102,21 +103,22 @@
     now = now + millis{*rc::gen::inRange(0, 7'200'000)};
     for (const millis span : {minute, millis{300'000}, hour}) {
         const std::int64_t oldest = now.count / 10'000 - span.count / 10'000;
-        const auto expected = std::ranges::count_if(buckets, [&](auto each) {
-            return each > oldest;
+        const auto expected = std::ranges::count_if(buckets, [&](auto bucket) {
+            return bucket > oldest;
         });
         RC_ASSERT(missedOf(countsWithin(ring, span, now)) == static_cast<std::uint64_t>(expected));
     }
 }
 
-TEST(BurnTrack, ReportsRatesPenaltiesAndWhatItRemembers)
+TEST(BurnTrack, ReportsRatesPenaltiesAndCoverage)
 {
     burn_track track{start};
     for (int i = 0; i < 90; ++i) {
-        add(track, done(100, 1'000), {}, start);
+        add(track, completed(100, 1'000), {}, start);
     }
     for (int i = 0; i < 10; ++i) {
-        add(track, done(900, 1'000, 800), {true, burn_cause::LoadStall}, start + millis{20 * minute.count});
+        add(track, completed(900, 1'000, 800), {true, burn_cause::LoadStall},
+            start + millis{20 * minute.count});
     }
     const millis now = start + millis{30 * minute.count};
     const burn_report report = reportOf(track, now);
@@ -134,10 +136,10 @@
     EXPECT_EQ(levelOf(target), burn_level::Slow);
 }
 
-TEST(BurnTrack, NamesABoundedNumberOfCallersAndForgetsIdleOnes)
+TEST(BurnTrack, ListsALimitedNumberOfCallersAndDropsIdleOnes)
 {
     burn_track track{start};
-    request_record request = done(1, 1);
+    request_record request = completed(1, 1);
     for (std::size_t i = 0; i < 3 * maxBurnCallers; ++i) {
         request.caller = "caller-" + std::to_string(i);
         add(track, request, {}, start);
@@ -148,27 +150,28 @@
     EXPECT_TRUE(track.byCaller.contains(request.caller));
 }
 
-TEST(BurnLevel, NeedsBothWindows)
+TEST(BurnLevel, DropsWhenTheShortWindowRecovers)
 {
     burn_track track{start};
     for (int i = 0; i < 20; ++i) {
-        add(track, done(900, 1'000), {true, burn_cause::Other}, start);
+        add(track, completed(900, 1'000), {true, burn_cause::Other}, start);
     }
     EXPECT_EQ(levelOf(reportOf(track, start + minute).targets.front()), burn_level::Fast);
     const millis after = start + millis{40 * minute.count};
     EXPECT_EQ(levelOf(reportOf(track, after).targets.front()), burn_level::Slow);
 }
 
-TEST(MergeBurn, SumsInstancesAndSaysHowManyAnswered)
+TEST(MergeBurn, SumsInstancesAndCountsThoseThatResponded)
 {
     burn_track track{start};
-    add(track, done(100, 1'000), {}, start);
-    add(track, done(900, 1'000, 800), {true, burn_cause::LoadStall}, start);
+    add(track, completed(100, 1'000), {}, start);
+    add(track, completed(900, 1'000, 800), {true, burn_cause::LoadStall}, start);
     burn_report older = reportOf(track, start + hour);
     older.configVersion = 6;
     older.targets.front().share = 0.5;
-    const std::string one = toJson(reportOf(track, start + hour));
-    const burn_report sum = reparsed(mergeBurn({toJson(older), one, "", "{\"targets\":[{}]}", one}, 6));
+    const std::string current = toJson(reportOf(track, start + hour));
+    const burn_report sum =
+        reparsed(mergeBurn({toJson(older), current, "", "{\"targets\":[{}]}", current}, 6));
     EXPECT_EQ(sum.answered, 3U);
     EXPECT_EQ(sum.known, 6U);
     const target_burn &target = sum.targets.at(0);
@@ -180,7 +183,7 @@
     EXPECT_NEAR(coverage(sum, windowOf(target, burn_span::Day), burn_span::Day), 0.5 / 24, 1e-9);
 }
 
-TEST(MergeBurn, KeepsTheWorstCallersNames)
+TEST(MergeBurn, ListsTheCallersWithTheMostMisses)
 {
     burn_report report{1, 1, 1, {describe("summaries", summaries, nullptr, start)}};
     for (std::uint64_t i = 0; i < 2 * maxReportCallers; ++i) {
@@ -198,57 +201,58 @@
     EXPECT_EQ(total, maxReportCallers * (2 * maxReportCallers - 1));
 }
 
-bool holds(const std::string &text, const std::string &part)
+bool contains(const std::string &text, const std::string &part)
 {
     return text.find(part) != std::string::npos;
 }
 
-// An operator reads a small figure after a rolling replacement and takes the service to be well. The new
-// instances have forgotten the misses of the old ones, so the report has to say what it can't know.
-TEST(BurnReport, SaysWhatTheInstancesForgotOrDidNotAnswer)
+// After a rolling restart the new instances have no counts of the earlier misses. The report must say what it
+// lacks, or an operator takes the low figures to mean that the service is healthy.
+TEST(BurnReport, StatesMissingCountsAndInstancesWithoutResponse)
 {
     burn_track track{start};
-    add(track, done(900, 1'000, 800), {true, burn_cause::LoadStall}, start);
+    add(track, completed(900, 1'000, 800), {true, burn_cause::LoadStall}, start);
     burn_report report = reportOf(track, start + millis{12 * hour.count});
     const std::string restarted = burnTable(report);
-    EXPECT_TRUE(holds(restarted, "The instances remember 50.0% of the last day")) << restarted;
+    EXPECT_TRUE(contains(restarted, "The instances remember 50.0% of the last day")) << restarted;
     report.known = 2;
-    EXPECT_TRUE(holds(burnTable(report), "1 of 2 instances did not answer"));
-    EXPECT_TRUE(holds(burnPage(report, millis{0}), "1 of 2 instances did not answer"));
-    const std::string whole = burnTable(reportOf(track, start + millis{48 * hour.count}));
-    EXPECT_FALSE(holds(whole, "remember "));
+    EXPECT_TRUE(contains(burnTable(report), "1 of 2 instances did not answer"));
+    EXPECT_TRUE(contains(burnPage(report, millis{0}), "1 of 2 instances did not answer"));
+    const std::string complete = burnTable(reportOf(track, start + millis{48 * hour.count}));
+    EXPECT_FALSE(contains(complete, "remember "));
 }
 
-TEST(BurnReport, PutsTheMostUrgentTargetFirst)
+TEST(BurnReport, ListsTheMostUrgentTargetFirst)
 {
     burn_track track{start};
     for (int i = 0; i < 20; ++i) {
-        add(track, done(900, 1'000), {true, burn_cause::Refusal}, start);
+        add(track, completed(900, 1'000), {true, burn_cause::Refusal}, start);
     }
     burn_report report = reportOf(track, start + minute);
     report.targets.insert(report.targets.begin(), describe("idle", summaries, nullptr, start));
     EXPECT_EQ(detail::byUrgency(report).front()->name, "summaries");
     const std::string text = burnTable(report);
     EXPECT_LT(text.find("summaries [fast]"), text.find("idle [fine]"));
-    EXPECT_TRUE(holds(text, "causes in a day: refusal 20 (100.0%)")) << text;
-    EXPECT_TRUE(holds(text, "penalty: 400.00 in the last day; 576,000.00 a day")) << text;
+    EXPECT_TRUE(contains(text, "causes in a day: refusal 20 (100.0%)")) << text;
+    EXPECT_TRUE(contains(text, "penalty: 400.00 in the last day; 576,000.00 a day")) << text;
 }
 
-// A name from a patch holds markup; a manager opens the page, and the browser runs it or breaks the layout.
-TEST(BurnPage, EscapesNamesAndLoadsNothing)
+// Names from a patch can contain markup, which would run in the browser of whoever opens the page or break
+// its layout.
+TEST(BurnPage, EscapesNamesAndLoadsNoResources)
 {
     burn_track track{start};
-    request_record request = done(900, 1'000);
+    request_record request = completed(900, 1'000);
     request.caller = "<script>x</script>";
     add(track, request, {true, burn_cause::Other}, start);
     burn_report report = reportOf(track, start + minute);
     report.targets.front().name = "<img src=\"x\">";
     report.targets.front().callers = "<b>";
     const std::string page = burnPage(report, millis{0});
-    EXPECT_TRUE(holds(page, "&lt;script&gt;"));
-    EXPECT_TRUE(holds(page, "1970-01-01 00:00 UTC"));
+    EXPECT_TRUE(contains(page, "&lt;script&gt;"));
+    EXPECT_TRUE(contains(page, "1970-01-01 00:00 UTC"));
     for (const std::string forbidden : {"<script", "<img", "<b><", "src=\"", "href=", "url(", "http"}) {
-        EXPECT_FALSE(holds(page, forbidden)) << forbidden;
+        EXPECT_FALSE(contains(page, forbidden)) << forbidden;
     }
 }
 
@@ -257,8 +261,8 @@
     auto samples = *rc::gen::nonEmpty(
         rc::gen::container<std::vector<int>>(rc::gen::inRange(1, static_cast<int>(maxLatencyMs))));
     latency_histogram times;
-    for (const int each : samples) {
-        record(times, each);
+    for (const int sample : samples) {
+        record(times, sample);
     }
     std::ranges::sort(samples);
     const double median = samples[(samples.size() - 1) / 2];
--- a/tests/unit/codec_test.cpp
+++ b/tests/unit/codec_test.cpp
@@ -30,31 +30,31 @@
         {"gpu-1", 3, 2, 8, 1}, {"gpu-1", "gpu-2"}};
 }
 
-// Refusals with a reason that came with a later release were dropped as unreadable, and whoever had asked
-// waited in vain for an answer.
-TEST(codec, takesEachReasonAndEventOfPlaces)
+// Guards against an enumerator that is added without updating lastOf(): slot responses with that reason are
+// dropped as unreadable, and the entry never gets a response.
+TEST(codec, decodesEachRefusalReasonAndSlotEvent)
 {
     using enum refusal;
-    for (const refusal each :
+    for (const refusal reason :
         {None, TooBusy, NoSlot, NotOwner, ServerLeaving, ModelNotLoaded, LoadTooSlow, Limited}) {
         error why;
-        const slot_response sent{"id", "s", slot_decision::Refused, each, 3, 250, 1'500};
+        const slot_response sent{"id", "s", slot_decision::Refused, reason, 3, 250, 1'500};
         const auto got = decodeFleetDatagram(encode(fleet_datagram{"n", 1, sent}), why);
-        ASSERT_TRUE(got) << nameOf(each) << ": " << message(why);
-        EXPECT_EQ(std::get<slot_response>(got->body).why, each);
+        ASSERT_TRUE(got) << nameOf(reason) << ": " << message(why);
+        EXPECT_EQ(std::get<slot_response>(got->body).why, reason);
         EXPECT_EQ(std::get<slot_response>(got->body).limitMilli, 1'500);
     }
-    for (const slot_event each : {slot_event::FirstToken, slot_event::Ended, slot_event::AdapterNotLoaded,
+    for (const slot_event event : {slot_event::FirstToken, slot_event::Ended, slot_event::AdapterNotLoaded,
              slot_event::Failed, slot_event::NotSent}) {
         error why;
         const auto got =
-            decodeFleetDatagram(encode(fleet_datagram{"n", 1, slot_report{"id", "s", each}}), why);
-        ASSERT_TRUE(got) << static_cast<int>(each) << ": " << message(why);
-        EXPECT_EQ(std::get<slot_report>(got->body).event, each);
+            decodeFleetDatagram(encode(fleet_datagram{"n", 1, slot_report{"id", "s", event}}), why);
+        ASSERT_TRUE(got) << static_cast<int>(event) << ": " << message(why);
+        EXPECT_EQ(std::get<slot_report>(got->body).event, event);
     }
 }
 
-TEST(codec, keepsEveryFieldOfAMessage)
+TEST(codec, decodedMessageHasTheFieldsThatWereSent)
 {
     error why;
     const run_end sent = fullRunEnd();
@@ -69,7 +69,7 @@
     EXPECT_EQ(got.replicas, sent.replicas);
 }
 
-TEST(codec, keepsADatagramSmall)
+TEST(codec, fullDatagramTakesAtMost300Bytes)
 {
     error why;
     const std::string bytes = encode(fullDatagram());
@@ -80,7 +80,8 @@
     EXPECT_EQ(decoded->introductions.front().failureDomain, "vz-centar");
 }
 
-RC_GTEST_PROP(codec, keepsAnyRequest, (const std::string &body, std::int64_t deadline, std::uint64_t prefix))
+RC_GTEST_PROP(
+    codec, decodesAnyRequestUnchanged, (const std::string &body, std::int64_t deadline, std::uint64_t prefix))
 {
     run_request request;
     request.body = body;
@@ -94,9 +95,9 @@
     RC_ASSERT(std::get<run_request>(*decoded).prefix == prefix);
 }
 
-// A daemon crashes, or answers a request that nobody sent, after a datagram was cut short or changed on
-// its way: whatever bytes come, they are either a whole message or refused with a reason.
-TEST(codec, refusesEveryTruncationAndAnythingLeftOver)
+// Guards against a daemon that crashes, or handles a request that was never sent, after it received a
+// truncated or corrupted datagram. Input is either exactly one message or rejected with a reason.
+TEST(codec, rejectsTruncatedMessagesAndExtraBytes)
 {
     const std::string datagram = encode(fullDatagram());
     const std::string frame = encode(peer_message(fullRunEnd()));
@@ -114,7 +115,7 @@
     EXPECT_FALSE(decodePeerMessage(frame + '\0', why));
 }
 
-RC_GTEST_PROP(codec, survivesRandomBytes, (const std::vector<char> &bytes))
+RC_GTEST_PROP(codec, decodesRandomBytesWithoutCrash, (const std::vector<char> &bytes))
 {
     const std::string_view input(bytes.data(), bytes.size());
     error why;
@@ -126,38 +127,40 @@
     }
 }
 
-RC_GTEST_PROP(codec, survivesChangedBytes, ())
+RC_GTEST_PROP(codec, decodesCorruptedBytesWithoutCrash, ())
 {
     std::string bytes = encode(peer_message(fullRunEnd()));
-    const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
-    bytes[at] = *rc::gen::arbitrary<char>();
+    const auto index = *rc::gen::inRange<std::size_t>(0, bytes.size());
+    bytes[index] = *rc::gen::arbitrary<char>();
     error why;
     (void)decodePeerMessage(bytes, why);
     std::string datagram = encode(fullDatagram());
-    datagram[at % datagram.size()] = *rc::gen::arbitrary<char>();
+    datagram[index % datagram.size()] = *rc::gen::arbitrary<char>();
     (void)decodePeerDatagram(datagram, why);
 }
 
-// A daemon is killed for taking all memory: a corrupt length claims exabytes, and the decoder makes room
-// before it looks for the bytes. The claim must be refused by the bytes that are really there.
-TEST(codec, refusesLengthsThatTheInputCannotHold)
+// Guards against a daemon that is killed for exhausting memory: a corrupt length claims exabytes, and the
+// decoder allocates them before it looks for the bytes. Lengths must be checked against the bytes that are
+// there.
+TEST(codec, rejectsLengthsBeyondTheInput)
 {
     const std::string huge("\xff\xff\xff\xff\xff\xff\xff\xff\x7f", 9);
     const std::string runBytes = encode(peer_message(run_bytes{}));
-    const std::string answer = encode(peer_message(config_response{}));
+    const std::string response = encode(peer_message(config_response{}));
     error why;
     EXPECT_FALSE(decodePeerMessage(runBytes.substr(0, runBytes.size() - 1) + huge, why));
-    EXPECT_FALSE(decodePeerMessage(answer.substr(0, answer.size() - 1) + huge, why));
-    // A list of pairs of empty texts takes two bytes each here, and far more in memory.
-    const std::string many("\x81\x80\x04", 3);
+    EXPECT_FALSE(decodePeerMessage(response.substr(0, response.size() - 1) + huge, why));
+    // An element of this list, a pair of empty strings, takes two bytes in encoded form and far more in
+    // memory.
+    const std::string tooManyElements("\x81\x80\x04", 3);
     static_assert(maxListElements == 0x10000);
     const std::string pairs(2 * (maxListElements + 1), '\0');
-    EXPECT_FALSE(decodePeerMessage(answer.substr(0, answer.size() - 1) + many + pairs, why));
+    EXPECT_FALSE(decodePeerMessage(response.substr(0, response.size() - 1) + tooManyElements + pairs, why));
 }
 
-// A peer of another release sends an error kind that this one doesn't know; taken in, it would index the
-// table of error texts past its end.
-TEST(codec, refusesUnknownEnumerators)
+// A peer of another release sends an error kind that this release does not know. If it were accepted, it
+// would index the table of error texts past its end.
+TEST(codec, rejectsUnknownEnumeratorsAndDatagramsBeyondTheLimits)
 {
     run_end sent = fullRunEnd();
     sent.why = static_cast<error_kind>(200);
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -21,18 +21,20 @@
     return patch.value_or(config_patch{});
 }
 
-config_ptr applied(const config_ptr &at, const std::string &set, const std::string &remove = "{}")
+/// The configuration with the patch applied, which must succeed.
+config_ptr applied(const config_ptr &base, const std::string &set, const std::string &remove = "{}")
 {
     error why;
-    auto next = applyPatch(*at, patchOf(at->version, set, remove), why);
+    auto next = applyPatch(*base, patchOf(base->version, set, remove), why);
     EXPECT_TRUE(next) << message(why);
-    return next ? next : at;
+    return next ? next : base;
 }
 
-error refused(const config_ptr &at, const std::string &set, const std::string &remove = "{}")
+/// The error for a patch that must be refused.
+error refused(const config_ptr &base, const std::string &set, const std::string &remove = "{}")
 {
     error why;
-    EXPECT_FALSE(applyPatch(*at, patchOf(at->version, set, remove), why));
+    EXPECT_FALSE(applyPatch(*base, patchOf(base->version, set, remove), why));
     return why;
 }
 
@@ -47,7 +49,7 @@
     return "{\"key_hash\":\"" + keyHash(key) + "\",\"groups\":" + groups + '}';
 }
 
-config_ptr sample()
+config_ptr sampleConfig()
 {
     return applied(emptyConfig(),
         R"({"adapters":{"lib/lists":)" + adapterText(2) + R"(,"lib/sums":)" + adapterText(1)
@@ -63,7 +65,7 @@
             "policy":{"stall_weight":0.75}})");
 }
 
-/// A random change of a few adapters, some of which may not exist yet.
+/// Sets a few random adapters, some of which may not exist yet.
 std::string randomSet()
 {
     const auto count = *rc::gen::inRange(1, 5);
@@ -77,26 +79,26 @@
 
 }
 
-TEST(Config, FindsTheMostSpecificRule)
+TEST(Config, UsesTheMostSpecificRuleAndService)
 {
-    const auto at = sample();
-    EXPECT_EQ(findAdapterRule(*at, "ana", "lib/sums")->bestPriority, priority::Urgent);
-    EXPECT_EQ(findAdapterRule(*at, "ana", "lib/lists")->bestPriority, priority::High)
+    const auto base = sampleConfig();
+    EXPECT_EQ(findAdapterRule(*base, "ana", "lib/sums")->bestPriority, priority::Urgent);
+    EXPECT_EQ(findAdapterRule(*base, "ana", "lib/lists")->bestPriority, priority::High)
         << "the better of two groups";
-    EXPECT_EQ(findAdapterRule(*at, "bo", "lib/lists")->bestPriority, priority::Low);
-    EXPECT_NE(findServiceRule(*at, "ana", "orders"), nullptr);
-    EXPECT_EQ(findServiceRule(*at, "bo", "orders"), nullptr);
-    EXPECT_EQ(*findCaller(*at, keyHash("b")), "bo");
-    EXPECT_EQ(findCaller(*at, keyHash("c")), nullptr);
+    EXPECT_EQ(findAdapterRule(*base, "bo", "lib/lists")->bestPriority, priority::Low);
+    EXPECT_NE(findServiceRule(*base, "ana", "orders"), nullptr);
+    EXPECT_EQ(findServiceRule(*base, "bo", "orders"), nullptr);
+    EXPECT_EQ(*findCaller(*base, keyHash("b")), "bo");
+    EXPECT_EQ(findCaller(*base, keyHash("c")), nullptr);
     std::string name;
-    EXPECT_TRUE(findService(*at, "/orders/status/7", name)->idempotent);
+    EXPECT_TRUE(findService(*base, "/orders/status/7", name)->idempotent);
     EXPECT_EQ(name, "status");
-    EXPECT_EQ(findService(*at, "/ordersx", name), nullptr);
+    EXPECT_EQ(findService(*base, "/ordersx", name), nullptr);
 }
 
-TEST(Config, RefusesBrokenReferencesAndNamesThePath)
+TEST(Config, RefusesInvalidEntriesAndReferencesWithTheirPath)
 {
-    const auto at = sample();
+    const auto base = sampleConfig();
     const std::pair<const char *, const char *> cases[]{
         {R"({"adapters":{"x":{"base_model":"b","active":4,"versions":[1]}}})", "/set/adapters/x/active"},
         {R"({"adapters":{"x:1":{"base_model":"b","active":1,"versions":[1]}}})", "/set/adapters/x:1"},
@@ -116,15 +118,15 @@
         {R"({"policy":{"stall_weight":2}})", "/set/policy/stall_weight"},
     };
     for (const auto &[set, where] : cases) {
-        const auto why = refused(at, set);
+        const auto why = refused(base, set);
         EXPECT_EQ(why.kind, error_kind::BadPatch);
         EXPECT_EQ(why.where, where) << message(why);
     }
-    EXPECT_EQ(refused(at, "{}", R"({"adapters":["lib/sums"]})").where, "/rules/one/adapters");
-    EXPECT_EQ(refused(at, "{}", R"({"services":["gone"]})").where, "/remove/services");
+    EXPECT_EQ(refused(base, "{}", R"({"adapters":["lib/sums"]})").where, "/rules/one/adapters");
+    EXPECT_EQ(refused(base, "{}", R"({"services":["gone"]})").where, "/remove/services");
 }
 
-TEST(Config, RefusesPatchesOfAWrongShape)
+TEST(Config, RefusesMalformedPatchesWithThePath)
 {
     const std::pair<std::string, const char *> cases[]{
         {R"({"base":1,"id":"x","set":{"adaptors":{}}})", "/set/adaptors"},
@@ -146,21 +148,21 @@
     }
 }
 
-TEST(Config, RefusesAStaleBaseWithTheCurrentVersion)
+TEST(Config, RefusesAStaleBaseAndNamesTheCurrentVersion)
 {
     error why;
-    EXPECT_FALSE(applyPatch(*sample(), patchOf(0, R"({"policy":{"max_replicas":2}})"), why));
+    EXPECT_FALSE(applyPatch(*sampleConfig(), patchOf(0, R"({"policy":{"max_replicas":2}})"), why));
     EXPECT_EQ(why.kind, error_kind::StalePatch);
     EXPECT_NE(why.detail.find("current version is 1"), std::string::npos);
 }
 
-TEST(Config, DescribesADryRun)
+TEST(Config, DescribesTheDifferencesThatAPatchMakes)
 {
     const auto patch = patchOf(1,
         R"({"adapters":{"new":)" + adapterText(1) + R"(,"lib/sums":)" + adapterText(3) + R"(,"lib/lists":)"
             + adapterText(2) + R"(},"policy":{"max_replicas":8}})",
         R"({"rules":["any"]})");
-    const auto lines = describePatch(*sample(), patch);
+    const auto lines = describePatch(*sampleConfig(), patch);
     ASSERT_EQ(lines.size(), 4U) << "an entry that stays as it is makes no line";
     EXPECT_TRUE(lines[0].starts_with("~ adapters/lib/sums "));
     EXPECT_TRUE(lines[1].starts_with("+ adapters/new "));
@@ -168,39 +170,39 @@
     EXPECT_EQ(lines[3], "~ policy/max_replicas 4 -> 8");
 }
 
-TEST(Config, SharesWhatAPatchLeavesAlone)
+TEST(Config, SharesSectionsThatAPatchDoesNotChange)
 {
-    const auto at = sample();
-    const auto next = applied(at, R"({"adapters":{"lib/sums":)" + adapterText(3) + "}}");
+    const auto base = sampleConfig();
+    const auto next = applied(base, R"({"adapters":{"lib/sums":)" + adapterText(3) + "}}");
     std::size_t copied = 0;
     for (std::size_t i = 0; i < adapterShards; ++i) {
-        copied += next->adapters[i].sharesEntriesWith(at->adapters[i]) ? 0 : 1;
+        copied += next->adapters[i].sharesEntriesWith(base->adapters[i]) ? 0 : 1;
     }
     EXPECT_EQ(copied, 1U);
-    EXPECT_EQ(next->index, at->index);
-    EXPECT_EQ(findAdapter(*at, "lib/sums")->active, 1U)
+    EXPECT_EQ(next->index, base->index);
+    EXPECT_EQ(findAdapter(*base, "lib/sums")->active, 1U)
         << "a request keeps the version it was admitted under";
     EXPECT_EQ(findAdapter(*next, "lib/sums")->active, 3U);
 }
 
-RC_GTEST_PROP(ConfigProperty, PatchesRaiseTheVersionByOneAndSurviveChunks, ())
+RC_GTEST_PROP(ConfigProperty, PatchesIncrementTheVersionAndChunksGiveTheSameConfig, ())
 {
-    auto at = sample();
+    auto current = sampleConfig();
     for (int step = *rc::gen::inRange(1, 6); step > 0; --step) {
         error why;
-        const auto next = applyPatch(*at, patchOf(at->version, randomSet()), why);
+        const auto next = applyPatch(*current, patchOf(current->version, randomSet()), why);
         RC_ASSERT(next != nullptr);
-        RC_ASSERT(next->version == at->version + 1);
-        at = next;
+        RC_ASSERT(next->version == current->version + 1);
+        current = next;
     }
     error why;
-    const auto back = fromChunks(at->version, toChunks(*at), why);
-    RC_ASSERT(back != nullptr);
-    RC_ASSERT(toJson(*back) == toJson(*at));
-    RC_ASSERT(toChunks(*back) == toChunks(*at));
+    const auto parsed = fromChunks(current->version, toChunks(*current), why);
+    RC_ASSERT(parsed != nullptr);
+    RC_ASSERT(toJson(*parsed) == toJson(*current));
+    RC_ASSERT(toChunks(*parsed) == toChunks(*current));
 }
 
-RC_GTEST_PROP(ConfigProperty, HeadsSurviveTheirText, ())
+RC_GTEST_PROP(ConfigProperty, ParsedHeadEqualsTheOriginal, ())
 {
     config_head head;
     head.snapshotVersion = *rc::gen::inRange<std::uint64_t>(0, 1'000);
@@ -210,18 +212,18 @@
     for (int count = *rc::gen::inRange(0, 5); count > 0; --count) {
         head.patches.push_back(patchOf(head.version++, randomSet()));
         head.patches.back().note = *rc::gen::string<std::string>().as("note") + "\"\\";
-        // Only valid UTF-8 passes parsePatch, so only that is written.
+        // A patch passes parsePatch() only if it is valid UTF-8, so no other text has to be stored.
         for (auto &c : head.patches.back().note) {
             c = static_cast<char>(c & 0x7f);
         }
     }
     error why;
-    const auto back = parseHead(toJson(head), why);
-    RC_ASSERT(back.has_value());
-    RC_ASSERT(toJson(*back) == toJson(head));
+    const auto parsed = parseHead(toJson(head), why);
+    RC_ASSERT(parsed.has_value());
+    RC_ASSERT(toJson(*parsed) == toJson(head));
 }
 
-RC_GTEST_PROP(ConfigProperty, RandomTextIsRefusedAndNeverFatal, (const std::string &text))
+RC_GTEST_PROP(ConfigProperty, RefusesRandomTextWithoutCrash, (const std::string &text))
 {
     error why;
     RC_ASSERT(!parsePatch(text, why).has_value());
@@ -229,8 +231,8 @@
     RC_ASSERT(fromChunks(1, {{"adapters", text}}, why) == nullptr);
 }
 
-/// A value in the key-value service holds at most a megabyte, base64 and frame included.
-TEST(Config, HoldsTheLargestFleetInSmallChunks)
+// A value in the key-value service can have at most a megabyte, including base64 encoding and JSON framing.
+TEST(Config, ChunksOfTheLargestFleetStayBelowTheLimit)
 {
     constexpr int adapters = 160'000;
     std::string entries = "{";
@@ -239,14 +241,14 @@
             + "\":" + adapterText(1 + i % 3);
     }
     error why;
-    const auto at = fromChunks(1, {{"adapters", entries + '}'}}, why);
-    ASSERT_TRUE(at) << message(why);
-    ASSERT_EQ(adapterCount(*at), static_cast<std::size_t>(adapters));
-    const auto chunks = toChunks(*at);
+    const auto original = fromChunks(1, {{"adapters", entries + '}'}}, why);
+    ASSERT_TRUE(original) << message(why);
+    ASSERT_EQ(adapterCount(*original), static_cast<std::size_t>(adapters));
+    const auto chunks = toChunks(*original);
     for (const auto &[name, text] : chunks) {
         EXPECT_LT(text.size(), maxChunkBytes) << name;
     }
-    const auto next = applied(at, R"({"adapters":{"popisnica/faculty-7":)" + adapterText(3) + "}}");
+    const auto next = applied(original, R"({"adapters":{"popisnica/faculty-7":)" + adapterText(3) + "}}");
     std::size_t changed = 0;
     for (const auto &[name, text] : toChunks(*next)) {
         const auto old = chunks.find(name);
