--- a/tests/unit/seal_test.cpp
+++ b/tests/unit/seal_test.cpp
@@ -29,14 +29,15 @@
     }
 };
 
-wire_state openOne(frame_opener &opener, const std::string &frame)
+/// Opens a frame that is expected to be the next one.
+wire_state openFrame(frame_opener &opener, const std::string &frame)
 {
     std::string_view bytes;
     std::size_t used = 0;
     return opener.open(frame, bytes, used);
 }
 
-TEST(seal, takesOnlyAWholeHexKey)
+TEST(seal, rejectsKeysThatAreNot64HexDigits)
 {
     error why;
     EXPECT_FALSE(parseSealKeys("", why));
@@ -46,7 +47,7 @@
     EXPECT_EQ(why.kind, error_kind::BadSettings);
 }
 
-RC_GTEST_PROP(seal, refusesChangedDatagrams, (const std::string &content))
+RC_GTEST_PROP(seal, rejectsAlteredDatagrams, (const std::string &content))
 {
     const seal_keys keys = keysOf('a');
     std::string sealed = sealDatagram(keys, content);
@@ -57,75 +58,75 @@
     RC_ASSERT(!openDatagram(keys, sealed));
 }
 
-TEST(seal, opensAHelloOnlyWholeAndUnderItsKey)
+TEST(seal, opensOnlyACompleteHelloUnderItsKey)
 {
     const seal_keys keys = keysOf('a');
     const std::string sealed = sealHello(keys, makeHello("entry-1", 42));
-    hello said;
+    hello received;
     std::size_t used = 0;
     for (std::size_t size = 0; size < sealed.size(); ++size) {
-        EXPECT_EQ(openHello(keys, sealed.substr(0, size), said, used), wire_state::Incomplete);
+        EXPECT_EQ(openHello(keys, sealed.substr(0, size), received, used), wire_state::Incomplete);
     }
-    ASSERT_EQ(openHello(keys, sealed + "next", said, used), wire_state::Ready);
-    EXPECT_EQ(said.instance, "entry-1");
-    EXPECT_EQ(said.incarnation, 42U);
+    ASSERT_EQ(openHello(keys, sealed + "next", received, used), wire_state::Ready);
+    EXPECT_EQ(received.instance, "entry-1");
+    EXPECT_EQ(received.incarnation, 42U);
     EXPECT_EQ(used, sealed.size());
-    EXPECT_EQ(openHello(keysOf('b'), sealed, said, used), wire_state::Bad);
-    EXPECT_EQ(openHello(keys, "GET / HTTP/1.1", said, used), wire_state::Bad);
-    for (std::size_t at = 0; at < sealed.size(); ++at) {
-        std::string changed = sealed;
-        changed[at] ^= 1;
-        EXPECT_NE(openHello(keys, changed, said, used), wire_state::Ready);
+    EXPECT_EQ(openHello(keysOf('b'), sealed, received, used), wire_state::Bad);
+    EXPECT_EQ(openHello(keys, "GET / HTTP/1.1", received, used), wire_state::Bad);
+    for (std::size_t i = 0; i < sealed.size(); ++i) {
+        std::string altered = sealed;
+        altered[i] ^= 1;
+        EXPECT_NE(openHello(keys, altered, received, used), wire_state::Ready);
     }
 }
 
-// A request runs twice although its entry sent it once: someone on the network recorded the frame and
-// sent it again, on the same connection, on another one, or back to its sender.
-TEST(seal, refusesReplayedFrames)
+// Guards against a request that runs twice because someone on the network recorded its frame and replayed it
+// on the same connection, on another one, or back to its sender.
+TEST(seal, rejectsReplayedFrames)
 {
     const seal_keys keys = keysOf('a');
-    const direction there(keys);
-    frame_sealer sealer(there.key);
+    const direction forward(keys);
+    frame_sealer sealer(forward.key);
     const std::string first = sealer.seal("run it");
     const std::string second = sealer.seal("run that");
 
-    frame_opener opener(there.key);
-    EXPECT_EQ(openOne(opener, first), wire_state::Ready);
-    EXPECT_EQ(openOne(opener, first), wire_state::Bad);
+    frame_opener opener(forward.key);
+    EXPECT_EQ(openFrame(opener, first), wire_state::Ready);
+    EXPECT_EQ(openFrame(opener, first), wire_state::Bad);
 
-    frame_opener swapped(there.key);
-    EXPECT_EQ(openOne(swapped, second), wire_state::Bad);
+    frame_opener withoutFirst(forward.key);
+    EXPECT_EQ(openFrame(withoutFirst, second), wire_state::Bad);
     frame_opener otherConnection(direction(keys).key);
-    EXPECT_EQ(openOne(otherConnection, first), wire_state::Bad);
-    frame_opener otherDirection(directionKey(keys, there.toHello, there.fromHello));
-    EXPECT_EQ(openOne(otherDirection, first), wire_state::Bad);
+    EXPECT_EQ(openFrame(otherConnection, first), wire_state::Bad);
+    frame_opener otherDirection(directionKey(keys, forward.toHello, forward.fromHello));
+    EXPECT_EQ(openFrame(otherDirection, first), wire_state::Bad);
 }
 
-RC_GTEST_PROP(seal, opensFramesInAnyPieces, (const std::vector<std::string> &contents))
+RC_GTEST_PROP(seal, opensFramesThatArriveInParts, (const std::vector<std::string> &contents))
 {
-    const direction there(keysOf('a'));
-    frame_sealer sealer(there.key);
-    frame_opener opener(there.key);
-    std::string wire;
+    const direction forward(keysOf('a'));
+    frame_sealer sealer(forward.key);
+    frame_opener opener(forward.key);
+    std::string buffer;
     for (const std::string &content : contents) {
-        wire += sealer.seal(content);
+        buffer += sealer.seal(content);
     }
     for (const std::string &content : contents) {
         std::string_view bytes;
         std::size_t used = 0;
-        const auto cut = *rc::gen::inRange<std::size_t>(0, frameHeadBytes + content.size());
-        RC_ASSERT(opener.open(wire.substr(0, cut), bytes, used) == wire_state::Incomplete);
-        RC_ASSERT(opener.open(wire, bytes, used) == wire_state::Ready);
+        const auto partSize = *rc::gen::inRange<std::size_t>(0, frameHeaderBytes + content.size());
+        RC_ASSERT(opener.open(buffer.substr(0, partSize), bytes, used) == wire_state::Incomplete);
+        RC_ASSERT(opener.open(buffer, bytes, used) == wire_state::Ready);
         RC_ASSERT(bytes == content);
-        wire.erase(0, used);
+        buffer.erase(0, used);
     }
 }
 
-TEST(seal, refusesAFrameThatClaimsTooMuch)
+TEST(seal, rejectsAFrameLongerThanTheLimit)
 {
-    const direction there(keysOf('a'));
-    frame_opener opener(there.key);
-    EXPECT_EQ(openOne(opener, std::string("\xff\xff\xff\xff", 4)), wire_state::Bad);
+    const direction forward(keysOf('a'));
+    frame_opener opener(forward.key);
+    EXPECT_EQ(openFrame(opener, std::string("\xff\xff\xff\xff", 4)), wire_state::Bad);
 }
 
 }
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -19,8 +19,8 @@
         {"peer_key", std::string(64, 'a')}};
 }
 
-/// The sample with one key replaced or added.
-error refusedWith(const std::string &key, const json &value)
+/// The error for the sample settings with one key replaced or added.
+error errorWith(const std::string &key, const json &value)
 {
     auto text = sampleSettings();
     text[key] = value;
@@ -33,44 +33,44 @@
 
 }
 
-TEST(Settings, ReadsDefaultsAndValues)
+TEST(Settings, ReadsGivenValuesAndDefaults)
 {
     auto text = sampleSettings();
     text["caller_port"] = 9000;
     text["kv_timeout_ms"] = 250;
     error why;
-    const auto all = parseSettings(text.dump(), "daemon.json", why);
-    ASSERT_TRUE(all) << message(why);
-    EXPECT_EQ(all->callerPort, 9000);
-    EXPECT_EQ(all->peerPort, 8081);
-    EXPECT_EQ(all->kvTimeout, millis{250});
-    EXPECT_EQ(all->drainTimeout, millis{120'000});
+    const auto parsed = parseSettings(text.dump(), "daemon.json", why);
+    ASSERT_TRUE(parsed) << message(why);
+    EXPECT_EQ(parsed->callerPort, 9000);
+    EXPECT_EQ(parsed->peerPort, 8081);
+    EXPECT_EQ(parsed->kvTimeout, millis{250});
+    EXPECT_EQ(parsed->drainTimeout, millis{120'000});
 }
 
-TEST(Settings, RefusalsNameFilePathValueAndRemedy)
+TEST(Settings, ErrorsNameFilePathValueAndRemedy)
 {
-    auto why = refusedWith("caller_prot", 1);
+    auto why = errorWith("caller_prot", 1);
     EXPECT_EQ(why.where, "daemon.json /caller_prot");
     EXPECT_NE(why.detail.find("caller_port"), std::string::npos);
 
-    why = refusedWith("caller_port", "8080");
+    why = errorWith("caller_port", "8080");
     EXPECT_EQ(why.where, "daemon.json /caller_port");
     EXPECT_NE(why.detail.find("is \"8080\"; it must be a port from 1 to 65535"), std::string::npos)
         << why.detail;
 
-    why = refusedWith("lease_ttl_ms", 5);
+    why = errorWith("lease_ttl_ms", 5);
     EXPECT_EQ(why.where, "daemon.json /lease_ttl_ms");
     EXPECT_NE(why.detail.find("is 5; it must be a whole number of milliseconds"), std::string::npos);
 
-    EXPECT_EQ(refusedWith("kv_urls", {"http://10.0.0.1:1", "ftp://x"}).where, "daemon.json /kv_urls/1");
-    EXPECT_EQ(refusedWith("kv_urls", json::array()).where, "daemon.json /kv_urls");
-    EXPECT_EQ(refusedWith("routing", "fastest").where, "daemon.json /routing");
-    EXPECT_EQ(refusedWith("peer_key", "abc").where, "daemon.json /peer_key");
-    EXPECT_EQ(refusedWith("caller_address", "localhost").where, "daemon.json /caller_address");
-    EXPECT_EQ(refusedWith("peer_port", 8080).where, "daemon.json /peer_port");
+    EXPECT_EQ(errorWith("kv_urls", {"http://10.0.0.1:1", "ftp://x"}).where, "daemon.json /kv_urls/1");
+    EXPECT_EQ(errorWith("kv_urls", json::array()).where, "daemon.json /kv_urls");
+    EXPECT_EQ(errorWith("routing", "fastest").where, "daemon.json /routing");
+    EXPECT_EQ(errorWith("peer_key", "abc").where, "daemon.json /peer_key");
+    EXPECT_EQ(errorWith("caller_address", "localhost").where, "daemon.json /caller_address");
+    EXPECT_EQ(errorWith("peer_port", 8080).where, "daemon.json /peer_port");
 }
 
-TEST(Settings, AMissingKeyIsNamed)
+TEST(Settings, ErrorNamesAMissingKey)
 {
     auto text = sampleSettings();
     text.erase("peer_key");
@@ -79,7 +79,7 @@
     EXPECT_EQ(why.where, "daemon.json /peer_key");
 }
 
-TEST(Settings, BrokenJsonAndMissingFilesAreNamed)
+TEST(Settings, ErrorNamesTheFileForInvalidJsonAndMissingFiles)
 {
     error why;
     EXPECT_FALSE(parseSettings("{\"instance\": ", "daemon.json", why));
@@ -89,7 +89,7 @@
     EXPECT_FALSE(parseSettings("[]", "daemon.json", why));
 }
 
-RC_GTEST_PROP(SettingsProperty, RandomTextIsRefused, (const std::string &text))
+RC_GTEST_PROP(SettingsProperty, RejectsRandomText, (const std::string &text))
 {
     error why;
     RC_ASSERT(!parseSettings(text, "f", why).has_value());
@@ -98,6 +98,6 @@
 
 TEST(KeyHash, IsBlake2b256)
 {
-    // The test vector of BLAKE2b-256 for "abc".
+    // The BLAKE2b-256 test vector for "abc".
     EXPECT_EQ(keyHash("abc"), "bddd813c634239723171ef3fee98579b94964e3bb1cb3e427262c8c068d52319");
 }
