--- a/packages/state/config_patch.cpp
+++ b/packages/state/config_patch.cpp
@@ -273,10 +273,10 @@
     const bool valid = detail::readEntry(from, {}, entry, ignored);
     const auto text = valid ? detail::entryToJson(entry) : from.dump();
     if (old == nullptr) {
-        return "+ " + place + ' ' + text;
+        return "+ " + path + ' ' + text;
     }
     const auto oldText = detail::entryToJson(*old);
-    return oldText == text ? std::string() : "~ " + place + ' ' + oldText + " -> " + text;
+    return oldText == text ? std::string() : "~ " + path + ' ' + oldText + " -> " + text;
 }
 
 template <class value>
