--- a/packages/coordination/config_peers.cpp
+++ b/packages/coordination/config_peers.cpp
@@ -95,17 +95,17 @@
 {
     config_response answer;
     answer.version = m_current ? m_current->version : 0;
-    if (answer.version <= question.body.have) {
+    if (answer.version <= question.body.haveVersion) {
         m_bus.post(send_to{question.from, std::move(answer)});
         return;
     }
-    const bool reaches = !m_recent.empty() && m_recent.front().base <= question.body.have;
+    const bool reaches = !m_recent.empty() && m_recent.front().base <= question.body.haveVersion;
     if (!reaches) {
         sendChunks(question.from);
         return;
     }
     for (const auto &patch : m_recent) {
-        if (patch.base >= question.body.have) {
+        if (patch.base >= question.body.haveVersion) {
             answer.patches.push_back(toJson(patch));
         }
     }
--- a/packages/protocol/fleet_messages.h
+++ b/packages/protocol/fleet_messages.h
@@ -169,13 +169,13 @@
     std::string adapter;
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
-    bool reading = false; ///< in prefill: there was no token yet
+    bool inPrefill = false; ///< there was no token yet
     std::int64_t deadlineMs = 0; ///< until the caller's deadline
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(id, server, model, adapter, promptTokens, outputTokens, reading, deadlineMs);
+        archive(id, server, model, adapter, promptTokens, outputTokens, inPrefill, deadlineMs);
     }
 };
 
@@ -206,13 +206,13 @@
         0; ///< prompt tokens of granted or queued requests whose prefill is not complete
     std::int64_t prefillTokensPerSecond = 0; ///< measured
     std::uint32_t running = 0; ///< requests
-    std::uint32_t longAnswers = 0; ///< of those, the ones whose generation takes seconds
+    std::uint32_t longResponses = 0; ///< of those, the ones whose generation takes seconds
 
     template <class Archive>
     void serialize(Archive &archive)
     {
         archive(server, fence, modelLoaded, adapters, availableSlots, backlogTokens, prefillTokensPerSecond,
-            running, longAnswers);
+            running, longResponses);
     }
 };
 
@@ -271,14 +271,14 @@
 {
     std::int64_t from = 0; ///< revision
     std::int64_t to = 0; ///< revision
-    bool fetch = false; ///< too large for a datagram: the receiver must fetch the changes from the reader
+    bool mustFetch = false; ///< too large for a datagram: the receiver must fetch the changes from the reader
     bool isSnapshot = false; ///< in the response to a fetch: `items` has all items, not just changes
     std::vector<store_item> items;
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(from, to, fetch, isSnapshot, items);
+        archive(from, to, mustFetch, isSnapshot, items);
     }
 };
 
--- a/packages/protocol/messages.h
+++ b/packages/protocol/messages.h
@@ -186,21 +186,21 @@
 /// Requests the changes to the configuration since a version from a peer.
 struct config_request
 {
-    std::uint64_t have = 0; ///< the sender's version
+    std::uint64_t haveVersion = 0; ///< the sender's version
 
     template <class Archive>
     void serialize(Archive &archive)
     {
-        archive(have);
+        archive(haveVersion);
     }
 };
 
-/// The response to config_request: the patches after `have`, or the complete configuration if the peer no
-/// longer has those patches.
+/// The response to config_request: the patches after `haveVersion`, or the complete configuration if the peer
+/// no longer has those patches.
 struct config_response
 {
     std::uint64_t version = 0;
-    std::vector<std::string> patches; ///< JSON, in order, the first one to version have + 1
+    std::vector<std::string> patches; ///< JSON, in order, the first one to version haveVersion + 1
     std::vector<std::pair<std::string, std::string>>
         chunks; ///< name -> text, of the complete configuration at `version`
 
--- a/packages/serving/heard_server.cpp
+++ b/packages/serving/heard_server.cpp
@@ -54,7 +54,7 @@
     const bool fresh = isFresh(heard, now);
     model_candidate candidate;
     candidate.held = beat.modelLoaded;
-    candidate.longAnswers = beat.longAnswers;
+    candidate.longAnswers = beat.longResponses;
     candidate.openPlaces =
         fresh && beat.availableSlots > heard.placesSince ? beat.availableSlots - heard.placesSince : 0;
     candidate.adapter = needsAdapter ? residence::Absent : residence::Resident;
--- a/packages/serving/place_desk.cpp
+++ b/packages/serving/place_desk.cpp
@@ -133,7 +133,7 @@
     }
     const waiting_prompt prompt{run.id, entry, run.model, run.adapter, run.promptTokens, run.outputTokens, 0,
         now, now, now + millis{run.deadlineMs}, now};
-    desk.queue.running.emplace(run.id, running_prompt{prompt, now, run.reading});
+    desk.queue.running.emplace(run.id, running_prompt{prompt, now, run.inPrefill});
     beginUse(desk.ledger, run.model, run.adapter, now);
 }
 
@@ -303,7 +303,7 @@
     beat.prefillTokensPerSecond = std::llround(desk.queue.speed * msPerSecond);
     beat.running = static_cast<std::uint32_t>(desk.queue.running.size());
     for (const auto &[id, run] : desk.queue.running) {
-        beat.longAnswers += isLongAnswer(desk.answers, run.what.outputTokens) ? 1 : 0;
+        beat.longResponses += isLongAnswer(desk.answers, run.what.outputTokens) ? 1 : 0;
     }
     return beat;
 }
--- a/packages/serving/store_follow.cpp
+++ b/packages/serving/store_follow.cpp
@@ -155,7 +155,7 @@
     }
     if (bytes > newsBytes) {
         news.items.clear();
-        news.fetch = true;
+        news.mustFetch = true;
     }
     std::vector<std::string> others = domainPeers();
     for (const auto &[node, record] : m_view.lapsed) {
@@ -196,7 +196,7 @@
         m_configKnownAt = m_newsAt;
         return;
     }
-    if (news.fetch || news.from > m_revision) {
+    if (news.mustFetch || news.from > m_revision) {
         fetchNews(reader);
         return;
     }
--- a/packages/transport/peer_connection.cpp
+++ b/packages/transport/peer_connection.cpp
@@ -88,7 +88,7 @@
     std::vector<queued_message> unsent;
     for (const queued_frame &frame : m_out) {
         if (frame.message) {
-            unsent.push_back({frame.bytes.substr(frameHeadBytes), frame.control});
+            unsent.push_back({frame.bytes.substr(frameHeaderBytes), frame.control});
         }
     }
     m_out.clear();
--- a/packages/transport/peer_link.cpp
+++ b/packages/transport/peer_link.cpp
@@ -226,7 +226,7 @@
 bool peer_link_impl::send(const std::string &name, const peer_address &to, const peer_message &message)
 {
     queued_message queued{encode(message), isControl(message)};
-    const std::size_t size = queued.bytes.size() + frameHeadBytes;
+    const std::size_t size = queued.bytes.size() + frameHeaderBytes;
     peer_record &record = m_peers[name];
     if (record.breaking || queued.bytes.size() > maxFrameBytes || name == m_self.name) {
         return false;
