--- a/packages/coordination/budget_task.cpp
+++ b/packages/coordination/budget_task.cpp
@@ -16,7 +16,7 @@
     m_bus.on<config_changed>([this](const config_changed &change) {
         m_config = change.current;
     });
-    m_bus.on<received<load_ask>>([this](const received<load_ask> &request) {
+    m_bus.on<received<load_request>>([this](const received<load_request> &request) {
         requestLoad(m_budget, {request.from, request.body.ticket, request.body.urgency, bootNow()});
         grantWaiting();
     });
--- a/packages/coordination/crash_task.cpp
+++ b/packages/coordination/crash_task.cpp
@@ -241,7 +241,7 @@
     return std::find(homes.begin(), homes.end(), m_callbacks.self) != homes.end();
 }
 
-void crash_task::broadcast(const crash_news &report)
+void crash_task::broadcast(const crash_report &report)
 {
     for (const std::string &daemon : m_callbacks.daemons()) {
         if (daemon != m_callbacks.self) {
@@ -250,7 +250,7 @@
     }
 }
 
-crash_news crash_task::reportOf(const std::string &fingerprint) const
+crash_report crash_task::reportOf(const std::string &fingerprint) const
 {
     return {fingerprint, crashedIncarnations(fingerprint), probesOf(m_history, fingerprint)};
 }
@@ -258,7 +258,7 @@
 /// Sends what this daemon knows of the request to its homes.
 void crash_task::notifyHomes(const std::string &fingerprint)
 {
-    const crash_news report = reportOf(fingerprint);
+    const crash_report report = reportOf(fingerprint);
     for (const std::string &home : homesOf(fingerprint)) {
         if (home == m_callbacks.self) {
             notifyAll(fingerprint);
@@ -271,7 +271,7 @@
 /// Done by a home: from crashesToShare crashes on, notifies all daemons and stores the record.
 void crash_task::notifyAll(const std::string &fingerprint)
 {
-    const crash_news report = reportOf(fingerprint);
+    const crash_report report = reportOf(fingerprint);
     if (report.servers.size() >= crashesToShare) {
         broadcast(report);
         storeRecord(fingerprint);
@@ -296,7 +296,7 @@
     }
 }
 
-void crash_task::onReport(const crash_news &report)
+void crash_task::onReport(const crash_report &report)
 {
     if (report.fingerprint.size() != fingerprintDigits) {
         return; // not a valid key of the store
@@ -306,7 +306,7 @@
         return;
     }
     const bool isNew = applyCrashes(report.fingerprint, report.servers, "reported by a daemon");
-    recordProbes(m_history, report.fingerprint, report.trials, bootNow());
+    recordProbes(m_history, report.fingerprint, report.probeCount, bootNow());
     refreshLastSeen(m_history, report.fingerprint, bootNow());
     if (isNew && isHome(report.fingerprint)) {
         notifyAll(report.fingerprint);
@@ -323,7 +323,7 @@
     } else if (!isOld) { // written after it was cleared, so it counts
         m_recordsToRemove.erase(fingerprint);
         applyCrashes(fingerprint, record.servers, "read from the store");
-        recordProbes(m_history, fingerprint, record.trials, bootNow());
+        recordProbes(m_history, fingerprint, record.probeCount, bootNow());
     }
 }
 
--- a/packages/coordination/crash_task.h
+++ b/packages/coordination/crash_task.h
@@ -63,7 +63,7 @@
     std::string self;
     /// All daemons that may be homes of a request, including `self`.
     std::function<std::vector<std::string>()> daemons;
-    std::function<void(const std::string &daemon, const crash_news &report)> send;
+    std::function<void(const std::string &daemon, const crash_report &report)> send;
     /// The record of a request as last read; a record without servers: none is stored.
     std::function<crash_record(const std::string &fingerprint)> storedRecord;
     std::function<std::size_t()> recordCount;
@@ -119,7 +119,7 @@
     /// A server has gone or restarted without having announced that it was leaving.
     void onServerCrashed(const std::string &server);
     /// A report from another daemon.
-    void onReport(const crash_news &report);
+    void onReport(const crash_report &report);
     /// A record was read from the store; a record without servers: it has been removed.
     void onStoredRecord(const std::string &fingerprint, const crash_record &record);
     const crash_counters &counters() const;
@@ -143,7 +143,7 @@
     bool applyCrashes(
         const std::string &fingerprint, const std::vector<std::string> &servers, std::string_view source);
     void keepAlive(const std::string &fingerprint);
-    crash_news reportOf(const std::string &fingerprint) const;
+    crash_report reportOf(const std::string &fingerprint) const;
     void clear(const std::string &fingerprint);
     void removeClearedRecords();
     bool lacksStoredRecord(const std::string &fingerprint) const;
@@ -151,7 +151,7 @@
     void notifyHomes(const std::string &fingerprint);
     void notifyAll(const std::string &fingerprint);
     void storeRecord(const std::string &fingerprint);
-    void broadcast(const crash_news &report);
+    void broadcast(const crash_report &report);
     std::vector<std::string> homesOf(const std::string &fingerprint) const;
     bool isHome(const std::string &fingerprint) const;
 
--- a/packages/coordination/key_journal.cpp
+++ b/packages/coordination/key_journal.cpp
@@ -75,7 +75,7 @@
 
 }
 
-key_verdict beginKey(key_journal &journal, const key_begin &request, millis now)
+key_response beginKey(key_journal &journal, const key_begin &request, millis now)
 {
     expireKeys(journal, now);
     auto found = journal.records.find(request.key);
@@ -90,13 +90,13 @@
         return {request.id, record->state, record->status, record->contentType, record->responseBody};
     }
     if (!mayRun(record, request.attempt)) {
-        return {request.id, key_state::CantKnow};
+        return {request.id, key_state::Undetermined};
     }
     if (record != nullptr) {
         eraseRecord(journal, found);
     }
     // With a full journal a repeated request would not be recognised later, so the attempt must not start.
-    return {request.id, recordStarted(journal, request, now) ? key_state::Fresh : key_state::CantKnow};
+    return {request.id, recordStarted(journal, request, now) ? key_state::Fresh : key_state::Undetermined};
 }
 
 void finishKey(key_journal &journal, const key_finish &report, millis now)
--- a/packages/coordination/key_journal.h
+++ b/packages/coordination/key_journal.h
@@ -41,7 +41,7 @@
 /// without a record, or for the attempt after one that is recorded as not run. A missing record alone isn't
 /// enough: another daemon may have been home before, or an entry with another view of the members may have
 /// considered another daemon the home.
-key_verdict beginKey(key_journal &journal, const key_begin &request, millis now);
+key_response beginKey(key_journal &journal, const key_begin &request, millis now);
 /// Ends an attempt: Done stores the response, NotRun lets the next attempt run, Unknown leaves it started.
 void finishKey(key_journal &journal, const key_finish &report, millis now);
 /// Removes expired records.
--- a/packages/coordination/key_task.cpp
+++ b/packages/coordination/key_task.cpp
@@ -30,7 +30,7 @@
         m_candidates = keyHomeCandidates(change.members);
     });
     m_bus.on<received<key_begin>>([this](const received<key_begin> &request) {
-        key_verdict response{request.body.id, key_state::NotHome};
+        key_response response{request.body.id, key_state::NotHome};
         if (rendezvousFirst(request.body.key, m_candidates) == m_self) {
             response = beginKey(m_journal, request.body, bootNow());
         }
--- a/packages/coordination/owner_loads.cpp
+++ b/packages/coordination/owner_loads.cpp
@@ -105,7 +105,7 @@
     }
     server.ticketRequestedAt = now;
     server.ticketAdapter = demand.adapter;
-    load_ask request;
+    load_request request;
     request.ticket = *server.ticket;
     request.server = server.instance.name;
     request.adapter = demand.adapter;
--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -185,7 +185,7 @@
 {
     std::vector<request_id> waiting;
     for (const auto &[id, job] : m_jobs) {
-        const bool waits = job.startedAt == millis{} && !job.request.trial;
+        const bool waits = job.startedAt == millis{} && !job.request.isProbe;
         if (waits && job.request.fingerprint == fingerprint) {
             waiting.push_back(id);
         }
@@ -201,7 +201,7 @@
 {
     const millis now = bootNow();
     dequeue(server, job);
-    if (!job.request.trial && m_crashes.isBlocked(job.request.fingerprint)) {
+    if (!job.request.isProbe && m_crashes.isBlocked(job.request.fingerprint)) {
         // It was blocked after its admission, or its entry did not know that it is blocked.
         refuseBlocked(job);
         return;
--- a/packages/coordination/owner_status.cpp
+++ b/packages/coordination/owner_status.cpp
@@ -5,12 +5,12 @@
 
 namespace briarhead {
 
-void owner_task::onStatus(const std::string &from, const status_ask &request)
+void owner_task::onStatus(const std::string &from, const status_request &request)
 {
     if (request.part == "servers") {
-        m_bus.post(send_to{from, status_answer{request.id, statusServers()}});
+        m_bus.post(send_to{from, status_response{request.id, statusServers()}});
     } else if (request.part == "adapters") {
-        m_bus.post(send_to{from, status_answer{request.id, statusAdapters()}});
+        m_bus.post(send_to{from, status_response{request.id, statusAdapters()}});
     }
 }
 
--- a/packages/coordination/owner_task.cpp
+++ b/packages/coordination/owner_task.cpp
@@ -38,10 +38,10 @@
     m_bus.on<received<load_grant>>([this](const received<load_grant> &event) {
         onGrant(event.body.ticket);
     });
-    m_bus.on<received<status_ask>>([this](const received<status_ask> &event) {
+    m_bus.on<received<status_request>>([this](const received<status_request> &event) {
         onStatus(event.from, event.body);
     });
-    m_bus.on<received<drain_order>>([this](const received<drain_order> &event) {
+    m_bus.on<received<drain_request>>([this](const received<drain_request> &event) {
         // Every daemon records it, so that the server stays drained when its owner changes.
         if (event.body.drain) {
             m_drained.insert(event.body.server);
--- a/packages/coordination/ownership_task.cpp
+++ b/packages/coordination/ownership_task.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::int64_t tickMs = 200;
-/// Interval between reads of the record of a server that a live peer owns; owner_news requests an earlier
+/// Interval between reads of the record of a server that a live peer owns; owner_released requests an earlier
 /// read.
 constexpr std::int64_t peerOwnedRereadMs = 10'000;
 /// The same for a server without a live owner, while its last owner's lease must expire.
@@ -68,7 +68,7 @@
             server->fencingNeeded = true;
         }
     });
-    m_bus.on<received<owner_news>>([this](const received<owner_news> &notice) {
+    m_bus.on<received<owner_released>>([this](const received<owner_released> &notice) {
         tracked_server *server = find(notice.body.server);
         // Guards against a notice that arrives during an older read of the record and is then ignored, so
         // that the released server has no owner until the next periodic read. The flag is still set after
@@ -178,7 +178,7 @@
 /// that owner may have admitted requests under a configuration with a longer one.
 millis ownership_task::maxDeadline() const
 {
-    return {longestDeadlineMs};
+    return {maxAllowedDeadlineMs};
 }
 
 ownership_view ownership_task::viewOf(const tracked_server &server) const
@@ -575,7 +575,7 @@
             found->readAt = bootNow();
             m_bus.post(server_lost{name});
             m_bus.post(owner_known{name, found->preferredOwner});
-            m_bus.post(send_to{found->preferredOwner, owner_news{name}});
+            m_bus.post(send_to{found->preferredOwner, owner_released{name}});
         });
 }
 
--- a/packages/coordination/quota_client.cpp
+++ b/packages/coordination/quota_client.cpp
@@ -165,14 +165,14 @@
     account.waiting.clear();
 }
 
-quota_want makeWant(quota_client_account &account, std::uint64_t hash, millis now)
+quota_demand makeWant(quota_client_account &account, std::uint64_t hash, millis now)
 {
-    quota_want want{hash, 0, 0, 0, 0, 0, 0};
+    quota_demand want{hash, 0, 0, 0, 0, 0, 0};
     account.reportedDemand = currentDemand(account, now);
     want.demandMilli = toMilli(account.reportedDemand);
     want.costMilli = toMilli(account.meanCost);
     account.reportedShare = account.share;
-    want.heldPpm = toPpm(account.share);
+    want.heldSharePpm = toPpm(account.share);
     want.unusedMilli = toMilli(std::exchange(account.unusedUnits, 0));
     account.needRequested = !account.waiting.empty();
     if (account.needRequested) {
@@ -181,7 +181,7 @@
             need += each.cost;
         }
         want.needMilli = toMilli(need) + 1; // rounded up
-        want.firstMilli = toMilli(account.waiting.front().cost - account.bucket.level) + 1;
+        want.firstNeedMilli = toMilli(account.waiting.front().cost - account.bucket.level) + 1;
     }
     return want;
 }
@@ -201,9 +201,9 @@
 
 /// The wants of a shard to report to its home: with `all`, those of all relevant accounts, else only those of
 /// accounts with waiting callers.
-std::vector<quota_want> wantsOf(quota_client &client, std::uint32_t index, bool all, millis now)
+std::vector<quota_demand> wantsOf(quota_client &client, std::uint32_t index, bool all, millis now)
 {
-    std::vector<quota_want> wants;
+    std::vector<quota_demand> wants;
     for (auto &[hash, account] : client.accounts) {
         if (shardOf(hash) != index) {
             continue;
@@ -352,8 +352,8 @@
         if (shard.home.empty() || shard.requestPending || !(due || urgent)) {
             continue;
         }
-        quota_ask request{i, ++shard.round, shard.answeredRound, toPpm(shard.fallbackShare), {}};
-        request.wants = wantsOf(client, i, due || !shard.fullyReported, now);
+        quota_request request{i, ++shard.round, shard.answeredRound, toPpm(shard.fallbackShare), {}};
+        request.demands = wantsOf(client, i, due || !shard.fullyReported, now);
         shard.requestPending = true;
         shard.sentAt = now;
         if (due) {
@@ -366,7 +366,7 @@
     return requests;
 }
 
-std::vector<resolved_waiter> applyResponse(quota_client &client, const quota_answer &response, millis now)
+std::vector<resolved_waiter> applyResponse(quota_client &client, const quota_response &response, millis now)
 {
     std::vector<resolved_waiter> resolved;
     if (response.shard >= quotaShards) {
@@ -376,7 +376,7 @@
     if (!shard.requestPending || response.round != shard.round || now - shard.sentAt > quotaResponseTimeout) {
         return resolved; // late or a duplicate: the home doesn't count on it
     }
-    for (const quota_give &grant : response.gives) {
+    for (const quota_grant &grant : response.grants) {
         if (const auto found = client.accounts.find(grant.account); found != client.accounts.end()) {
             updateBucket(client, found->second, shard, now);
         }
@@ -386,14 +386,14 @@
     shard.fullyReported = true;
     shard.answeredRound = response.round;
     shard.lastContact = shard.sentAt;
-    shard.fallbackShare = fromPpm(response.alonePpm);
-    for (const quota_give &grant : response.gives) {
+    shard.fallbackShare = fromPpm(response.fallbackSharePpm);
+    for (const quota_grant &grant : response.grants) {
         const auto found = client.accounts.find(grant.account);
         if (found == client.accounts.end()) {
             continue;
         }
         quota_client_account &account = found->second;
-        const double share = fromPpm(grant.partPpm);
+        const double share = fromPpm(grant.grantedSharePpm);
         if (share < account.share * confirmDropRatio) {
             shard.nextRequestAt = std::min(shard.nextRequestAt, now + confirmDelay);
         }
@@ -406,8 +406,9 @@
         const double fits = std::clamp(depth - account.bucket.level, 0.0, extra);
         account.bucket.level += fits;
         account.unusedUnits += extra - fits;
-        if (grant.roomMs > 0) {
-            account.exhaustedUntil = now + std::clamp(millis{grant.roomMs}, minRetryAfter, maxRetryAfter);
+        if (grant.availableInMs > 0) {
+            account.exhaustedUntil =
+                now + std::clamp(millis{grant.availableInMs}, minRetryAfter, maxRetryAfter);
             refuseWaiting(client, account, grant.account, quota_result::LimitReached, now, resolved);
         } else if (grant.unitsMilli <= 0 && account.needRequested) {
             refuseWaiting(client, account, grant.account, quota_result::HomeUnavailable, now, resolved);
--- a/packages/coordination/quota_home.cpp
+++ b/packages/coordination/quota_home.cpp
@@ -117,7 +117,7 @@
 /// Whether the request is a new one, from a live process. Also updates the time of the daemon's last contact:
 /// its request was sent after the response that it acknowledges, and that response was sent at a known time.
 bool acceptRound(
-    quota_home &home, const quota_requester &requester, const quota_ask &request, bool &first, millis now)
+    quota_home &home, const quota_requester &requester, const quota_request &request, bool &first, millis now)
 {
     const auto [entry, isNew] = home.members.try_emplace(requester.node);
     quota_member &member = entry->second;
@@ -142,7 +142,7 @@
         return false;
     }
     for (const auto &before : member.recentRounds) {
-        if (before.round == request.answered) {
+        if (before.round == request.lastAnsweredRound) {
             member.lastContact =
                 std::max(member.lastContact, std::optional(before.receivedAt - quotaResponseTimeout));
         }
@@ -151,16 +151,16 @@
     while (member.recentRounds.size() > maxRecentRounds) {
         member.recentRounds.pop_front();
     }
-    member.fallbackShare = std::max(fromPpm(request.alonePpm), equalShare(home));
+    member.fallbackShare = std::max(fromPpm(request.fallbackSharePpm), equalShare(home));
     return true;
 }
 
 /// The share that a daemon gets in place of what it holds: proportional to its demand, but no more than is
 /// free. As much as possible is granted as shares, so that daemons have a reserve when the home fails.
 double shareFor(const quota_home &home, const quota_plan &plan, const quota_home_account &account,
-    const quota_limit &limit, const std::string &node, const quota_want &want, millis now)
+    const quota_limit &limit, const std::string &node, const quota_demand &want, millis now)
 {
-    const double held = fromPpm(want.heldPpm);
+    const double held = fromPpm(want.heldSharePpm);
     if (!mayGrant(home, plan, now)) {
         return held; // a share given back now could not be granted again
     }
@@ -189,15 +189,15 @@
 }
 
 /// Grants units from the home's bucket for waiting callers, or reports when there may be some.
-void grantUnits(const quota_plan &plan, const quota_rules &rules, const quota_limit &limit,
-    quota_home_account &account, const quota_want &want, quota_give &grant)
+void grantUnits(const quota_plan &plan, const quota_tolerance &rules, const quota_limit &limit,
+    quota_home_account &account, const quota_demand &want, quota_grant &grant)
 {
     const double moved = fromMilli(grant.unitsMilli);
     const double need = std::max(0.0, fromMilli(want.needMilli) - moved);
     if (need <= 0) {
         return;
     }
-    const double first = std::min(std::max(0.0, fromMilli(want.firstMilli) - moved), need);
+    const double first = std::min(std::max(0.0, fromMilli(want.firstNeedMilli) - moved), need);
     const double debt = maxDebt(limit, rules);
     const double room = account.bucket.level >= 0 ? account.bucket.level + debt : 0;
     if (account.fillShare > 0 && room >= first) {
@@ -211,7 +211,7 @@
     }
     const double missing = std::max(-account.bucket.level, first - debt - account.bucket.level);
     const double waitMs = missing * msPerSecond / (account.fillShare * limit.rate);
-    grant.roomMs =
+    grant.availableInMs =
         static_cast<std::int64_t>(std::clamp(waitMs, 1.0, static_cast<double>(plan.shareLifetime.count)));
 }
 
@@ -235,7 +235,7 @@
 
 /// When a share grows, moves the units that no longer fit into the smaller bucket here to the daemon, so that
 /// granting a share loses nothing of the burst.
-void moveUnits(quota_home_account &account, const quota_limit &limit, double growth, quota_give &grant)
+void moveUnits(quota_home_account &account, const quota_limit &limit, double growth, quota_grant &grant)
 {
     const double excess = account.bucket.level - account.fillShare * limit.burst;
     const double moved = std::min(excess, growth * limit.burst);
@@ -245,20 +245,20 @@
     }
 }
 
-quota_give handleWant(quota_home &home, const quota_plan &plan, const quota_rules &rules,
-    const quota_limit &limit, const std::string &node, const quota_want &want, bool first, millis now)
+quota_grant handleWant(quota_home &home, const quota_plan &plan, const quota_tolerance &rules,
+    const quota_limit &limit, const std::string &node, const quota_demand &want, bool first, millis now)
 {
     quota_home_account &account = findOrAddAccount(home, plan, limit, want.account, now);
     fillAccount(account, limit, now);
-    const double held = fromPpm(want.heldPpm);
+    const double held = fromPpm(want.heldSharePpm);
     account.learnedShares += first ? held : 0;
     quota_holding &holding = account.holdings[node];
     holding.demand = fromMilli(want.demandMilli);
     holding.share = held;
     holding.until = now + plan.shareLifetime;
-    quota_give grant{want.account, 0, 0, 0};
-    grant.partPpm = toPpm(shareFor(home, plan, account, limit, node, want, now));
-    holding.share = std::max(held, fromPpm(grant.partPpm));
+    quota_grant grant{want.account, 0, 0, 0};
+    grant.grantedSharePpm = toPpm(shareFor(home, plan, account, limit, node, want, now));
+    holding.share = std::max(held, fromPpm(grant.grantedSharePpm));
     account.bucket.level += fromMilli(want.unusedMilli);
     const double growth = holding.share - held;
     account.fillShare = mayGrant(home, plan, now) ? availableShare(home, plan, account, now) : 0;
@@ -310,8 +310,9 @@
     home.fleet = std::move(fleet);
 }
 
-std::optional<quota_answer> handleRequest(quota_home &home, const quota_plan &plan, const quota_rules &rules,
-    const limit_lookup &limitOf, const quota_requester &requester, const quota_ask &request, millis now)
+std::optional<quota_response> handleRequest(quota_home &home, const quota_plan &plan,
+    const quota_tolerance &rules, const limit_lookup &limitOf, const quota_requester &requester,
+    const quota_request &request, millis now)
 {
     bool first = false;
     if (!acceptRound(home, requester, request, first, now)) {
@@ -323,14 +324,14 @@
     if (survey(home, plan, now)) {
         updateAllAccounts(home, plan, limitOf, now);
     }
-    quota_answer response{request.shard, request.round, toPpm(equalShare(home)), {}};
-    for (const quota_want &want : request.wants) {
+    quota_response response{request.shard, request.round, toPpm(equalShare(home)), {}};
+    for (const quota_demand &want : request.demands) {
         const auto limit = limitOf(want.account);
         if (!limit || !isLimited(*limit)) {
-            response.gives.push_back({want.account, 0, 0, 0});
+            response.grants.push_back({want.account, 0, 0, 0});
             continue;
         }
-        response.gives.push_back(handleWant(home, plan, rules, *limit, requester.node, want, first, now));
+        response.grants.push_back(handleWant(home, plan, rules, *limit, requester.node, want, first, now));
         removeExpiredHoldings(home.accounts[want.account], now);
     }
     return response;
--- a/packages/coordination/quota_plan.cpp
+++ b/packages/coordination/quota_plan.cpp
@@ -52,13 +52,13 @@
     return static_cast<std::uint32_t>(account % quotaShards);
 }
 
-millis unitsLifetime(const quota_rules &rules)
+millis unitsLifetime(const quota_tolerance &rules)
 {
     const double lifetimeMs = overageShareForAge * rules.overage * static_cast<double>(rules.window.count);
     return std::max(minUnitsLifetime, millis{static_cast<std::int64_t>(lifetimeMs)});
 }
 
-double maxDebt(const quota_limit &limit, const quota_rules &rules)
+double maxDebt(const quota_limit &limit, const quota_tolerance &rules)
 {
     const double inWindow = limit.rate * static_cast<double>(rules.window.count) / msPerSecond + limit.burst;
     return overageShareForDebt * rules.overage * inWindow + slackShareForDebt * rules.slack;
--- a/packages/coordination/quota_plan.h
+++ b/packages/coordination/quota_plan.h
@@ -60,10 +60,10 @@
 /// The maximum time between acquiring units and sending the request that they are for. Units acquired in one
 /// window may be used in the next; this limit keeps their effect under three quarters of the permitted
 /// overage.
-millis unitsLifetime(const quota_rules &rules);
+millis unitsLifetime(const quota_tolerance &rules);
 
 /// How far a home's bucket may go below zero, so that a request larger than the burst can run at all: a
 /// quarter of the permitted overage and half of the slack.
-double maxDebt(const quota_limit &limit, const quota_rules &rules);
+double maxDebt(const quota_limit &limit, const quota_tolerance &rules);
 
 }
--- a/packages/coordination/quota_task.cpp
+++ b/packages/coordination/quota_task.cpp
@@ -26,7 +26,7 @@
 }
 
 quota_task::quota_task(
-    loop &eventLoop, quota_callbacks callbacks, const quota_plan &plan, const quota_rules &rules)
+    loop &eventLoop, quota_callbacks callbacks, const quota_plan &plan, const quota_tolerance &rules)
     : m_loop(eventLoop)
     , m_callbacks(std::move(callbacks))
 {
@@ -68,7 +68,7 @@
     return briarhead::unitsLifetime(m_client.rules);
 }
 
-void quota_task::onRequest(const quota_requester &requester, const quota_ask &request)
+void quota_task::onRequest(const quota_requester &requester, const quota_request &request)
 {
     const auto home = m_homes.find(request.shard);
     if (m_stopped || home == m_homes.end() || bootNow() >= m_callbacks.confirmedUntil()) {
@@ -82,7 +82,7 @@
     }
 }
 
-void quota_task::onMessage(const quota_answer &response)
+void quota_task::onMessage(const quota_response &response)
 {
     notifyWaiters(applyResponse(m_client, response, bootNow()));
     sendRequests();
--- a/packages/coordination/quota_task.h
+++ b/packages/coordination/quota_task.h
@@ -52,8 +52,8 @@
     std::function<std::size_t()> daemons; ///< number of daemons
     std::function<std::vector<std::string>()> live; ///< the daemons that may become a home
     std::function<std::vector<std::string>()> fleet; ///< live daemons and others that may still hold shares
-    std::function<void(const std::string &daemon, const quota_ask &request)> sendRequest;
-    std::function<void(const std::string &daemon, const quota_answer &response)> sendResponse;
+    std::function<void(const std::string &daemon, const quota_request &request)> sendRequest;
+    std::function<void(const std::string &daemon, const quota_response &response)> sendResponse;
     /// The record of a shard's home; nothing: there is no record.
     std::function<std::optional<shard_home>(std::uint32_t shard)> homeOf;
     std::function<void(const std::string &daemon, const quota_release &release)> sendRelease;
@@ -90,7 +90,8 @@
 public:
     using on_decision = std::function<void(const quota_decision &)>;
 
-    quota_task(loop &eventLoop, quota_callbacks callbacks, const quota_plan &plan, const quota_rules &rules);
+    quota_task(
+        loop &eventLoop, quota_callbacks callbacks, const quota_plan &plan, const quota_tolerance &rules);
 
     /// Acquires units for a request. `done` may be called before this returns. Returns the id to pass to
     /// cancelAcquire() while the request waits for the home, or 0 if it doesn't wait.
@@ -101,8 +102,8 @@
     /// How long acquired units are valid; after that they have to be acquired again.
     millis unitsLifetime() const;
 
-    void onRequest(const quota_requester &requester, const quota_ask &request);
-    void onMessage(const quota_answer &response);
+    void onRequest(const quota_requester &requester, const quota_request &request);
+    void onMessage(const quota_response &response);
     void onMessage(const quota_release &release);
     /// To be called after a change of the configuration; `any`: at least one account has a limit.
     void onLimitsChanged(bool any);
--- a/packages/serving/crash_store.cpp
+++ b/packages/serving/crash_store.cpp
@@ -24,7 +24,7 @@
     links.daemons = [&store] {
         return nodesOf(store.view().daemons);
     };
-    links.send = [&store, &port, self = settings.node](const std::string &node, const crash_news &news) {
+    links.send = [&store, &port, self = settings.node](const std::string &node, const crash_report &news) {
         sendToNode(*port, store, self, node, news);
     };
     links.storedRecord = [&store](const std::string &fingerprint) {
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -78,7 +78,7 @@
         , m_front(eventLoop, m_bus, m_store, m_crashes, *m_quota, m_notices, m_pool, m_dependencies.requests,
               settings, log)
         , m_orderer(eventLoop, m_bus, m_store, m_notices, m_pool, m_dependencies.requests, settings, log,
-              [this](const std::string &entry, const place_answer &answer) {
+              [this](const std::string &entry, const slot_response &answer) {
                   sendSlotResponse(entry, answer);
               })
     {
@@ -89,15 +89,15 @@
     int run() override;
 
 private:
-    void sendSlotResponse(const std::string &entry, const place_answer &answer);
+    void sendSlotResponse(const std::string &entry, const slot_response &answer);
     void onDatagram(const fleet_datagram &datagram);
-    void sendStoreUpdate(const std::vector<std::string> &nodes, const store_news &news);
+    void sendStoreUpdate(const std::vector<std::string> &nodes, const store_update &news);
     daemon_record self() const;
     fleet_shape fleetShape() const;
     void sendHeartbeats();
-    void relayHeartbeat(const fleet_datagram &datagram, const fleet_beat &beat);
+    void relayHeartbeat(const fleet_datagram &datagram, const fleet_heartbeat &beat);
     void fetchStoreUpdate(
-        const std::string &node, std::int64_t after, std::function<void(std::optional<store_news>)> done);
+        const std::string &node, std::int64_t after, std::function<void(std::optional<store_update>)> done);
     void onUpdateRequest(const front_request &request, front_reply &reply) const;
     bool isReady() const;
     void onReadinessCheck(front_reply &reply) const;
@@ -164,11 +164,11 @@
     if (!m_peers) {
         return false;
     }
-    m_store.setFleet({[this](const std::vector<std::string> &nodes, const store_news &news) {
+    m_store.setFleet({[this](const std::vector<std::string> &nodes, const store_update &news) {
                           sendStoreUpdate(nodes, news);
                       },
         [this](const std::string &node, std::int64_t after,
-            std::function<void(std::optional<store_news>)> done) {
+            std::function<void(std::optional<store_update>)> done) {
             fetchStoreUpdate(node, after, std::move(done));
         }});
     m_callers = front_server::listen(
@@ -234,9 +234,9 @@
     return m_exitCode;
 }
 
-void daemon_impl::sendSlotResponse(const std::string &entry, const place_answer &answer)
+void daemon_impl::sendSlotResponse(const std::string &entry, const slot_response &answer)
 {
-    deliverToNode(m_loop, *m_port, m_store, m_settings.node, entry, answer, [this](const place_answer &own) {
+    deliverToNode(m_loop, *m_port, m_store, m_settings.node, entry, answer, [this](const slot_response &own) {
         m_front.onSlotResponse(own);
     });
 }
@@ -247,29 +247,29 @@
     std::visit(
         [&](const auto &body) {
             using body_type = std::decay_t<decltype(body)>;
-            if constexpr (std::is_same_v<body_type, place_answer>) {
+            if constexpr (std::is_same_v<body_type, slot_response>) {
                 m_front.onSlotResponse(body);
-            } else if constexpr (std::is_same_v<body_type, packed_news>) {
+            } else if constexpr (std::is_same_v<body_type, compressed_update>) {
                 error why;
-                if (const auto news = decodeNews(body.bytes, why)) {
+                if (const auto news = decodeStoreUpdate(body.bytes, why)) {
                     m_store.onNews(datagram.from, *news);
                 } else {
                     m_log.important("news.unreadable").add("peer", datagram.from).add("why", message(why));
                 }
-            } else if constexpr (std::is_same_v<body_type, store_news>) {
+            } else if constexpr (std::is_same_v<body_type, store_update>) {
                 m_store.onNews(datagram.from, body);
-            } else if constexpr (std::is_same_v<body_type, crash_news>) {
+            } else if constexpr (std::is_same_v<body_type, crash_report>) {
                 m_crashes.onReport(body);
-            } else if constexpr (std::is_same_v<body_type, quota_ask>) {
+            } else if constexpr (std::is_same_v<body_type, quota_request>) {
                 const daemon_record *record = findPeer(m_store.view(), datagram.from);
                 const bool recorded = record != nullptr && record->incarnation == datagram.incarnation;
                 m_quota->onRequest({datagram.from, datagram.incarnation, recorded}, body);
             } else if constexpr (std::is_same_v<body_type,
-                                     quota_answer> || std::is_same_v<body_type, quota_release>) {
+                                     quota_response> || std::is_same_v<body_type, quota_release>) {
                 m_quota->onMessage(body);
-            } else if constexpr (std::is_same_v<body_type, word_news>) {
+            } else if constexpr (std::is_same_v<body_type, server_notice>) {
                 m_notices.onNotice(datagram.from, body);
-            } else if constexpr (std::is_same_v<body_type, fleet_beat>) {
+            } else if constexpr (std::is_same_v<body_type, fleet_heartbeat>) {
                 m_front.onHeartbeat(datagram.from, body);
                 m_orderer.hear(datagram.from, body);
                 if (body.relay) {
@@ -295,10 +295,10 @@
 }
 
 /// Relays a heartbeat from another failure domain to the daemons of this domain that need it.
-void daemon_impl::relayHeartbeat(const fleet_datagram &datagram, const fleet_beat &beat)
+void daemon_impl::relayHeartbeat(const fleet_datagram &datagram, const fleet_heartbeat &beat)
 {
     fleet_datagram copy{datagram.from, datagram.incarnation, beat};
-    std::get<fleet_beat>(copy.body).relay = false;
+    std::get<fleet_heartbeat>(copy.body).relay = false;
     for (const daemon_record *record : relayTargets(fleetShape(), self(), beat)) {
         m_port->send({record->ip, record->port}, copy);
     }
@@ -327,7 +327,7 @@
 void daemon_impl::sendHeartbeats()
 {
     updateIsolation();
-    const fleet_beat heartbeat = m_orderer.beat();
+    const fleet_heartbeat heartbeat = m_orderer.beat();
     m_front.onHeartbeat(m_settings.node, heartbeat);
     ++m_heartbeatRound;
     for (const heartbeat_delivery &delivery :
@@ -339,13 +339,13 @@
     }
 }
 
-void daemon_impl::sendStoreUpdate(const std::vector<std::string> &nodes, const store_news &news)
+void daemon_impl::sendStoreUpdate(const std::vector<std::string> &nodes, const store_update &news)
 {
     fleet_datagram datagram{m_settings.node, m_store.incarnation(), news};
     if (!news.items.empty()) {
-        datagram.body = packed_news{encode(news)};
-        if (std::get<packed_news>(datagram.body).bytes.size() > maxInlineUpdateBytes) {
-            datagram.body = store_news{news.from, news.to, true, false, {}};
+        datagram.body = compressed_update{encode(news)};
+        if (std::get<compressed_update>(datagram.body).bytes.size() > maxInlineUpdateBytes) {
+            datagram.body = store_update{news.from, news.to, true, false, {}};
         }
     }
     for (const std::string &node : nodes) {
@@ -369,7 +369,7 @@
 }
 
 void daemon_impl::fetchStoreUpdate(
-    const std::string &node, std::int64_t after, std::function<void(std::optional<store_news>)> done)
+    const std::string &node, std::int64_t after, std::function<void(std::optional<store_update>)> done)
 {
     const daemon_record *peer = findPeer(m_store.view(), node);
     if (peer == nullptr) {
@@ -381,7 +381,7 @@
     callServer(m_loop, m_pool, {peer->ip, peer->port}, call, updateFetchTimeout,
         [done = std::move(done)](const call_result &result) {
             error why;
-            done(result.how == send_end::Whole ? decodeNews(result.body, why) : std::nullopt);
+            done(result.how == send_end::Whole ? decodeStoreUpdate(result.body, why) : std::nullopt);
         });
 }
 
--- a/packages/serving/fleet_port.cpp
+++ b/packages/serving/fleet_port.cpp
@@ -70,7 +70,7 @@
             return;
         }
         error why;
-        const auto datagram = decodeFleet({buffer.data(), static_cast<std::size_t>(size)}, why);
+        const auto datagram = decodeFleetDatagram({buffer.data(), static_cast<std::size_t>(size)}, why);
         if (!datagram) {
             ++m_counters.undecodable;
             m_lastDecodeError = why;
--- a/packages/serving/front_account.cpp
+++ b/packages/serving/front_account.cpp
@@ -119,7 +119,7 @@
         .add("home", standing.home)
         .add("contact_age_ms", standing.contactAge)
         .add("config", pending->config->version);
-    notifyOwner(*pending, place_event::Ended);
+    notifyOwner(*pending, slot_event::Ended);
     switch (decision.result) {
     case quota_result::TooLarge:
         refuse(pending, "larger than the account's limit", retryAfterTooLarge, tooManyRequestsStatus);
@@ -146,7 +146,7 @@
         }
         const auto server = m_store.view().servers.find(locked->server);
         if (server == m_store.view().servers.end()) {
-            dispatchElsewhere(locked, place_event::Unsent);
+            dispatchElsewhere(locked, slot_event::NotSent);
             return;
         }
         send(locked, server->second);
--- a/packages/serving/front_closed.cpp
+++ b/packages/serving/front_closed.cpp
@@ -88,12 +88,12 @@
     }
     for (const request_ptr &pending : waiting) {
         --pending->serversTried;
-        dispatchElsewhere(pending, place_event::Ended);
+        dispatchElsewhere(pending, slot_event::Ended);
     }
 }
 
 /// Gives up the server that the request was meant for, before anything was sent, and dispatches it again.
-void front_task::dispatchElsewhere(const request_ptr &pending, place_event event)
+void front_task::dispatchElsewhere(const request_ptr &pending, slot_event event)
 {
     pending->slotRequestTimer.reset();
     notifyOwner(*pending, event);
--- a/packages/serving/front_limit.cpp
+++ b/packages/serving/front_limit.cpp
@@ -83,7 +83,7 @@
     }
     if (!owner.empty()) {
         sendToOwner(owner,
-            limit_note{pending.request.id, pending.server,
+            limit_report{pending.request.id, pending.server,
                 pending.responseMeta.limit ? toMilli(*pending.responseMeta.limit) : -1});
     }
 }
--- a/packages/serving/front_route.cpp
+++ b/packages/serving/front_route.cpp
@@ -195,8 +195,8 @@
     m_numberByRequestId[pending->request.id] = pending->number;
     const millis waited = bootNow() - pending->arrived;
     const std::int64_t wait = slotWaitLeft(*pending).count;
-    place_ask message{pending->request.id, pending->server, pending->request.model, pending->request.adapter,
-        pending->request.promptTokens, pending->request.outputTokens,
+    slot_request message{pending->request.id, pending->server, pending->request.model,
+        pending->request.adapter, pending->request.promptTokens, pending->request.outputTokens,
         rankOf(*pending->matchedRoute, pending->account), std::max<std::int64_t>(wait, 0),
         std::max<std::int64_t>(timeLeft(*pending).count, 0), (pending->matchedRoute->target - waited).count,
         -1, 0};
@@ -232,7 +232,7 @@
         .add("server", pending->server)
         .add("orderer", pending->owner)
         .add("asks", pending->slotRequestsSent);
-    notifyOwner(*pending, place_event::Ended);
+    notifyOwner(*pending, slot_event::Ended);
     pending->excludedServers.insert(pending->server);
     if (const auto limit = m_limits.find(pending->server); limit != m_limits.end()) {
         // Keep the next requests from waiting for this owner too.
@@ -241,13 +241,13 @@
     dispatch(pending);
 }
 
-void front_task::onSlotResponse(const place_answer &response)
+void front_task::onSlotResponse(const slot_response &response)
 {
-    const bool conveysLimit = response.why != refusal::NotOrderer && response.why != refusal::ServerLeaving;
+    const bool conveysLimit = response.why != refusal::NotOwner && response.why != refusal::ServerLeaving;
     if (conveysLimit) {
-        const bool limited = response.verdict == place_verdict::Refused && response.why == refusal::Limited;
+        const bool limited = response.decision == slot_decision::Refused && response.why == refusal::Limited;
         const auto known = permitWait(response.server);
-        const millis wait = limited ? millis{response.comeBackMs} : known.value_or(millis{});
+        const millis wait = limited ? millis{response.retryAfterMs} : known.value_or(millis{});
         applyOwnerLimit(m_limits, response.server, decodeLimit(response.limitMilli), wait, bootNow());
     }
     const auto number = m_numberByRequestId.find(response.id);
@@ -257,20 +257,20 @@
         && !found->second->granted && !found->second->activeSend;
     if (!isWaiting) {
         const bool unknown = found == m_requests.end() || found->second->server != response.server;
-        if (response.verdict == place_verdict::Granted && unknown) {
+        if (response.decision == slot_decision::Granted && unknown) {
             // The request has ended or uses another server: release the granted slot.
             pending_request ended;
             ended.request.id = response.id;
             ended.server = response.server;
             const auto observed = m_observed.find(response.server);
             ended.owner = observed == m_observed.end() ? "" : observed->second.owner;
-            notifyOwner(ended, place_event::Unsent);
+            notifyOwner(ended, slot_event::NotSent);
         }
         return;
     }
     const request_ptr pending = found->second;
-    switch (response.verdict) {
-    case place_verdict::Queued:
+    switch (response.decision) {
+    case slot_decision::Queued:
         // The grant may get lost, so keep repeating the request, but less often.
         pending->slotRequestsSent = 1;
         pending->slotRequestTimer = m_loop.timer(slotRequestTimeout + slotRequestTimeout, {},
@@ -280,7 +280,7 @@
                 }
             });
         return;
-    case place_verdict::Granted: {
+    case slot_decision::Granted: {
         pending->slotRequestTimer.reset();
         pending->granted = true;
         pending->adapterVersion = response.adapterVersion;
@@ -288,22 +288,22 @@
         record(m_counters.slotWait, static_cast<double>(pending->slotWait.count));
         const auto server = m_store.view().servers.find(pending->server);
         if (server == m_store.view().servers.end()) {
-            dispatchElsewhere(pending, place_event::Unsent);
+            dispatchElsewhere(pending, slot_event::NotSent);
             return;
         }
         send(pending, server->second);
         return;
     }
-    case place_verdict::Refused:
+    case slot_decision::Refused:
         pending->slotRequestTimer.reset();
         m_log.ordinary("place.refused")
             .add("id", pending->request.id)
             .add("server", response.server)
             .add("why", nameOf(response.why))
-            .add("come_back_ms", response.comeBackMs);
+            .add("come_back_ms", response.retryAfterMs);
         if (pending->shortestRetryAfter.count < 0
-            || response.comeBackMs < pending->shortestRetryAfter.count) {
-            pending->shortestRetryAfter = {response.comeBackMs};
+            || response.retryAfterMs < pending->shortestRetryAfter.count) {
+            pending->shortestRetryAfter = {response.retryAfterMs};
         }
         pending->excludedServers.insert(response.server);
         dispatch(pending);
@@ -311,19 +311,19 @@
     }
 }
 
-void front_task::notifyOwner(const pending_request &pending, place_event event)
+void front_task::notifyOwner(const pending_request &pending, slot_event event)
 {
     if (pending.owner.empty()) {
         return;
     }
-    const place_note message{pending.request.id, pending.server, event};
+    const slot_report message{pending.request.id, pending.server, event};
     sendToOwner(pending.owner, message);
 }
 
-void front_task::onHeartbeat(const std::string &node, const fleet_beat &heartbeat)
+void front_task::onHeartbeat(const std::string &node, const fleet_heartbeat &heartbeat)
 {
     const millis now = bootNow();
-    for (const server_beat &each : heartbeat.servers) {
+    for (const server_heartbeat &each : heartbeat.servers) {
         auto &observed = m_observed[each.server];
         if (each.fence < observed.heartbeat.fence) {
             continue; // from a previous owner
@@ -334,7 +334,7 @@
             announceRunning(each.server, node);
         }
     }
-    for (const limit_beat &each : heartbeat.limits) {
+    for (const limit_heartbeat &each : heartbeat.limits) {
         const auto observed = m_observed.find(each.server);
         if (observed != m_observed.end() && observed->second.owner == node) {
             applyOwnerLimit(m_limits, each.server, decodeLimit(each.limitMilli), millis{each.waitMs}, now);
@@ -351,7 +351,7 @@
             continue;
         }
         pending->owner = owner;
-        const place_running message{pending->request.id, server, pending->request.model,
+        const running_request message{pending->request.id, server, pending->request.model,
             pending->request.adapter, pending->request.promptTokens, pending->request.outputTokens,
             !pending->firstEventReceived, timeLeft(*pending).count};
         sendToOwner(owner, message);
--- a/packages/serving/front_send.cpp
+++ b/packages/serving/front_send.cpp
@@ -25,7 +25,7 @@
 {
     // All sends go through here, so that changes since the request was dispatched are taken into account.
     if (isBlocked(*pending)) {
-        notifyOwner(*pending, place_event::Ended);
+        notifyOwner(*pending, slot_event::Ended);
         refuseBlocked(pending);
         return;
     }
@@ -36,7 +36,7 @@
             .add("id", pending->request.id)
             .add("server", server.id)
             .add("access", nameOf(access));
-        dispatchElsewhere(pending, place_event::Unsent);
+        dispatchElsewhere(pending, slot_event::NotSent);
         return;
     }
     if (!holdsUnits(*pending)) {
@@ -155,7 +155,7 @@
         pending->promptReadTime = now - pending->sentAt;
         pending->firstEventDelay =
             pending->firstEventDelay.count < 0 ? now - pending->arrived : pending->firstEventDelay;
-        notifyOwner(*pending, place_event::FirstToken);
+        notifyOwner(*pending, slot_event::FirstToken);
     }
     pending->reply->write(events);
 }
@@ -181,7 +181,7 @@
     }
     if (end == send_end::Unsent) {
         ++pending->unsentCount;
-        notifyOwner(*pending, place_event::Unsent);
+        notifyOwner(*pending, slot_event::NotSent);
         m_log.important("request.unsent")
             .add("id", pending->request.id)
             .add("server", server)
@@ -201,7 +201,7 @@
         }
         pending->mayHaveRun = pending->mayHaveRun || !notExecuted;
         const bool adapterMissing = notExecuted && pending->usesModelServer && pending->granted;
-        notifyOwner(*pending, adapterMissing ? place_event::NotHeld : place_event::Ended);
+        notifyOwner(*pending, adapterMissing ? slot_event::AdapterNotLoaded : slot_event::Ended);
         onResponseComplete(pending);
         return;
     }
@@ -211,7 +211,7 @@
     if (end == send_end::Broken && staysListed) {
         m_crashes.onResponseBroken(pending->fingerprint, pending->target);
     }
-    notifyOwner(*pending, place_event::Failed);
+    notifyOwner(*pending, slot_event::Failed);
     m_log.important("request.broken")
         .add("id", pending->request.id)
         .add("fingerprint", pending->fingerprint)
@@ -327,7 +327,7 @@
         {error_kind::Timeout, server, "the server has sent nothing within the inactivity timeout"});
 }
 
-void front_task::abandonServer(const request_ptr &pending, place_event event)
+void front_task::abandonServer(const request_ptr &pending, slot_event event)
 {
     if (pending->activeSend) {
         m_pool.cancel(*pending->activeSend);
--- a/packages/serving/front_task.cpp
+++ b/packages/serving/front_task.cpp
@@ -129,7 +129,7 @@
     }
     pending->reply->onGone([this, weak = std::weak_ptr<pending_request>(pending)] {
         if (const auto locked = weak.lock()) {
-            abandonServer(locked, place_event::Ended);
+            abandonServer(locked, slot_event::Ended);
             finish(locked, "caller_left");
         }
     });
@@ -263,7 +263,7 @@
         }
     }
     for (const request_ptr &pending : waiting) {
-        notifyOwner(*pending, place_event::Ended);
+        notifyOwner(*pending, slot_event::Ended);
         refuseBlocked(pending);
     }
 }
@@ -281,7 +281,7 @@
 void front_task::onDeadline(const request_ptr &pending)
 {
     const bool sent = pending->activeSend.has_value();
-    abandonServer(pending, place_event::Ended);
+    abandonServer(pending, slot_event::Ended);
     if (pending->headSent) {
         pending->reply->abort();
         finish(pending, "late_stream");
--- a/packages/serving/front_task.h
+++ b/packages/serving/front_task.h
@@ -75,8 +75,8 @@
     /// are used.
     void setIsolated(bool isolated);
     void onRequest(front_request raw, std::shared_ptr<front_reply> reply);
-    void onSlotResponse(const place_answer &response);
-    void onHeartbeat(const std::string &node, const fleet_beat &heartbeat);
+    void onSlotResponse(const slot_response &response);
+    void onHeartbeat(const std::string &node, const fleet_heartbeat &heartbeat);
     /// Whether a heartbeat about any server has been received.
     bool knowsAnyOwner() const;
     const front_counters &counters() const;
@@ -117,7 +117,7 @@
     millis earliestRetryAfter(const pending_request &pending, millis fallback) const;
     const char *noServerReason(const pending_request &pending) const;
     void onServerClosed(const std::string &server);
-    void dispatchElsewhere(const request_ptr &pending, place_event event);
+    void dispatchElsewhere(const request_ptr &pending, slot_event event);
     void requestPermit(const request_ptr &pending, const backend_server &server);
     void reportLimit(const pending_request &pending);
     void sendSlotRequest(const request_ptr &pending);
@@ -136,9 +136,9 @@
     void refuse(const request_ptr &pending, const char *why, millis retryAfter, int status = 503);
     void fail(const request_ptr &pending, int status, const char *why);
     void finish(const request_ptr &pending, const std::string &outcome);
-    void abandonServer(const request_ptr &pending, place_event event);
+    void abandonServer(const request_ptr &pending, slot_event event);
     void announceRunning(const std::string &server, const std::string &orderer);
-    void notifyOwner(const pending_request &pending, place_event event);
+    void notifyOwner(const pending_request &pending, slot_event event);
     template <class message_type>
     void sendToOwner(const std::string &owner, const message_type &message);
     millis timeLeft(const pending_request &pending) const;
--- a/packages/serving/heartbeat_groups.cpp
+++ b/packages/serving/heartbeat_groups.cpp
@@ -66,20 +66,20 @@
 }
 
 std::vector<heartbeat_delivery> planHeartbeats(
-    const fleet_shape &fleet, const daemon_record &from, const fleet_beat &heartbeat, int round)
+    const fleet_shape &fleet, const daemon_record &from, const fleet_heartbeat &heartbeat, int round)
 {
     std::vector<heartbeat_delivery> deliveries;
     for (const auto &[domain, daemons] : byDomain(fleet)) {
         const bool own = domain == from.failureDomain;
         const std::size_t groups = heartbeatGroupCount(daemons.live.size(), fleet.servers);
         std::map<std::size_t, heartbeat_delivery> byGroup;
-        for (const server_beat &server : heartbeat.servers) {
-            fleet_beat &groupHeartbeat = byGroup[heartbeatGroupOf(server.server, groups)].heartbeat;
-            groupHeartbeat.orderingMs = heartbeat.orderingMs;
-            groupHeartbeat.loadsAtOnce = heartbeat.loadsAtOnce;
+        for (const server_heartbeat &server : heartbeat.servers) {
+            fleet_heartbeat &groupHeartbeat = byGroup[heartbeatGroupOf(server.server, groups)].heartbeat;
+            groupHeartbeat.ownershipLeftMs = heartbeat.ownershipLeftMs;
+            groupHeartbeat.maxFullSpeedLoads = heartbeat.maxFullSpeedLoads;
             groupHeartbeat.servers.push_back(server);
         }
-        for (const limit_beat &limit : heartbeat.limits) {
+        for (const limit_heartbeat &limit : heartbeat.limits) {
             byGroup[heartbeatGroupOf(limit.server, groups)].heartbeat.limits.push_back(limit);
         }
         for (auto &[group, delivery] : byGroup) {
@@ -105,7 +105,7 @@
 }
 
 std::vector<const daemon_record *> relayTargets(
-    const fleet_shape &fleet, const daemon_record &relay, const fleet_beat &heartbeat)
+    const fleet_shape &fleet, const daemon_record &relay, const fleet_heartbeat &heartbeat)
 {
     const domain_map domains = byDomain(fleet);
     const auto own = domains.find(relay.failureDomain);
--- a/packages/serving/heartbeat_groups.h
+++ b/packages/serving/heartbeat_groups.h
@@ -43,7 +43,7 @@
 /// A heartbeat and the daemons to send it to.
 struct heartbeat_delivery
 {
-    fleet_beat heartbeat;
+    fleet_heartbeat heartbeat;
     std::vector<const daemon_record *> recipients;
 };
 
@@ -56,9 +56,9 @@
 
 /// The heartbeats that daemon `from` sends in a round about the servers that it owns.
 std::vector<heartbeat_delivery> planHeartbeats(
-    const fleet_shape &fleet, const daemon_record &from, const fleet_beat &heartbeat, int round);
+    const fleet_shape &fleet, const daemon_record &from, const fleet_heartbeat &heartbeat, int round);
 /// The daemons of `relay`'s own failure domain that it forwards a heartbeat from another domain to.
 std::vector<const daemon_record *> relayTargets(
-    const fleet_shape &fleet, const daemon_record &relay, const fleet_beat &heartbeat);
+    const fleet_shape &fleet, const daemon_record &relay, const fleet_heartbeat &heartbeat);
 
 }
--- a/packages/serving/node_settings.h
+++ b/packages/serving/node_settings.h
@@ -26,7 +26,7 @@
     millis drain{2'000}; ///< after the store lists a server as leaving, requests may reach it for so long
     millis shutdown{8'000}; ///< from the termination signal until the platform kills the process
     retry_limits retries;
-    quota_rules quota; ///< how exactly client accounts' limits are enforced
+    quota_tolerance quota; ///< how exactly client accounts' limits are enforced
     /// Refuse requests that need a key while the configuration has not been confirmed to be the newest for
     /// longer than `maxRevocationDelay`, because a key may have been revoked since.
     bool strictRevocation = false;
--- a/packages/serving/observed_server.cpp
+++ b/packages/serving/observed_server.cpp
@@ -28,10 +28,10 @@
 }
 
 void applyHeartbeat(
-    observed_server &observed, const server_beat &heartbeat, const std::string &owner, millis now)
+    observed_server &observed, const server_heartbeat &heartbeat, const std::string &owner, millis now)
 {
     observed = {heartbeat, owner, now, std::move(observed.recentAdapters), 0, 0};
-    for (const beat_adapter &each : observed.heartbeat.adapters) {
+    for (const heartbeat_adapter &each : observed.heartbeat.adapters) {
         if (!each.loading) {
             std::erase(observed.recentAdapters, each.name);
             observed.recentAdapters.push_back(each.name);
@@ -51,20 +51,20 @@
 model_candidate candidateOf(
     const observed_server &observed, const std::string &adapterKey, bool needsAdapter, millis now)
 {
-    const server_beat &heartbeat = observed.heartbeat;
+    const server_heartbeat &heartbeat = observed.heartbeat;
     const bool fresh = isFresh(observed, now);
     model_candidate candidate;
-    candidate.modelResident = heartbeat.held;
-    candidate.longResponses = heartbeat.longAnswers;
-    candidate.availableSlots = fresh && heartbeat.openPlaces > observed.slotsRequestedSince
-        ? heartbeat.openPlaces - observed.slotsRequestedSince
+    candidate.modelResident = heartbeat.modelLoaded;
+    candidate.longResponses = heartbeat.longResponses;
+    candidate.availableSlots = fresh && heartbeat.availableSlots > observed.slotsRequestedSince
+        ? heartbeat.availableSlots - observed.slotsRequestedSince
         : 0;
     candidate.adapter = needsAdapter ? adapter_residency::Absent : adapter_residency::Resident;
     const std::uint32_t name = adapterHash(adapterKey);
-    for (const beat_adapter &each : heartbeat.adapters) {
+    for (const heartbeat_adapter &each : heartbeat.adapters) {
         if (each.name == name) {
             candidate.adapter = each.loading ? adapter_residency::Loading : adapter_residency::Resident;
-            candidate.recentUses = each.uses;
+            candidate.recentUses = each.recentUses;
         }
     }
     const bool seenRecently = std::find(observed.recentAdapters.begin(), observed.recentAdapters.end(), name)
@@ -72,8 +72,8 @@
     if (candidate.adapter == adapter_residency::Absent && seenRecently) {
         candidate.adapter = adapter_residency::Remembered;
     }
-    const double tokensPerMs = heartbeat.tokensPerSecond > 0
-        ? static_cast<double>(heartbeat.tokensPerSecond) / msPerSecond
+    const double tokensPerMs = heartbeat.prefillTokensPerSecond > 0
+        ? static_cast<double>(heartbeat.prefillTokensPerSecond) / msPerSecond
         : defaultTokensPerMs;
     candidate.backlogMs =
         static_cast<double>(heartbeat.backlogTokens + observed.requestedTokensSince) / tokensPerMs;
--- a/packages/serving/observed_server.h
+++ b/packages/serving/observed_server.h
@@ -15,7 +15,7 @@
 /// The latest heartbeat about a model server, and what has happened since.
 struct observed_server
 {
-    server_beat heartbeat;
+    server_heartbeat heartbeat;
     std::string owner; ///< node that sent the heartbeat
     millis receivedAt;
     /// Hashes of the adapters that heartbeats have listed as resident, most recent last.
@@ -33,7 +33,7 @@
 /// Applies a new heartbeat. Servers keep recently evicted adapters in host memory, but heartbeats list only
 /// resident ones, so an entry infers the remembered adapters from earlier heartbeats, up to a maximum number.
 void applyHeartbeat(
-    observed_server &observed, const server_beat &heartbeat, const std::string &owner, millis now);
+    observed_server &observed, const server_heartbeat &heartbeat, const std::string &owner, millis now);
 
 /// Whether the latest heartbeat is recent enough for the server's owner to count as alive.
 bool isFresh(const observed_server &observed, millis now);
--- a/packages/serving/server_notice_task.cpp
+++ b/packages/serving/server_notice_task.cpp
@@ -130,16 +130,17 @@
     }
 }
 
-void server_notice_task::onNotice(const std::string &daemon, const word_news &notice)
+void server_notice_task::onNotice(const std::string &daemon, const server_notice &notice)
 {
-    const bool newlyLeaving = notice.leaving && recordLeaving(m_notices, notice.start, bootNow());
-    const bool newPause = recordPause(m_notices, notice.start, daemon, millis{notice.pauseMs}, bootNow());
+    const bool newlyLeaving = notice.leaving && recordLeaving(m_notices, notice.incarnation, bootNow());
+    const bool newPause =
+        recordPause(m_notices, notice.incarnation, daemon, millis{notice.pauseMs}, bootNow());
     if (!newlyLeaving && !newPause) {
         return;
     }
     m_log.important("server.word_heard")
         .add("server", notice.server)
-        .add("start", notice.start)
+        .add("start", notice.incarnation)
         .add("from", daemon)
         .add("leaving", notice.leaving ? 1 : 0)
         .add("pause_ms", notice.pauseMs);
@@ -150,9 +151,9 @@
 }
 
 /// Notifies all daemons on behalf of a relay, so that they don't have to learn it from a response.
-void server_notice_task::broadcastLeaving(const word_news &notice)
+void server_notice_task::broadcastLeaving(const server_notice &notice)
 {
-    sendNotice({notice.server, notice.start, true, 0, false}, reachableDaemons(), sendsToAll);
+    sendNotice({notice.server, notice.incarnation, true, 0, false}, reachableDaemons(), sendsToAll);
 }
 
 void server_notice_task::notifyLeaving(const std::string &daemon, const backend_server &server)
@@ -172,7 +173,8 @@
     return nodes;
 }
 
-void server_notice_task::sendNotice(word_news notice, const std::vector<std::string> &recipients, int sends)
+void server_notice_task::sendNotice(
+    server_notice notice, const std::vector<std::string> &recipients, int sends)
 {
     for (const std::string &node : recipients) {
         if (node != m_settings.node) {
--- a/packages/serving/server_notice_task.h
+++ b/packages/serving/server_notice_task.h
@@ -70,7 +70,7 @@
     void onResponse(const std::string &id, const std::string &server, const std::string &incarnation,
         const response_meta &meta);
     /// Applies a notice from another daemon.
-    void onNotice(const std::string &daemon, const word_news &notice);
+    void onNotice(const std::string &daemon, const server_notice &notice);
     /// Notifies a daemon that a server is leaving, if the server has announced it itself.
     void notifyLeaving(const std::string &daemon, const backend_server &server);
 
@@ -81,14 +81,14 @@
     /// A notice that is sent several times, since datagrams may be lost.
     struct repeated_notice
     {
-        word_news notice;
+        server_notice notice;
         std::vector<std::string> recipients;
         int sendsLeft = 0;
     };
 
-    void sendNotice(word_news notice, const std::vector<std::string> &recipients, int sends);
+    void sendNotice(server_notice notice, const std::vector<std::string> &recipients, int sends);
     void resendNotices();
-    void broadcastLeaving(const word_news &notice);
+    void broadcastLeaving(const server_notice &notice);
     std::vector<std::string> reachableDaemons() const;
 
     loop &m_loop;
--- a/packages/state/burn_json.cpp
+++ b/packages/state/burn_json.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <exception>
 
-// The JSON form of the burn report. Values that follow from others (rates, penalties, quantiles) are
-// written for whoever reads it, and ignored when it is read back.
+// The JSON form of the burn report. Derived values (rates, penalties, quantiles) are written for people and
+// other tools, and ignored by parseBurn().
 namespace briarhead {
 
 namespace {
@@ -60,7 +60,7 @@
     return windows;
 }
 
-/// Windows are found by name, so that a release with other windows can still be read.
+/// Matches windows by name, so that the report of a release with other windows can still be read.
 void windowsFromJson(const json &from, target_burn &target)
 {
     for (const json &row : from) {
@@ -123,7 +123,7 @@
         {"callers", target.callers},
         {"adapters", target.adapters},
         {"first_token_ms", target.firstToken.count},
-        {"whole_ms", target.whole.count},
+        {"whole_ms", target.endToEnd.count},
         {"share", target.share},
         {"level", nameOf(levelOf(target))},
         {"windows", windowsToJson(report, target)},
@@ -135,7 +135,7 @@
         {"by_caller", std::move(callers)},
         {"latency",
             {{"first_token", latencyToJson(target.firstTokenTimes)},
-                {"whole", latencyToJson(target.wholeTimes)}, {"stall", latencyToJson(target.stallTimes)}}},
+                {"whole", latencyToJson(target.endToEndTimes)}, {"stall", latencyToJson(target.stallTimes)}}},
     };
 }
 
@@ -146,7 +146,7 @@
     target.callers = from.at("callers").get<std::string>();
     target.adapters = from.at("adapters").get<std::string>();
     target.firstToken = {from.at("first_token_ms").get<std::int64_t>()};
-    target.whole = {from.at("whole_ms").get<std::int64_t>()};
+    target.endToEnd = {from.at("whole_ms").get<std::int64_t>()};
     target.share = from.at("share").get<double>();
     target.penalty = from.at("penalty").at("per_miss").get<double>();
     windowsFromJson(from.at("windows"), target);
@@ -156,7 +156,7 @@
         target.byCaller[name] = {countsFromJson(caller.at("1h")), countsFromJson(caller.at("1d"))};
     }
     latencyFromJson(from.at("latency").at("first_token"), target.firstTokenTimes);
-    latencyFromJson(from.at("latency").at("whole"), target.wholeTimes);
+    latencyFromJson(from.at("latency").at("whole"), target.endToEndTimes);
     latencyFromJson(from.at("latency").at("stall"), target.stallTimes);
     return target;
 }
@@ -194,8 +194,8 @@
 {
     try {
         return reportFromJson(json::parse(text));
-    } catch (const json::exception &problem) {
-        why = {error_kind::BadFrame, "burn report", problem.what()};
+    } catch (const json::exception &failure) {
+        why = {error_kind::BadFrame, "burn report", failure.what()};
     }
     return std::nullopt;
 }
--- a/packages/transport/peer_connection.cpp
+++ b/packages/transport/peer_connection.cpp
@@ -88,7 +88,7 @@
     std::vector<queued_message> unsent;
     for (const queued_frame &frame : m_out) {
         if (frame.message) {
-            unsent.push_back({frame.bytes.substr(frameHeadBytes), frame.control});
+            unsent.push_back({frame.bytes.substr(frameHeaderBytes), frame.control});
         }
     }
     m_out.clear();
@@ -227,7 +227,7 @@
         return;
     }
     error why;
-    auto message = decodeMessage(bytes, why);
+    auto message = decodePeerMessage(bytes, why);
     if (!message) {
         refuseInput();
         return;
--- a/packages/transport/peer_link.cpp
+++ b/packages/transport/peer_link.cpp
@@ -156,7 +156,7 @@
     m_self.counters.datagramBytesIn += bytes.size();
     error why;
     const auto opened = openDatagram(m_self.keys, bytes);
-    const auto datagram = opened ? decodeDatagram(*opened, why) : std::nullopt;
+    const auto datagram = opened ? decodePeerDatagram(*opened, why) : std::nullopt;
     if (!datagram) {
         ++m_self.counters.dropped;
         return;
@@ -226,7 +226,7 @@
 bool peer_link_impl::send(const std::string &name, const peer_address &to, const peer_message &message)
 {
     queued_message queued{encode(message), isControl(message)};
-    const std::size_t size = queued.bytes.size() + frameHeadBytes;
+    const std::size_t size = queued.bytes.size() + frameHeaderBytes;
     peer_record &record = m_peers[name];
     if (record.breaking || queued.bytes.size() > maxFrameBytes || name == m_self.name) {
         return false;
@@ -386,7 +386,7 @@
 {
     for (const queued_message &each : unsent) {
         error why;
-        const auto message = m_calls.onUnsent ? decodeMessage(each.bytes, why) : std::nullopt;
+        const auto message = m_calls.onUnsent ? decodePeerMessage(each.bytes, why) : std::nullopt;
         if (message) {
             m_calls.onUnsent(name, *message);
         }
--- a/tests/serving/crash_task_test.cpp
+++ b/tests/serving/crash_task_test.cpp
@@ -42,7 +42,7 @@
         port = fleet_port::open(
             shared.events, settings.peers,
             [this](const fleet_datagram &datagram, const peer_address &) {
-                if (const auto *report = std::get_if<crash_news>(&datagram.body)) {
+                if (const auto *report = std::get_if<crash_report>(&datagram.body)) {
                     crashes.onReport(*report);
                 }
             },
@@ -129,8 +129,9 @@
     {
         error why;
         const auto found = m_store.items.find("briarhead/crash/" + fingerprint);
-        return found == m_store.items.end() ? crash_record{}
-                                            : decodeCrash(found->second.value, why).value_or(crash_record{});
+        return found == m_store.items.end()
+            ? crash_record{}
+            : decodeCrashRecord(found->second.value, why).value_or(crash_record{});
     }
 };
 
@@ -303,7 +304,7 @@
     runRounds(1'500);
     EXPECT_EQ(granted, 2);
     EXPECT_GT(decided, 100);
-    EXPECT_EQ(stored().trials, 2U);
+    EXPECT_EQ(stored().probeCount, 2U);
     EXPECT_EQ(m_daemons[0]->crashes.blockedRetryAfter(fingerprint), crashRetention);
 }
 
--- a/tests/serving/decisions_test.cpp
+++ b/tests/serving/decisions_test.cpp
@@ -302,10 +302,10 @@
 TEST(ChooseServer, ServerThatRemembersTheAdapterIsPreferredUnlessItsQueueIsLong)
 {
     observed_server observed;
-    server_beat heartbeat;
+    server_heartbeat heartbeat;
     heartbeat.server = "s1";
-    heartbeat.held = true;
-    heartbeat.openPlaces = 1;
+    heartbeat.modelLoaded = true;
+    heartbeat.availableSlots = 1;
     heartbeat.adapters = {{adapterHash("m/a1"), false}, {adapterHash("m/a2"), true}};
     applyHeartbeat(observed, heartbeat, "n1", start);
     heartbeat.adapters = {{adapterHash("m/a3"), false}};
--- a/tests/serving/edge_limit_test.cpp
+++ b/tests/serving/edge_limit_test.cpp
@@ -60,7 +60,7 @@
     runRounds(500);
     successor.sendSlotRequest("m-1");
     ASSERT_TRUE(runUntil([&] {
-        return successor.lastResponse.verdict == place_verdict::Granted;
+        return successor.lastResponse.decision == slot_decision::Granted;
     }));
     EXPECT_EQ(successor.lastResponse.limitMilli, 50'000);
     m_client.trouble = store_trouble::Silent; // keeps this daemon from claiming the server again
@@ -68,7 +68,7 @@
     ASSERT_TRUE(runUntil([&] {
         successor.sendHeartbeatAsSuccessor("m-1");
         successor.sendSlotRequestAs("y", "m-1");
-        return successor.lastResponse.verdict == place_verdict::Refused;
+        return successor.lastResponse.decision == slot_decision::Refused;
     }));
     EXPECT_EQ(successor.lastResponse.why, refusal::Limited);
 }
@@ -129,7 +129,7 @@
     other_daemon liveOwner(m_store, m_loop, m_settings.peers, "n3", "m-2");
     runRounds(300);
     deadOwner.setResident("m0/a1");
-    const auto withLimit = [&](std::vector<limit_beat> limits) {
+    const auto withLimit = [&](std::vector<limit_heartbeat> limits) {
         deadOwner.limits = std::move(limits);
         deadOwner.sendHeartbeat();
         const millis staleAt = bootNow() + heartbeatFreshFor + millis{200};
--- a/tests/serving/edge_notices_test.cpp
+++ b/tests/serving/edge_notices_test.cpp
@@ -143,20 +143,20 @@
     other_daemon paused(m_store, m_loop, m_settings.peers, "n2", "m-9");
     other_daemon unpaused(m_store, m_loop, m_settings.peers, "n3", "m-8");
     runRounds(300);
-    paused.send(word_news{"m-1", "m-1", false, 1'500, false});
+    paused.send(server_notice{"m-1", "m-1", false, 1'500, false});
     runRounds(20);
     paused.sendSlotRequestAs("x", "m-1");
     unpaused.sendSlotRequestAs("y", "m-1");
     ASSERT_TRUE(runUntil([&] {
-        return paused.responsesReceived > 0 && unpaused.lastResponse.verdict == place_verdict::Granted;
+        return paused.responsesReceived > 0 && unpaused.lastResponse.decision == slot_decision::Granted;
     }));
-    EXPECT_EQ(paused.lastResponse.verdict, place_verdict::Refused);
+    EXPECT_EQ(paused.lastResponse.decision, slot_decision::Refused);
     EXPECT_EQ(paused.lastResponse.why, refusal::Paused);
-    EXPECT_GT(paused.lastResponse.comeBackMs, 1'000);
-    EXPECT_LE(paused.lastResponse.comeBackMs, 1'500);
+    EXPECT_GT(paused.lastResponse.retryAfterMs, 1'000);
+    EXPECT_LE(paused.lastResponse.retryAfterMs, 1'500);
     ASSERT_TRUE(runUntil([&] {
         paused.sendSlotRequestAs("z", "m-1");
-        return paused.lastResponse.verdict == place_verdict::Granted;
+        return paused.lastResponse.decision == slot_decision::Granted;
     })) << "the pause expires";
 }
 
@@ -174,11 +174,11 @@
     }));
     entry.sendSlotRequestAs("waits", "m-1");
     ASSERT_TRUE(runUntil([&] {
-        return entry.lastResponse.verdict == place_verdict::Queued;
+        return entry.lastResponse.decision == slot_decision::Queued;
     }));
-    entry.send(word_news{"m-1", "m-1", false, 5'000, false});
+    entry.send(server_notice{"m-1", "m-1", false, 5'000, false});
     ASSERT_TRUE(runUntil([&] {
-        return entry.lastResponse.verdict == place_verdict::Refused;
+        return entry.lastResponse.decision == slot_decision::Refused;
     }));
     EXPECT_EQ(entry.lastResponse.id, "waits");
     EXPECT_EQ(entry.lastResponse.why, refusal::Paused);
@@ -201,11 +201,11 @@
     ASSERT_TRUE(runUntil([&] {
         return !owner.slotRequests.empty();
     }));
-    owner.send(word_news{"m-2", "m-2", true, 0, false});
-    place_answer granted;
+    owner.send(server_notice{"m-2", "m-2", true, 0, false});
+    slot_response granted;
     granted.id = owner.slotRequests.front().id;
     granted.server = "m-2";
-    granted.verdict = place_verdict::Granted;
+    granted.decision = slot_decision::Granted;
     owner.send(granted);
     std::string received;
     EXPECT_TRUE(runUntil([&] {
@@ -228,15 +228,15 @@
         responseTo("/safe/x");
     }
     const auto wasNotified = [&other](const std::string &server) {
-        return std::any_of(other.notices.begin(), other.notices.end(), [&](const word_news &notice) {
-            return notice.leaving && notice.start == server;
+        return std::any_of(other.notices.begin(), other.notices.end(), [&](const server_notice &notice) {
+            return notice.leaving && notice.incarnation == server;
         });
     };
     EXPECT_TRUE(runUntil([&] {
         return wasNotified("p-1") && wasNotified("p-2");
     }));
-    other.send(word_news{"m-1", "m-1", true, 0, false});
-    other.send(word_news{"m-2", "m-2", true, 0, false});
+    other.send(server_notice{"m-1", "m-1", true, 0, false});
+    other.send(server_notice{"m-2", "m-2", true, 0, false});
     runRounds(50);
     EXPECT_EQ(statusOf(responseTo("/gen/x", "a1")), "503");
     EXPECT_EQ(requestsRunOn(m_models), 0U);
@@ -249,7 +249,7 @@
     start();
     other_daemon entry(m_store, m_loop, m_settings.peers, "n2", "m-9");
     runRounds(300);
-    entry.send(word_news{"m-1", "m-1", true, 0, false});
+    entry.send(server_notice{"m-1", "m-1", true, 0, false});
     runRounds(50);
     entry.sendSlotRequestAs("x", "m-1");
     ASSERT_TRUE(runUntil([&] {
--- a/tests/serving/edge_test.cpp
+++ b/tests/serving/edge_test.cpp
@@ -144,19 +144,19 @@
     const std::string other = heartbeatGroupOf("m-1", cells) != heartbeatGroupOf("n1", cells) ? "m-1" : "m-2";
     ASSERT_NE(heartbeatGroupOf(other, cells), heartbeatGroupOf("n1", cells));
     m_initialAdapters[other] = {"a1"};
-    m_store.put("briarhead/orderer/" + other, encode(orderer_record{"n2", 1}));
+    m_store.put("briarhead/orderer/" + other, encode(ownership_record{"n2", 1}));
     start();
-    server_beat heartbeat;
+    server_heartbeat heartbeat;
     heartbeat.server = other;
     heartbeat.fence = 1'000'000;
-    heartbeat.held = true;
+    heartbeat.modelLoaded = true;
     heartbeat.adapters = {{adapterHash("m0/a1"), false}};
     error why;
     const auto port = fleet_port::open(
         m_loop, {http_testing::loopback, freePort()}, [](const fleet_datagram &, const peer_address &) {},
         why);
     ASSERT_TRUE(port) << message(why);
-    port->send(m_settings.peers, {"n2", 1, fleet_beat{false, {heartbeat}}});
+    port->send(m_settings.peers, {"n2", 1, fleet_heartbeat{false, {heartbeat}}});
     runRounds(50);
     for (int i = 0; i < 40; ++i) {
         const std::string node = "further-" + std::to_string(i);
@@ -195,7 +195,7 @@
     unresponsive.sendHeartbeat();
     const auto ownerOf = [this](const std::string &server) {
         error why;
-        const auto record = decodeOrderer(m_store.items.at("briarhead/orderer/" + server).value, why);
+        const auto record = decodeOwnershipRecord(m_store.items.at("briarhead/orderer/" + server).value, why);
         return record ? record->node : std::string();
     };
     EXPECT_TRUE(runUntil([&] {
@@ -420,7 +420,7 @@
     runRounds(50);
     m_store.expire(m_store.lastLease);
     for (const auto &server : m_models) {
-        m_store.put("briarhead/orderer/" + server->id, encode(orderer_record{"n2", 1, 1'000}));
+        m_store.put("briarhead/orderer/" + server->id, encode(ownership_record{"n2", 1, 1'000}));
     }
     runRounds(2'500);
     const auto orders = [this] {
@@ -488,7 +488,7 @@
     runRounds(300);
     const auto caller = sendRequest("/gen/x", "a1"); // neither owner responds
     runRounds(60);
-    const crash_news report{fingerprintOf({{}, "POST", "h", "/gen/x", "hi"}), {"s1", "s2", "s3"}};
+    const crash_report report{fingerprintOf({{}, "POST", "h", "/gen/x", "hi"}), {"s1", "s2", "s3"}};
     first.send(report);
     std::string received;
     EXPECT_TRUE(runUntil([&] {
--- a/tests/serving/heartbeat_groups_test.cpp
+++ b/tests/serving/heartbeat_groups_test.cpp
@@ -35,9 +35,9 @@
     return result;
 }
 
-server_beat serverHeartbeatOf(const std::string &server)
+server_heartbeat serverHeartbeatOf(const std::string &server)
 {
-    server_beat heartbeat;
+    server_heartbeat heartbeat;
     heartbeat.server = server;
     for (int i = 0; i < 5; ++i) {
         heartbeat.adapters.push_back({adapterHash(server + std::to_string(i)), false});
@@ -46,9 +46,9 @@
 }
 
 /// The heartbeat of a daemon that owns `servers`.
-fleet_beat fleetHeartbeatOf(const std::vector<std::string> &servers)
+fleet_heartbeat fleetHeartbeatOf(const std::vector<std::string> &servers)
 {
-    fleet_beat heartbeat;
+    fleet_heartbeat heartbeat;
     for (const std::string &server : servers) {
         heartbeat.servers.push_back(serverHeartbeatOf(server));
     }
@@ -84,7 +84,7 @@
     for (const auto &[node, record] : simulated.daemons) {
         for (std::size_t i = 0; i * daemons < servers; ++i) {
             const std::string &server = simulated.servers[next++ % servers];
-            fleet_beat heartbeat = fleetHeartbeatOf({server});
+            fleet_heartbeat heartbeat = fleetHeartbeatOf({server});
             if (limited) {
                 heartbeat.limits.push_back({server, 1'700, 580});
             }
--- a/tests/serving/other_daemon.h
+++ b/tests/serving/other_daemon.h
@@ -23,9 +23,9 @@
         const peer_address own{http_testing::loopback, http_testing::freePort()};
         store.put("briarhead/daemon/" + node, encode(daemon_record{node, own.ip, own.port, "z", 1}));
         m_heartbeat.server = server;
-        m_heartbeat.held = true;
+        m_heartbeat.modelLoaded = true;
         m_heartbeat.fence = static_cast<std::uint64_t>(
-            store.put("briarhead/orderer/" + server, encode(orderer_record{node, 1, 1'000})));
+            store.put("briarhead/orderer/" + server, encode(ownership_record{node, 1, 1'000})));
         error why;
         m_port = fleet_port::open(
             eventLoop, own,
@@ -36,17 +36,17 @@
     }
     void sendHeartbeat()
     {
-        fleet_beat heartbeat{false, {m_heartbeat}};
+        fleet_heartbeat heartbeat{false, {m_heartbeat}};
         heartbeat.limits = limits;
         m_port->send(m_to, {m_node, 1, heartbeat});
     }
     /// Sends a heartbeat as the server's newest owner, with the highest fencing token.
     void sendHeartbeatAsSuccessor(const std::string &server)
     {
-        server_beat heartbeat = m_heartbeat;
+        server_heartbeat heartbeat = m_heartbeat;
         heartbeat.server = server;
         heartbeat.fence = std::numeric_limits<std::uint32_t>::max();
-        m_port->send(m_to, {m_node, 1, fleet_beat{false, {heartbeat}}});
+        m_port->send(m_to, {m_node, 1, fleet_heartbeat{false, {heartbeat}}});
     }
     void setResident(const std::string &adapter)
     {
@@ -58,7 +58,7 @@
     }
     void sendSlotRequestAs(const std::string &id, const std::string &server)
     {
-        place_ask request;
+        slot_request request;
         request.id = id;
         request.server = server;
         request.model = "m0";
@@ -74,37 +74,37 @@
     }
     int heartbeatsReceived = 0;
     int responsesReceived = 0;
-    std::vector<limit_beat> limits; ///< sent in its heartbeats
-    std::vector<limit_beat> limitsReceived; ///< from the latest heartbeat that had any
-    std::vector<place_ask> slotRequests;
-    std::vector<limit_note> limitReports;
-    std::vector<place_note> slotEvents;
-    std::vector<word_news> notices;
-    place_answer lastResponse;
+    std::vector<limit_heartbeat> limits; ///< sent in its heartbeats
+    std::vector<limit_heartbeat> limitsReceived; ///< from the latest heartbeat that had any
+    std::vector<slot_request> slotRequests;
+    std::vector<limit_report> limitReports;
+    std::vector<slot_report> slotEvents;
+    std::vector<server_notice> notices;
+    slot_response lastResponse;
 
 private:
     void onDatagram(const fleet_datagram &datagram)
     {
-        if (const auto *heartbeat = std::get_if<fleet_beat>(&datagram.body)) {
+        if (const auto *heartbeat = std::get_if<fleet_heartbeat>(&datagram.body)) {
             ++heartbeatsReceived;
             limitsReceived = heartbeat->limits.empty() ? limitsReceived : heartbeat->limits;
-        } else if (const auto *response = std::get_if<place_answer>(&datagram.body)) {
+        } else if (const auto *response = std::get_if<slot_response>(&datagram.body)) {
             ++responsesReceived;
             lastResponse = *response;
-        } else if (const auto *request = std::get_if<place_ask>(&datagram.body)) {
+        } else if (const auto *request = std::get_if<slot_request>(&datagram.body)) {
             slotRequests.push_back(*request);
-        } else if (const auto *limitReport = std::get_if<limit_note>(&datagram.body)) {
+        } else if (const auto *limitReport = std::get_if<limit_report>(&datagram.body)) {
             limitReports.push_back(*limitReport);
-        } else if (const auto *slotEvent = std::get_if<place_note>(&datagram.body)) {
+        } else if (const auto *slotEvent = std::get_if<slot_report>(&datagram.body)) {
             slotEvents.push_back(*slotEvent);
-        } else if (const auto *notice = std::get_if<word_news>(&datagram.body)) {
+        } else if (const auto *notice = std::get_if<server_notice>(&datagram.body)) {
             notices.push_back(*notice);
         }
     }
 
     peer_address m_to;
     std::string m_node;
-    server_beat m_heartbeat;
+    server_heartbeat m_heartbeat;
     std::unique_ptr<fleet_port> m_port;
 };
 
--- a/tests/serving/server_limit_test.cpp
+++ b/tests/serving/server_limit_test.cpp
@@ -32,9 +32,9 @@
     }
 };
 
-place_ask slotRequestFor(const std::string &id, millis maxWait)
+slot_request slotRequestFor(const std::string &id, millis maxWait)
 {
-    place_ask request;
+    slot_request request;
     request.id = id;
     request.server = "s";
     request.waitMs = maxWait.count;
@@ -183,20 +183,20 @@
         const millis now = begin + millis{at};
         for (int i = 0; i < daemons / 50; ++i) { // one request per daemon and second
             const std::string id = std::to_string(at) + '.' + std::to_string(i);
-            const place_answer response =
+            const slot_response response =
                 askDesk(scheduler, "n" + std::to_string(i), slotRequestFor(id, {300}), now);
-            if (response.verdict == place_verdict::Refused) {
+            if (response.decision == slot_decision::Refused) {
                 ++refused;
                 EXPECT_EQ(response.why, refusal::Limited);
                 EXPECT_EQ(response.limitMilli, 2'000);
-                EXPECT_GE(response.comeBackMs, shortestComeBack.count);
-                EXPECT_LE(response.comeBackMs, 1'000) << "the next permit is available in half a second";
+                EXPECT_GE(response.retryAfterMs, shortestComeBack.count);
+                EXPECT_LE(response.retryAfterMs, 1'000) << "the next permit is available in half a second";
             }
         }
         for (const desk_answer &each : answersDue(scheduler, now)) {
-            if (each.answer.verdict == place_verdict::Granted) {
+            if (each.answer.decision == slot_decision::Granted) {
                 sent.push_back(now);
-                takeNote(scheduler, {each.answer.id, "s", place_event::Ended}, now);
+                takeNote(scheduler, {each.answer.id, "s", slot_event::Ended}, now);
             }
         }
     }
@@ -211,17 +211,17 @@
 // whatever the number of daemons and other servers.
 TEST(ServerLimit, LimitAddsFewBytesToMessages)
 {
-    fleet_datagram datagram{"edge-zg-dubrava-1", 1, fleet_beat{}};
+    fleet_datagram datagram{"edge-zg-dubrava-1", 1, fleet_heartbeat{}};
     const std::size_t without = encode(datagram).size();
-    std::get<fleet_beat>(datagram.body).limits.push_back({"i-ef064fa758", 1'700, 580});
+    std::get<fleet_heartbeat>(datagram.body).limits.push_back({"i-ef064fa758", 1'700, 580});
     EXPECT_LE(encode(datagram).size() - without, 20U);
-    const place_ask request = slotRequestFor("9c41d07be2a35f68", {300});
-    place_ask limited = request;
+    const slot_request request = slotRequestFor("9c41d07be2a35f68", {300});
+    slot_request limited = request;
     limited.limitMilli = 1'700;
     limited.limitAgeMs = 120;
     EXPECT_LE(
         encode(fleet_datagram{"n", 1, limited}).size() - encode(fleet_datagram{"n", 1, request}).size(), 4U);
-    EXPECT_LE(encode(fleet_datagram{"n", 1, limit_note{request.id, "i-ef064fa758", 1'700}}).size(), 64U);
+    EXPECT_LE(encode(fleet_datagram{"n", 1, limit_report{request.id, "i-ef064fa758", 1'700}}).size(), 64U);
 }
 
 // Regression: the permit of a request that never reached the server was lost, and at a low limit another
@@ -230,14 +230,14 @@
 {
     place_desk scheduler = plainScheduler(1, begin);
     const millis now = begin + millis{1'000};
-    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("a", {300}), now).verdict, place_verdict::Queued);
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("a", {300}), now).decision, slot_decision::Queued);
     EXPECT_EQ(answersDue(scheduler, now).size(), 1U);
-    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("b", {300}), now).verdict, place_verdict::Refused);
-    takeNote(scheduler, {"a", "s", place_event::Unsent}, now);
-    takeNote(scheduler, {"a", "s", place_event::Unsent}, now);
-    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("b", {300}), now).verdict, place_verdict::Queued);
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("b", {300}), now).decision, slot_decision::Refused);
+    takeNote(scheduler, {"a", "s", slot_event::NotSent}, now);
+    takeNote(scheduler, {"a", "s", slot_event::NotSent}, now);
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("b", {300}), now).decision, slot_decision::Queued);
     EXPECT_EQ(answersDue(scheduler, now).size(), 1U);
-    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("c", {300}), now).verdict, place_verdict::Refused);
+    EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("c", {300}), now).decision, slot_decision::Refused);
 }
 
 // Regression: a refusal of a queued request didn't contain the limit, so that its recipient considered the
@@ -254,7 +254,7 @@
     EXPECT_EQ(askDesk(scheduler, "n", slotRequestFor("c", {300}), begin + millis{5'000}).limitMilli, 1'000);
     const auto granted = answersDue(scheduler, begin + millis{5'000});
     ASSERT_EQ(granted.size(), 1U);
-    EXPECT_EQ(granted[0].answer.verdict, place_verdict::Granted);
+    EXPECT_EQ(granted[0].answer.decision, slot_decision::Granted);
     EXPECT_EQ(granted[0].answer.limitMilli, 1'000);
 }
 
@@ -268,7 +268,7 @@
     for (const std::int64_t age : {std::numeric_limits<std::int64_t>::min(), std::int64_t{-60'000},
              std::numeric_limits<std::int64_t>::max()}) {
         scheduler.limit = {};
-        place_ask request = slotRequestFor("a", {300});
+        slot_request request = slotRequestFor("a", {300});
         request.limitMilli = 500;
         request.limitAgeMs = age;
         askDesk(scheduler, "n", request, begin);
@@ -284,10 +284,10 @@
     place_desk scheduler;
     scheduler.plain = true;
     scheduler.queue.slots = 10;
-    place_ask request = slotRequestFor("a", {300});
+    slot_request request = slotRequestFor("a", {300});
     request.limitMilli = 500;
     request.limitAgeMs = 2'000;
-    const place_answer response = askDesk(scheduler, "n", request, begin);
+    const slot_response response = askDesk(scheduler, "n", request, begin);
     EXPECT_EQ(response.why, refusal::Limited);
     EXPECT_EQ(response.limitMilli, 500);
 }
--- a/tests/serving/server_notice_task_test.cpp
+++ b/tests/serving/server_notice_task_test.cpp
@@ -93,12 +93,12 @@
     const std::string relayedHere = serverRelayedHere(true);
     const std::uint64_t relayed = datagramsSentBy([&] {
         for (int i = 0; i < 50; ++i) {
-            m_task->onNotice("n1", word_news{relayedHere, relayedHere, true, 0, true});
+            m_task->onNotice("n1", server_notice{relayedHere, relayedHere, true, 0, true});
         }
     });
     EXPECT_EQ(relayed, 2 * (daemons - 1)) << "a relay notifies all, twice";
     EXPECT_EQ(datagramsSentBy([&] {
-        m_task->onNotice("n1", word_news{"t", "t", true, 0, false});
+        m_task->onNotice("n1", server_notice{"t", "t", true, 0, false});
     }),
         0U)
         << "a notice from a relay is not sent on";
@@ -120,7 +120,7 @@
 TEST_P(server_notice_task_test, NoticeDatagramIsSmall)
 {
     const fleet_datagram datagram{
-        "edge-hakata-hall-1", 1, word_news{"i-7247f870b2", "i-7247f870b2@1777340786061", true, 0, true}};
+        "edge-hakata-hall-1", 1, server_notice{"i-7247f870b2", "i-7247f870b2@1777340786061", true, 0, true}};
     EXPECT_LE(encode(datagram).size(), 120U);
 }
 
--- a/tests/unit/quota_sim.cpp
+++ b/tests/unit/quota_sim.cpp
@@ -391,7 +391,7 @@
 
 double quota_sim::maxWindowUsage() const
 {
-    const quota_rules &rules = m_options.rules;
+    const quota_tolerance &rules = m_options.rules;
     const quota_limit &limit = m_options.limit;
     const double inWindow = limit.rate * static_cast<double>(rules.window.count) / msPerSecond + limit.burst;
     const double allowed = inWindow * (1 + rules.overage) + rules.slack;
--- a/tests/unit/quota_sim.h
+++ b/tests/unit/quota_sim.h
@@ -24,7 +24,7 @@
 {
     int daemons = 12;
     quota_limit limit{10'000, 10'000};
-    quota_rules rules{millis{8'000}, 0.1, 17'000};
+    quota_tolerance rules{millis{8'000}, 0.1, 17'000};
     quota_strategy strategy = quota_strategy::SharesAndHome;
     quota_plan plan = defaultQuotaPlan;
     double meanCost = 2'400;
@@ -91,8 +91,8 @@
         int to = 0;
         std::uint64_t incarnation = 0;
         bool isRequest = false;
-        quota_ask request;
-        quota_answer response;
+        quota_request request;
+        quota_response response;
     };
 
     struct sim_home
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -346,7 +346,7 @@
                 return each.request.shard == shardOf(ana);
             });
         ASSERT_NE(request, requests.end());
-        const quota_answer response{
+        const quota_response response{
             shardOf(ana), request->request.round, 500'000, {{ana, 100'000, toMilli(400), 0}}};
         const auto resolved =
             applyResponse(client, response, requestedAt + quotaResponseTimeout + millis{late ? 1 : 0});
@@ -360,8 +360,9 @@
 TEST(Quota, ADelayedMessageOfAnEndedProcessIsIgnored)
 {
     quota_home home = homeOf({"a", "b"});
-    const auto sendRequest = [&home](std::uint64_t incarnation, std::uint64_t round, std::uint32_t heldPpm) {
-        const quota_ask request{shardOf(ana), round, 0, 0, {{ana, 0, 0, heldPpm, 0, 0, 0}}};
+    const auto sendRequest = [&home](
+                                 std::uint64_t incarnation, std::uint64_t round, std::uint32_t heldSharePpm) {
+        const quota_request request{shardOf(ana), round, 0, 0, {{ana, 0, 0, heldSharePpm, 0, 0, 0}}};
         return handleRequest(
             home, defaultQuotaPlan, {}, limitOfAna, {"a", incarnation, false}, request, millis{101'000});
     };
@@ -380,7 +381,7 @@
     std::map<std::string, std::uint64_t> rounds;
     const auto request = [&](const std::string &node, double need) {
         std::uint64_t &round = rounds[node];
-        const quota_ask message{
+        const quota_request message{
             shardOf(ana), round + 1, round, 500'000, {{ana, 0, 0, 0, toMilli(need), toMilli(need), 0}}};
         ++round;
         return handleRequest(home, defaultQuotaPlan, {}, limitOfAna, {node, 1, true}, message, now)
