--- a/packages/coordination/crash_history.h
+++ b/packages/coordination/crash_history.h
@@ -43,6 +43,7 @@
     millis delayFrom; ///< when it was blocked or last probed, as far as is known here
 };
 
+/// The requests that were running when servers crashed.
 struct crash_history
 {
     std::map<std::string, tracked_request> requests; ///< by fingerprint
--- a/packages/coordination/crash_task.h
+++ b/packages/coordination/crash_task.h
@@ -36,6 +36,7 @@
     peer_address address;
 };
 
+/// What happened to a request that was running when a server crashed.
 enum class crash_event : std::uint8_t
 {
     Counted, ///< a server crashed under the request
@@ -76,6 +77,7 @@
     std::function<void(const crash_log_entry &entry)> log;
 };
 
+/// Events since the start of the process, for metrics.
 struct crash_counters
 {
     std::uint64_t serverCrashes = 0; ///< under requests that this daemon had sent to the server
--- a/packages/coordination/load_order.h
+++ b/packages/coordination/load_order.h
@@ -39,6 +39,7 @@
 /// grantTimeoutMs, so a dead owner costs some rate but can't stop all loads.
 struct load_budget
 {
+    /// An owner's request to start a load.
     struct request
     {
         std::string owner;
@@ -46,6 +47,7 @@
         double urgency = 0;
         millis requestedAt; ///< last time; expires after requestTimeoutMs
     };
+    /// A load that may run.
     struct grant
     {
         std::string owner;
--- a/packages/coordination/owner_engine.cpp
+++ b/packages/coordination/owner_engine.cpp
@@ -51,7 +51,7 @@
             dispatchWaiting(*found);
         }
     });
-    if (!server.pinsKnown) {
+    if (!server.pinsCleared) {
         pollReport(server);
     }
 }
@@ -146,10 +146,10 @@
                     running.insert(ref);
                 }
             }
-            found->pinsKnown = true;
+            found->pinsCleared = true;
             for (auto &[ref, slot] : found->adapters) {
                 slot.pinned = slot.pinned && running.count(ref) != 0;
-                found->pinsKnown = found->pinsKnown && !slot.pinned;
+                found->pinsCleared = found->pinsCleared && !slot.pinned;
             }
         });
 }
--- a/packages/coordination/owner_task.cpp
+++ b/packages/coordination/owner_task.cpp
@@ -173,7 +173,7 @@
     server.isOwned = true;
     server.stateKnown = false;
     server.draining = m_drained.count(event.server.name) != 0;
-    server.pinsKnown = event.pinned.empty();
+    server.pinsCleared = event.pinned.empty();
     const std::string url = "http://" + event.server.address + ":" + std::to_string(event.server.port);
     server.client = std::make_unique<engine_client>(m_http, url);
     server.guardedClient = std::make_unique<engine_client>(event.checksFencing ? m_http : m_guardedHttp, url);
@@ -288,7 +288,7 @@
         }
         completeRelease(server);
         const bool operational =
-            server.stateKnown && server.role == "serving" && !server.claimLost && server.pinsKnown;
+            server.stateKnown && server.role == "serving" && !server.claimLost && server.pinsCleared;
         const millis interval{operational ? pollIntervalMs : startingPollMs};
         if (!server.pollPending && remainingPause(server) <= millis{} && now - server.polledAt >= interval) {
             poll(server);
--- a/packages/coordination/owner_task.h
+++ b/packages/coordination/owner_task.h
@@ -95,11 +95,9 @@
         millis mayRunAt; ///< see server_gained
         millis mayEvictAt; ///< see server_gained
         bool claimLost = false; ///< the engine restarted and does not know our fencing token yet
-        bool pinsKnown =
-            true; ///< a report made under our own fencing token shows which pinned adapters are free
+        bool pinsCleared = true; ///< no adapter is pinned, or not any more according to an engine report
         std::unique_ptr<engine_client> client; ///< uses m_http
-        std::unique_ptr<engine_client>
-            guardedClient; ///< uses m_guardedHttp if the engine checks no fencing tokens
+        std::unique_ptr<engine_client> guardedClient; ///< for orders that must not outlive the lease
         bool stateKnown = false; ///< the engine's state has been read since this daemon became the owner
         std::string incarnation;
         std::string baseModel;
--- a/packages/coordination/quota_client.h
+++ b/packages/coordination/quota_client.h
@@ -17,6 +17,7 @@
 // requests to the quota homes. This is pure state without I/O.
 namespace briarhead {
 
+/// The result of a request for units of an account's limit.
 enum class quota_result : std::uint8_t
 {
     Granted,
@@ -29,6 +30,7 @@
 /// The name for logs: "granted", "waits", "over", "too_large" or "home_away".
 std::string_view nameOf(quota_result value);
 
+/// The decision on a request for units.
 struct quota_decision
 {
     quota_result result = quota_result::Granted;
@@ -86,6 +88,7 @@
     double fallbackShare = 0; ///< fraction of each limit to use after a long time without contact
 };
 
+/// What a daemon knows of all shards and of the accounts that its callers use.
 struct quota_client
 {
     quota_plan plan;
--- a/packages/coordination/quota_home.h
+++ b/packages/coordination/quota_home.h
@@ -50,6 +50,7 @@
     double learnedShares = 0; ///< sum of the shares that daemons reported in their first request to this home
 };
 
+/// The state of one shard at its home.
 struct quota_home
 {
     millis startedAt; ///< when this daemon became the home
--- a/packages/coordination/quota_plan.h
+++ b/packages/coordination/quota_plan.h
@@ -14,6 +14,7 @@
 // that the daemon no longer uses it.
 namespace briarhead {
 
+/// The parameters of sharing limits.
 struct quota_plan
 {
     /// Fraction of a limit that all daemons' shares may take together; the home grants the rest on request.
--- a/packages/coordination/quota_task.cpp
+++ b/packages/coordination/quota_task.cpp
@@ -190,14 +190,13 @@
             m_releasedTerms.erase(shard);
         }
         const bool isOwn = record && record->own && !m_stopped && m_releasedTerms.count(shard) == 0;
-        const auto held = m_homes.find(shard);
-        if (held != m_homes.end() && isOwn && record->predecessorExpired) {
-            held->second.term =
-                record
-                    ->term; // changed by this home's own write; no other daemon can have been home meanwhile
+        const auto ownHome = m_homes.find(shard);
+        if (ownHome != m_homes.end() && isOwn && record->predecessorExpired) {
+            // The term changed by this home's own write; no other daemon can have been home meanwhile.
+            ownHome->second.term = record->term;
         }
-        if (held != m_homes.end() && (!isOwn || held->second.term != record->term)) {
-            m_homes.erase(held);
+        if (ownHome != m_homes.end() && (!isOwn || ownHome->second.term != record->term)) {
+            m_homes.erase(ownHome);
             m_callbacks.log({quota_event::HomeLost, shard, record ? record->node : "", 0, false});
         }
         if (isOwn && m_homes.count(shard) == 0) {
@@ -220,9 +219,11 @@
 /// each following one waits longer, in case the daemons before it can't.
 bool quota_task::mayClaim(std::uint32_t shard, millis vacantFor) const
 {
-    const auto order = rendezvousOrder("quota/" + std::to_string(shard), m_callbacks.live(), maxClaimants);
-    const auto own = std::find(order.begin(), order.end(), m_callbacks.self);
-    return own != order.end() && vacantFor.count >= claimDelayStep.count * (own - order.begin());
+    const auto candidates =
+        rendezvousOrder("quota/" + std::to_string(shard), m_callbacks.live(), maxClaimants);
+    const auto position = std::find(candidates.begin(), candidates.end(), m_callbacks.self);
+    return position != candidates.end()
+        && vacantFor.count >= claimDelayStep.count * (position - candidates.begin());
 }
 
 /// Claims shards without a home as rendezvous hashing proposes, and shards that this daemon held before a
--- a/packages/coordination/quota_task.h
+++ b/packages/coordination/quota_task.h
@@ -24,6 +24,7 @@
     bool predecessorExpired = false; ///< no earlier home can grant units any more
 };
 
+/// A change of a shard's home, as seen by this daemon.
 enum class quota_event : std::uint8_t
 {
     HomeAcquired, ///< this daemon became a shard's home
@@ -69,6 +70,7 @@
     std::function<void(const quota_log_entry &entry)> log;
 };
 
+/// Messages sent since the start of the process, for metrics.
 struct quota_counters
 {
     std::uint64_t requests = 0; ///< sent to homes
--- a/packages/coordination/replicas.h
+++ b/packages/coordination/replicas.h
@@ -34,6 +34,7 @@
     bool leaving = false;
 };
 
+/// The configuration of the number of replicas.
 struct replica_policy
 {
     std::uint32_t maxReplicas = 4;
--- a/packages/coordination/routing.cpp
+++ b/packages/coordination/routing.cpp
@@ -120,9 +120,9 @@
     return chosen;
 }
 
-/// The distance of a fill from the target fill. Servers are filled up to the target one after the other, and
-/// evenly above it. A stall weight of 1 targets empty servers, 0 nearly full ones.
-double distanceFromTarget(double fill, double stallWeight)
+/// The cost of a fill: its weighted distance from the target fill. Servers are filled up to the target one
+/// after the other, and evenly above it. A stall weight of 1 targets empty servers, 0 nearly full ones.
+double fillCost(double fill, double stallWeight)
 {
     const double target = maxTargetFill * (1 - std::clamp(stallWeight, 0.0, 1.0));
     return fill <= target ? target - fill : (fill - target) * overTargetWeight;
@@ -133,9 +133,7 @@
     const double fillA = expectedFill(context.servers[a]);
     const double fillB = expectedFill(context.servers[b]);
     if (std::abs(fillA - fillB) >= maxTieDifference) {
-        return distanceFromTarget(fillA, context.stallWeight) < distanceFromTarget(fillB, context.stallWeight)
-            ? a
-            : b;
+        return fillCost(fillA, context.stallWeight) < fillCost(fillB, context.stallWeight) ? a : b;
     }
     const bool nearA = context.servers[a].failureDomain == context.query.failureDomain;
     const bool nearB = context.servers[b].failureDomain == context.query.failureDomain;
