--- a/packages/coordination/retry.cpp
+++ b/packages/coordination/retry.cpp
@@ -56,22 +56,22 @@
     return true;
 }
 
-retry_decision decideRetry(const attempt_result &end, retry_budget &budget)
+retry_decision decideRetry(const attempt_result &attempt, retry_budget &budget)
 {
-    if (end.result == outcome::Done || end.responseStarted || end.attempts >= maxAttempts
-        || end.deadlineLeft <= millis{0}) {
+    if (attempt.result == outcome::Done || attempt.responseStarted || attempt.attempts >= maxAttempts
+        || attempt.deadlineLeft <= millis{0}) {
         return retry_decision::Stop;
     }
     // Once any byte may have reached an engine, only idempotent requests may be retried. Otherwise a user
     // might, for example, place the same order twice.
-    if (end.result == outcome::Unknown && !end.idempotent) {
+    if (attempt.result == outcome::Unknown && !attempt.idempotent) {
         return retry_decision::Stop;
     }
-    if (end.result == outcome::NotRun) {
-        if (end.why == error_kind::NotOwner) {
+    if (attempt.result == outcome::NotRun) {
+        if (attempt.why == error_kind::NotOwner) {
             return retry_decision::RetryNamedOwner;
         }
-        if (!mayHelpElsewhere(end.why)) {
+        if (!mayHelpElsewhere(attempt.why)) {
             return retry_decision::Stop;
         }
     }
--- a/packages/coordination/retry.h
+++ b/packages/coordination/retry.h
@@ -44,9 +44,9 @@
 constexpr std::uint32_t maxAttempts = 3;
 
 /// A request whose outcome is unknown is retried only if it is idempotent and no byte of a response has been
-/// sent to the caller. A request that certainly did not run may be retried in any case. A redirect to the
-/// owner costs no budget.
-retry_decision decideRetry(const attempt_result &end, retry_budget &budget);
+/// sent to the caller. A request that did not run may be retried whether it is idempotent or not. A redirect
+/// to the owner costs no budget.
+retry_decision decideRetry(const attempt_result &attempt, retry_budget &budget);
 
 /// A circuit breaker for one server. It opens after minBreakerFailures failures in a row and lets one probe
 /// through after a pause, which starts at minBreakerPauseMs and doubles up to maxBreakerPauseMs.
--- a/packages/coordination/server_notices.h
+++ b/packages/coordination/server_notices.h
@@ -30,8 +30,7 @@
 
 /// A longer pause that a response asks for is cut to this.
 constexpr millis maxServerPause{3'600'000};
-/// How long a leaving notice is kept. A leaving server has ended long before, and one that has not repeats
-/// it.
+/// How long a leaving notice is kept. A leaving server has ended long before, or repeats the notice.
 constexpr millis leavingRetention{3'600'000};
 
 /// The retry times given to callers that are refused together are lengthened by a random fraction of up to
