--- a/packages/coordination/config_submit.cpp
+++ b/packages/coordination/config_submit.cpp
@@ -99,8 +99,8 @@
         return;
     }
     if (m_current->version > found.head.version) {
-        compactThenAdvance(
-            found); // the service was restored from a backup: first write back what is in force
+        // The service was restored from a backup: first write back what is in force.
+        compactThenAdvance(found);
         return;
     }
     if (first.patch.base != found.head.version) {
@@ -151,7 +151,7 @@
             if (status == compaction_status::Failed) {
                 onStepFailed(why);
             } else {
-                advanceAgain();
+                restartSubmission();
             }
         });
 }
@@ -183,7 +183,7 @@
         break;
     case kv_status::Conflict:
         // Another operator's patch or a compaction came first, or an earlier attempt whose response was lost.
-        advanceAgain();
+        restartSubmission();
         break;
     case kv_status::Unavailable:
         onStepFailed({error_kind::ServiceDown, "patch", "the key-value service took no write"});
@@ -200,7 +200,7 @@
 }
 
 /// Starts over after the head has changed during a step.
-void config_task::advanceAgain()
+void config_task::restartSubmission()
 {
     if (bootNow() < m_submissions.front().deadline) {
         advanceSubmission();
--- a/packages/coordination/config_task.cpp
+++ b/packages/coordination/config_task.cpp
@@ -13,6 +13,7 @@
 namespace {
 
 constexpr millis tickInterval{50};
+/// Limits of the patches kept in memory, from which peers that lag are served.
 constexpr std::size_t maxRecentPatches = 256;
 constexpr std::size_t maxRecentBytes = 4 * 1024 * 1024;
 
@@ -44,11 +45,11 @@
     return std::max(base, millis{spacedMs});
 }
 
-config_task::config_task(bus &messages, loop &eventLoop, kv_client &kv, options given)
+config_task::config_task(bus &messages, loop &eventLoop, kv_client &kv, options taskOptions)
     : m_bus(messages)
     , m_loop(eventLoop)
     , m_store(kv)
-    , m_options(std::move(given))
+    , m_options(std::move(taskOptions))
     , m_random(rendezvousScore(m_options.self, std::to_string(wallNow().count)))
     , m_startedAt(bootNow())
     , m_readAt(m_startedAt)
--- a/packages/coordination/config_task.h
+++ b/packages/coordination/config_task.h
@@ -69,7 +69,7 @@
         millis submitTimeout{10'000}; ///< for finding out whether a patch was accepted
     };
 
-    config_task(bus &messages, loop &eventLoop, kv_client &kv, options given);
+    config_task(bus &messages, loop &eventLoop, kv_client &kv, options taskOptions);
 
     /// The configuration in force here, or nullptr before the first one is known.
     const config_ptr &current() const;
@@ -139,7 +139,7 @@
     void compactThenAdvance(const head_at_revision &found);
     void swapPatch(const head_at_revision &found);
     void onSwapped(const head_at_revision &found, const config_ptr &next, const kv_write &write);
-    void advanceAgain();
+    void restartSubmission();
     void retryLater(const error &why, submit_status statusAtDeadline = submit_status::NotRun);
     void onStepFailed(const error &why);
     void finishSubmission(const submit_result &result);
--- a/packages/coordination/events.h
+++ b/packages/coordination/events.h
@@ -86,11 +86,12 @@
     live_instance server;
     std::uint64_t fencingToken = 0;
     bool checksFencing = false; ///< the engine refuses orders with an outdated fencing token
-    millis earliestRunAt; ///< from then on the previous owner's last unload can no longer arrive
-    millis
-        earliestEvictAt; ///< where !checksFencing: from then on nothing that the previous owner admitted runs
-    std::vector<adapter_ref> pinned; ///< adapters that still serve the previous owner's streams, until
-                                     ///< earliestEvictAt at the latest
+    /// From then on the previous owner's last unload can no longer arrive.
+    millis earliestRunAt;
+    /// Where !checksFencing: from then on nothing that the previous owner admitted can still run.
+    millis earliestEvictAt;
+    /// Adapters that still serve the previous owner's streams, until earliestEvictAt at the latest.
+    std::vector<adapter_ref> pinned;
 };
 
 /// Ownership task -> owner task: this daemon no longer owns the server; send it no more orders or requests.
--- a/packages/coordination/membership.h
+++ b/packages/coordination/membership.h
@@ -20,13 +20,13 @@
     millis probeInterval{500};
     millis probeTimeout{200}; ///< after this, other peers are asked to probe the target
     std::uint32_t indirectProbes = 2; ///< how many peers are asked
-    std::uint32_t suspectIntervals =
-        3; ///< a suspect that has not refuted within this many intervals (times log10 of the size) is dead
+    /// A suspect that has not refuted within this many intervals (times log10 of the size) is dead.
+    std::uint32_t suspectIntervals = 3;
     std::uint32_t announceFanout = 4; ///< peers notified at once of a new configuration version
     std::uint32_t factRepeats = 4; ///< each fact is sent in this many datagrams (times log2 of the size)
     std::uint32_t minDomainMembers = 8; ///< domains with fewer live members are only judged member by member
-    std::uint32_t domainSuspectFailures =
-        3; ///< failed probes, with no datagram from the domain since, that make the whole domain suspect
+    /// This many failed probes, with no datagram from the domain since, make the whole domain suspect.
+    std::uint32_t domainSuspectFailures = 3;
     std::uint32_t domainDeadFailures = 9; ///< further failed probes that make a suspect domain dead
     std::uint32_t deadProbeEvery = 8; ///< every n-th probe goes to a dead peer, to detect healed partitions
     std::uint32_t joinProbes = 3; ///< the first probes of a process also request the peers that aren't alive
@@ -61,8 +61,9 @@
 /// The evidence on a failure domain that is suspect or dead as a whole.
 struct domain_evidence
 {
-    std::uint32_t failedProbes = 0; ///< probes to its members that failed
-    std::uint32_t membersSeen = 0; ///< members that sent a datagram after the domain was considered dead
+    /// Failed probes to its members since it became suspect, dead, or a member was seen again.
+    std::uint32_t failedProbes = 0;
+    std::uint32_t membersSeen = 0; ///< members that sent a datagram since it was considered dead
 };
 
 /// A datagram to send.
--- a/packages/coordination/ownership_task.cpp
+++ b/packages/coordination/ownership_task.cpp
@@ -30,13 +30,13 @@
 }
 
 ownership_task::ownership_task(
-    bus &messages, loop &eventLoop, kv_client &kv, http_client &orders, fence &guard, options given)
+    bus &messages, loop &eventLoop, kv_client &kv, http_client &orders, fence &guard, options taskOptions)
     : m_bus(messages)
     , m_loop(eventLoop)
     , m_kv(kv)
     , m_orders(orders)
     , m_fence(guard)
-    , m_options(std::move(given))
+    , m_options(std::move(taskOptions))
     , m_ttl(m_options.leaseTtl)
     , m_random(std::random_device{}())
 {
--- a/packages/coordination/ownership_task.h
+++ b/packages/coordination/ownership_task.h
@@ -32,8 +32,8 @@
         millis leaseTtl{10'000}; ///< for small fleets; see leaseTtlFor()
     };
 
-    ownership_task(
-        bus &messages, loop &eventLoop, kv_client &kv, http_client &orders, fence &guard, options given);
+    ownership_task(bus &messages, loop &eventLoop, kv_client &kv, http_client &orders, fence &guard,
+        options taskOptions);
 
 private:
     /// One backend server (engine) of the region, as this task sees it.
