--- a/packages/coordination/ownership.h
+++ b/packages/coordination/ownership.h
@@ -90,15 +90,14 @@
 {
     Keep, ///< nothing to do
     TakeOver, ///< compare-and-swap the record to self, with epoch + 1
-    ClaimOnEngine, ///< during an outage of the service: claim with outageFencingToken, if the engine checks
-                   ///< it
+    ClaimOnEngine, ///< service unreachable, engine checks fencing: claim with outageFencingToken
     Release, ///< graceful handover: stop admitting, write the record with what still runs
     Wait, ///< the server has no live owner, but can't safely be taken over yet
 };
 
 std::string_view nameOf(ownership_step value);
 
-/// Decides on the next step for one server; it does not depend on anything but the view.
+/// Decides on the next step for one server, from the view alone.
 ownership_step decideOwnership(const ownership_view &view);
 
 /// Classes of orders that an owner sends to an engine.
@@ -131,7 +130,8 @@
 /// When a new owner may first evict on an engine that doesn't check fencing, having seen at `takeoverAt` that
 /// the previous owner's session has ended: once everything that the previous owner admitted must have ended.
 /// `maxDeadline` is the longest request deadline that any configuration in force during the previous
-/// ownership allowed. An owner that takes over its own record again (its session had expired, and nobody else
+/// ownership allowed. After a graceful release, `releasedDrain`
+/// is enough. An owner that takes over its own record again (its session had expired, and nobody else
 /// took over) keeps its earlier time.
 millis earliestEvictionTime(
     millis takeoverAt, millis maxDeadline, bool predecessorReleased, millis releasedDrain);
--- a/packages/coordination/ownership_task.h
+++ b/packages/coordination/ownership_task.h
@@ -43,7 +43,7 @@
         std::string preferredOwner; ///< first by rendezvous hash over m_candidates
         owner_record record; ///< as last read
         std::int64_t revision = -1; ///< of the record; -1: must be read before the next write
-        millis readAt; ///< when the record was last read
+        millis readAt; ///< when the record was last read, plus a random delay that spreads the reads
         bool rereadRequested = false; ///< a peer reported that it has released the server
         bool ownerSessionEnded = false;
         millis sessionReadAt;
--- a/tests/unit/config_task_test.cpp
+++ b/tests/unit/config_task_test.cpp
@@ -226,11 +226,11 @@
     }));
     const auto accepted = std::ranges::count(results, submit_status::Accepted, &submit_result::status);
     ASSERT_EQ(accepted, 1);
-    const auto &loser = results[results[0].status == submit_status::Accepted ? 1 : 0];
-    EXPECT_EQ(loser.status, submit_status::Refused);
-    EXPECT_EQ(loser.why.kind, error_kind::StalePatch);
-    EXPECT_EQ(loser.version, 1U);
-    EXPECT_NE(loser.why.detail.find("set \"base\" to 1"), std::string::npos);
+    const auto &refused = results[results[0].status == submit_status::Accepted ? 1 : 0];
+    EXPECT_EQ(refused.status, submit_status::Refused);
+    EXPECT_EQ(refused.why.kind, error_kind::StalePatch);
+    EXPECT_EQ(refused.version, 1U);
+    EXPECT_NE(refused.why.detail.find("set \"base\" to 1"), std::string::npos);
     ASSERT_TRUE(reaches(first, 1) && reaches(second, 1));
     EXPECT_EQ(toJson(*first.task.current()), toJson(*second.task.current()));
     EXPECT_EQ(adapterCount(*first.task.current()), 1U);
--- a/tests/unit/membership_task_test.cpp
+++ b/tests/unit/membership_task_test.cpp
@@ -50,8 +50,8 @@
     std::string seen() const
     {
         std::string all;
-        for (const member &each : members.empty() ? std::vector<member>() : members.back().members) {
-            all += each.name + ':' + std::string(nameOf(each.state)) + ' ';
+        for (const member &peer : members.empty() ? std::vector<member>() : members.back().members) {
+            all += peer.name + ':' + std::string(nameOf(peer.state)) + ' ';
         }
         return all;
     }
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -42,7 +42,7 @@
         for (std::size_t i = 0; i < count; ++i) {
             add("domain-" + std::to_string(i % domains));
         }
-        showList();
+        applyListToAll();
     }
 
     static std::string nameAt(std::size_t index)
@@ -65,11 +65,11 @@
         return nodes.back();
     }
 
-    void showList()
+    void applyListToAll()
     {
         ++list.revision;
-        for (node &each : nodes) {
-            applyLiveList(each.state, list);
+        for (node &receiver : nodes) {
+            applyLiveList(receiver.state, list);
         }
     }
 
@@ -86,9 +86,9 @@
 
     void post(std::size_t from, const std::vector<outgoing_datagram> &datagrams)
     {
-        for (const outgoing_datagram &each : datagrams) {
+        for (const outgoing_datagram &datagram : datagrams) {
             if (std::uniform_real_distribution<>(0, 1)(random) >= loss) {
-                wire.push_back({static_cast<std::uint16_t>(from), each});
+                wire.push_back({static_cast<std::uint16_t>(from), datagram});
             }
         }
     }
@@ -200,12 +200,12 @@
         }
     }
     // Another poll of a lagging list still shows it: it must stay dead.
-    fleet.showList();
+    fleet.applyListToAll();
     fleet.run({20'000});
     EXPECT_TRUE(fleet.allSee(7, peer_state::Dead));
     // Once it is off the list, it is removed.
     fleet.list.instances.erase(test_fleet::nameAt(7));
-    fleet.showList();
+    fleet.applyListToAll();
     EXPECT_TRUE(fleet.runUntil({120'000}, [&] {
         return !fleet.nodes[0].state.peers.contains(test_fleet::nameAt(7));
     }));
@@ -277,7 +277,7 @@
     fleet.run({5'000});
     fleet.post(4, announceLeaving(fleet.nodes[4].state));
     fleet.list.instances[test_fleet::nameAt(5)].leaving = true;
-    fleet.showList();
+    fleet.applyListToAll();
     EXPECT_TRUE(fleet.runUntil({5'000}, [&] {
         return fleet.allSee(4, peer_state::Leaving) && fleet.allSee(5, peer_state::Leaving);
     }));
@@ -402,8 +402,8 @@
     fleet.run({60'000});
     EXPECT_EQ(fleet.seen(0, 1).state, peer_state::Dead);
     EXPECT_EQ(fleet.seen(1, 0).state, peer_state::Dead);
-    for (test_fleet::node &each : fleet.nodes) {
-        each.partitioned = false;
+    for (test_fleet::node &node : fleet.nodes) {
+        node.partitioned = false;
     }
     const auto took = fleet.runUntil({120'000}, [&] {
         return fleet.allSeeAll(peer_state::Alive);
@@ -426,7 +426,7 @@
         fleet.list.instances[name] = {
             name, instance_kind::Entry, "", "domain-0", "127.0.0.1", 9, 80, "", false};
     }
-    fleet.showList();
+    fleet.applyListToAll();
     // Past introducePeriod, so that the daemon no longer introduces itself.
     tick(state, fleet.now);
     fleet.now = fleet.now + millis{61'000};
