--- a/packages/serving/account_check.cpp
+++ b/packages/serving/account_check.cpp
@@ -15,8 +15,9 @@
 
 auth_result authenticate(const serving_config &config, const route &matchedRoute, const std::string &keyHash)
 {
-    const auto found = keyHash.empty() ? config.accountOfKey.end() : config.accountOfKey.find(keyHash);
-    if (found != config.accountOfKey.end()) {
+    const auto found =
+        keyHash.empty() ? config.accountByKeyHash.end() : config.accountByKeyHash.find(keyHash);
+    if (found != config.accountByKeyHash.end()) {
         return {auth_status::Accepted, &config.accounts[found->second]};
     }
     if (matchedRoute.allowAnonymous || !requiresKeys(config)) {
@@ -38,15 +39,15 @@
 void indexAccounts(serving_config &config)
 {
     for (std::size_t i = 0; i < config.accounts.size(); ++i) {
-        config.accountOfHash.emplace(accountHash(config.accounts[i].name), i);
+        config.accountByNameHash.emplace(accountHash(config.accounts[i].name), i);
     }
 }
 
 std::optional<quota_limit> limitOf(const serving_config &config, std::uint64_t account)
 {
-    const auto found = config.accountOfHash.find(account);
-    return found == config.accountOfHash.end() ? std::nullopt
-                                               : std::optional(config.accounts[found->second].limit);
+    const auto found = config.accountByNameHash.find(account);
+    return found == config.accountByNameHash.end() ? std::nullopt
+                                                   : std::optional(config.accounts[found->second].limit);
 }
 
 int rankOf(const route &matchedRoute, const client_account *account)
--- a/packages/serving/backend_server.h
+++ b/packages/serving/backend_server.h
@@ -86,7 +86,7 @@
 /// How a server responded to an order.
 enum class order_result : std::uint8_t
 {
-    Holds, ///< nothing to do: the server is in the requested state already
+    AlreadyDone, ///< nothing to do: the server is in the requested state already
     Accepted, ///< accepted, but not completed yet
     Conflict, ///< rejected: the sequence differs, or another order is in progress
     Fenced, ///< rejected: an owner with a higher fencing token has sent orders
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -78,24 +78,24 @@
         , m_front(eventLoop, m_bus, m_store, m_crashes, *m_quota, m_notices, m_pool, m_dependencies.requests,
               settings, log)
         , m_orderer(eventLoop, m_bus, m_store, m_notices, m_pool, m_dependencies.requests, settings, log,
-              [this](const std::string &entry, const place_answer &answer) {
-                  sendSlotResponse(entry, answer);
+              [this](const std::string &entry, const place_answer &response) {
+                  sendSlotResponse(entry, response);
               })
     {
-        m_front.setOrderer(m_orderer);
+        m_front.setServerOwner(m_orderer);
     }
 
     bool open(error &why);
     int run() override;
 
 private:
-    void sendSlotResponse(const std::string &entry, const place_answer &answer);
+    void sendSlotResponse(const std::string &entry, const place_answer &response);
     void onDatagram(const fleet_datagram &datagram);
-    void sendStoreUpdate(const std::vector<std::string> &nodes, const store_news &news);
+    void sendStoreUpdate(const std::vector<std::string> &nodes, const store_news &update);
     daemon_record self() const;
     fleet_shape fleetShape() const;
     void sendHeartbeats();
-    void relayHeartbeat(const fleet_datagram &datagram, const fleet_beat &beat);
+    void relayHeartbeat(const fleet_datagram &datagram, const fleet_beat &heartbeat);
     void fetchStoreUpdate(
         const std::string &node, std::int64_t after, std::function<void(std::optional<store_news>)> done);
     void onUpdateRequest(const front_request &request, front_reply &reply) const;
@@ -164,8 +164,8 @@
     if (!m_peers) {
         return false;
     }
-    m_store.setFleet({[this](const std::vector<std::string> &nodes, const store_news &news) {
-                          sendStoreUpdate(nodes, news);
+    m_store.setFleet({[this](const std::vector<std::string> &nodes, const store_news &update) {
+                          sendStoreUpdate(nodes, update);
                       },
         [this](const std::string &node, std::int64_t after,
             std::function<void(std::optional<store_news>)> done) {
@@ -234,11 +234,12 @@
     return m_exitCode;
 }
 
-void daemon_impl::sendSlotResponse(const std::string &entry, const place_answer &answer)
+void daemon_impl::sendSlotResponse(const std::string &entry, const place_answer &response)
 {
-    deliverToNode(m_loop, *m_port, m_store, m_settings.node, entry, answer, [this](const place_answer &own) {
-        m_front.onSlotResponse(own);
-    });
+    deliverToNode(
+        m_loop, *m_port, m_store, m_settings.node, entry, response, [this](const place_answer &own) {
+            m_front.onSlotResponse(own);
+        });
 }
 
 void daemon_impl::onDatagram(const fleet_datagram &datagram)
@@ -251,8 +252,8 @@
                 m_front.onSlotResponse(body);
             } else if constexpr (std::is_same_v<body_type, packed_news>) {
                 error why;
-                if (const auto news = decodeNews(body.bytes, why)) {
-                    m_store.onNews(datagram.from, *news);
+                if (const auto update = decodeNews(body.bytes, why)) {
+                    m_store.onNews(datagram.from, *update);
                 } else {
                     m_log.important("news.unreadable").add("peer", datagram.from).add("why", message(why));
                 }
@@ -295,24 +296,25 @@
 }
 
 /// Relays a heartbeat from another failure domain to the daemons of this domain that need it.
-void daemon_impl::relayHeartbeat(const fleet_datagram &datagram, const fleet_beat &beat)
+void daemon_impl::relayHeartbeat(const fleet_datagram &datagram, const fleet_beat &heartbeat)
 {
-    fleet_datagram copy{datagram.from, datagram.incarnation, beat};
+    fleet_datagram copy{datagram.from, datagram.incarnation, heartbeat};
     std::get<fleet_beat>(copy.body).relay = false;
-    for (const daemon_record *record : relayTargets(fleetShape(), self(), beat)) {
+    for (const daemon_record *record : relayTargets(fleetShape(), self(), heartbeat)) {
         m_port->send({record->ip, record->port}, copy);
     }
 }
 
-/// Detects that this daemon is cut off from all others while callers still reach it: requests for models
-/// would wait for slots until they time out. While isolated, it reports to the load balancer that it is not
-/// ready, and refuses the requests that arrive with a short Retry-After, so that callers go to another
-/// instance. If the other daemons have died instead, the store removes their records when the leases expire,
-/// and no heartbeats are expected from them any more.
+/// Detects that this daemon is cut off from all others while callers still reach it. Model requests would
+/// then wait for slots until they time out. While isolated, the daemon reports to the load balancer that it
+/// is not ready, and refuses model requests with a short Retry-After, so that callers go to another instance.
+/// If the other daemons have died instead, the store removes their records when their leases expire, and no
+/// heartbeats are expected any more.
 void daemon_impl::updateIsolation()
 {
-    const bool silent = m_lastPeerDatagramAt.count != 0 && bootNow() - m_lastPeerDatagramAt >= isolatedAfter;
-    const bool isolated = silent && m_orderer.expectsBeats();
+    const bool noPeerDatagrams =
+        m_lastPeerDatagramAt.count != 0 && bootNow() - m_lastPeerDatagramAt >= isolatedAfter;
+    const bool isolated = noPeerDatagrams && m_orderer.expectsBeats();
     if (isolated == m_isolated) {
         return;
     }
@@ -339,13 +341,13 @@
     }
 }
 
-void daemon_impl::sendStoreUpdate(const std::vector<std::string> &nodes, const store_news &news)
+void daemon_impl::sendStoreUpdate(const std::vector<std::string> &nodes, const store_news &update)
 {
-    fleet_datagram datagram{m_settings.node, m_store.incarnation(), news};
-    if (!news.items.empty()) {
-        datagram.body = packed_news{encode(news)};
+    fleet_datagram datagram{m_settings.node, m_store.incarnation(), update};
+    if (!update.items.empty()) {
+        datagram.body = packed_news{encode(update)};
         if (std::get<packed_news>(datagram.body).bytes.size() > maxInlineUpdateBytes) {
-            datagram.body = store_news{news.from, news.to, true, false, {}};
+            datagram.body = store_news{update.from, update.to, true, false, {}};
         }
     }
     for (const std::string &node : nodes) {
@@ -442,21 +444,21 @@
 
 void daemon_impl::checkShutdown()
 {
-    const millis since = bootNow() - m_shutdownBeganAt;
+    const millis elapsed = bootNow() - m_shutdownBeganAt;
     const bool idle = m_front.active() == 0 && m_callers->busy() == 0 && m_callers->connections() == 0;
-    const bool timeUp = since > m_settings.shutdown - shutdownMargin;
-    if (since > handOverAfter && !m_handedOver) {
+    const bool timeUp = elapsed > m_settings.shutdown - shutdownMargin;
+    if (elapsed > handOverAfter && !m_handedOver) {
         m_handedOver = true;
         m_orderer.stop();
         m_quota->stop();
         m_store.leave();
     }
-    if (since > stopAcceptingAfter && !m_stoppedAccepting) {
+    if (elapsed > stopAcceptingAfter && !m_stoppedAccepting) {
         m_stoppedAccepting = true;
         m_callers->stopListening();
         m_front.stopAccepting();
     }
-    if ((idle && since > minShutdownTime) || timeUp) {
+    if ((idle && elapsed > minShutdownTime) || timeUp) {
         m_exitCode = idle ? 0 : exitInterrupted;
         m_loop.stop();
     }
--- a/packages/serving/front_account.cpp
+++ b/packages/serving/front_account.cpp
@@ -38,8 +38,8 @@
     // A daemon that receives no configuration updates would keep accepting a revoked key. It knows the age of
     // its configuration, so it refuses once that exceeds the limit. Only if the operator has enabled this,
     // since callers are then refused whenever the store is unreachable.
-    const auto known = m_store.configKnownAt();
-    const bool stale = !known || bootNow() - *known > m_settings.maxRevocationDelay;
+    const auto confirmedAt = m_store.configKnownAt();
+    const bool stale = !confirmedAt || bootNow() - *confirmedAt > m_settings.maxRevocationDelay;
     if (m_settings.strictRevocation && stale && requiresKeys(*pending->config)
         && !pending->matchedRoute->allowAnonymous) {
         refuse(pending, "it is not known here whether the key has been withdrawn", retryAfterOtherInstance);
--- a/packages/serving/front_closed.cpp
+++ b/packages/serving/front_closed.cpp
@@ -8,16 +8,16 @@
 /// Whether the request's service has servers, but all of them are closed to this daemon.
 bool front_task::allServersClosed(const pending_request &pending) const
 {
-    bool any = false;
+    bool hasServers = false;
     for (const auto &[id, server] : m_store.view().servers) {
         if (server.service == pending.service) {
-            any = true;
+            hasServers = true;
             if (!isClosed(m_notices.accessOf(server))) {
                 return false;
             }
         }
     }
-    return any;
+    return hasServers;
 }
 
 const char *front_task::noServerReason(const pending_request &pending) const
@@ -31,9 +31,9 @@
 /// with jitter; otherwise the earliest time at which a slot or permit is expected. `fallback` if unknown.
 millis front_task::earliestRetryAfter(const pending_request &pending, millis fallback) const
 {
-    std::optional<millis> first;
-    const auto consider = [&first](millis retryAfter) {
-        first = first ? std::min(*first, retryAfter) : retryAfter;
+    std::optional<millis> earliest;
+    const auto consider = [&earliest](millis retryAfter) {
+        earliest = earliest ? std::min(*earliest, retryAfter) : retryAfter;
     };
     if (pending.shortestRetryAfter.count >= 0) {
         consider(pending.shortestRetryAfter);
@@ -51,8 +51,8 @@
             consider(*permitWait(id) - maxSlotWait(pending.matchedRoute->target));
             break;
         case server_access::Paused: {
-            const millis left = m_notices.pauseLeft(server, m_settings.node);
-            shortestPause = std::min(shortestPause.value_or(left), left);
+            const millis remaining = m_notices.pauseLeft(server, m_settings.node);
+            shortestPause = std::min(shortestPause.value_or(remaining), remaining);
             anyClosed = true;
             break;
         }
@@ -67,10 +67,10 @@
         return withJitter(
             std::max(shortestPause.value_or(retryAfterAllLeaving), shortestComeBack), pending.request.id);
     }
-    return first ? std::max(*first, shortestComeBack) : fallback;
+    return earliest ? std::max(*earliest, shortestComeBack) : fallback;
 }
 
-/// Dispatches the requests that wait for a slot on a server that has become closed to other servers.
+/// When a server becomes closed, dispatches the requests that wait for a slot there again, to other servers.
 void front_task::onServerClosed(const std::string &server)
 {
     if (!isClosed(m_notices.accessOf(server))) {
--- a/packages/serving/front_route.cpp
+++ b/packages/serving/front_route.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// A slot request is repeated without a response after this time, which covers a round trip to another
-/// failure domain and a busy peer.
+/// A slot request without a response is repeated after this time, which is long enough for a round trip to
+/// another failure domain and a busy peer.
 constexpr millis slotRequestTimeout{120};
 constexpr int maxSlotRequestsPerServer = 3;
 
@@ -32,8 +32,8 @@
         candidate.slots = server.slots;
         const auto inFlight = m_inFlight.find(id);
         candidate.inFlight = inFlight == m_inFlight.end() ? 0 : inFlight->second;
-        const auto record = m_serverHealth.find(id);
-        candidate.failureRate = record == m_serverHealth.end() ? 0 : currentFailureRate(record->second, now);
+        const auto health = m_serverHealth.find(id);
+        candidate.failureRate = health == m_serverHealth.end() ? 0 : currentFailureRate(health->second, now);
         candidate.tieBreak = rendezvousScore(pending->request.id, id);
         if (const auto wait = permitWait(id)) {
             candidate.limited = true;
@@ -49,8 +49,8 @@
     if (!chosen) {
         // A failure response from an earlier server is better than none. A "not executed" response isn't
         // forwarded, because it lacks a useful Retry-After.
-        const bool answered = !pending->responseBody.empty() || pending->responseHead.status != 0;
-        if (answered && !pending->responseMeta.notExecuted) {
+        const bool hasResponse = !pending->responseBody.empty() || pending->responseHead.status != 0;
+        if (hasResponse && !pending->responseMeta.notExecuted) {
             forwardResponse(pending);
             return;
         }
@@ -97,8 +97,8 @@
             candidate.backlogMs += static_cast<double>(wait->count);
         }
         candidate.sameDomain = server.failureDomain == m_settings.failureDomain;
-        const auto record = m_serverHealth.find(id);
-        candidate.failureRate = record == m_serverHealth.end() ? 0 : currentFailureRate(record->second, now);
+        const auto health = m_serverHealth.find(id);
+        candidate.failureRate = health == m_serverHealth.end() ? 0 : currentFailureRate(health->second, now);
         servers.push_back(&server);
         names.push_back(id);
         candidates.push_back(candidate);
@@ -111,11 +111,11 @@
 {
     std::vector<const backend_server *> servers;
     const auto candidates = candidatesFor(*pending, servers);
-    response_mix &answers = m_responseMix[pending->service];
+    response_mix &mix = m_responseMix[pending->service];
     if (pending->serversTried == 0) {
-        recordOutputLength(answers, pending->request.outputTokens);
+        recordOutputLength(mix, pending->request.outputTokens);
     }
-    prompt_shape prompt = shapeOf(answers, pending->request.promptTokens, pending->request.outputTokens);
+    prompt_shape prompt = shapeOf(mix, pending->request.promptTokens, pending->request.outputTokens);
     prompt.copyCostShare = copyCostShareOf(candidates);
     const auto chosen = chooseModelServer(candidates, prompt);
     if (!chosen && m_isolated) {
@@ -246,8 +246,8 @@
     const bool conveysLimit = response.why != refusal::NotOrderer && response.why != refusal::ServerLeaving;
     if (conveysLimit) {
         const bool limited = response.verdict == place_verdict::Refused && response.why == refusal::Limited;
-        const auto known = permitWait(response.server);
-        const millis wait = limited ? millis{response.comeBackMs} : known.value_or(millis{});
+        const auto currentWait = permitWait(response.server);
+        const millis wait = limited ? millis{response.comeBackMs} : currentWait.value_or(millis{});
         applyOwnerLimit(m_limits, response.server, decodeLimit(response.limitMilli), wait, bootNow());
     }
     const auto number = m_numberByRequestId.find(response.id);
@@ -256,8 +256,8 @@
     const bool isWaiting = found != m_requests.end() && found->second->server == response.server
         && !found->second->granted && !found->second->activeSend;
     if (!isWaiting) {
-        const bool unknown = found == m_requests.end() || found->second->server != response.server;
-        if (response.verdict == place_verdict::Granted && unknown) {
+        const bool isObsolete = found == m_requests.end() || found->second->server != response.server;
+        if (response.verdict == place_verdict::Granted && isObsolete) {
             // The request has ended or uses another server: release the granted slot.
             pending_request ended;
             ended.request.id = response.id;
--- a/packages/serving/front_send.cpp
+++ b/packages/serving/front_send.cpp
@@ -206,9 +206,10 @@
         return;
     }
     pending->mayHaveRun = true;
+    // Connections that a leaving or removed server closes don't count as crashes.
     const server_access access = m_notices.accessOf(server);
-    const bool staysListed = access != server_access::Leaving && access != server_access::Removed;
-    if (end == send_end::Broken && staysListed) {
+    const bool notLeaving = access != server_access::Leaving && access != server_access::Removed;
+    if (end == send_end::Broken && notLeaving) {
         m_crashes.onBroken(pending->fingerprint, pending->target);
     }
     notifyOwner(*pending, place_event::Failed);
@@ -234,7 +235,7 @@
 }
 
 /// Retries the request on another server if that is allowed. `mayHaveRun`: the last server may have run it.
-bool front_task::retryElsewhere(const request_ptr &pending, bool mayHaveRun, const char *why)
+bool front_task::retryElsewhere(const request_ptr &pending, bool mayHaveRun, const char *reason)
 {
     if (mayHaveRun && !mayRetry(*pending)) {
         return false;
@@ -261,7 +262,7 @@
     m_log.important("repeat.taken")
         .add("id", pending->request.id)
         .add("after", pending->server)
-        .add("why", why);
+        .add("why", reason);
     pending->serversTried = 0;
     dispatch(pending);
     return true;
@@ -327,6 +328,7 @@
         {error_kind::Timeout, server, "the server has sent nothing within the inactivity timeout"});
 }
 
+/// Cancels the send in progress, if there is one, and notifies the server's owner.
 void front_task::abandonServer(const request_ptr &pending, place_event event)
 {
     if (pending->activeSend) {
--- a/packages/serving/front_task.cpp
+++ b/packages/serving/front_task.cpp
@@ -49,9 +49,9 @@
     });
 }
 
-void front_task::setOrderer(orderer_task &orderer)
+void front_task::setServerOwner(orderer_task &serverOwner)
 {
-    m_orderer = &orderer;
+    m_orderer = &serverOwner;
 }
 
 void front_task::setPort(fleet_port &port)
@@ -84,12 +84,12 @@
             m_pool.forget(restarted->second.address); // drop connections to the previous incarnation
         }
     }
-    const std::size_t cells =
+    const std::size_t groups =
         heartbeatGroupsIn({&m_store.view().daemons, m_store.view().servers.size()}, m_settings.failureDomain);
-    if (cells != m_heartbeatGroups) {
+    if (groups != m_heartbeatGroups) {
         // Heartbeats about servers that are now in another group will stop. If their entries were kept, the
         // owners would look dead, and requests would be sent to the servers without a slot.
-        m_heartbeatGroups = cells;
+        m_heartbeatGroups = groups;
         std::erase_if(m_observed, [this](const auto &each) {
             return heartbeatGroupOf(each.first, m_heartbeatGroups)
                 != heartbeatGroupOf(m_settings.node, m_heartbeatGroups);
@@ -229,7 +229,7 @@
 
 void front_task::refuseBlocked(const request_ptr &pending)
 {
-    // Without a remaining block another daemon is probing the request, and its result will be known soon.
+    // If the block has expired, another daemon is probing the request, and the result will be known soon.
     const millis wait = std::max(m_crashes.comeBackAfter(pending->fingerprint), retryAfterTransient);
     refuse(pending, "servers ended under this request", wait);
 }
@@ -292,7 +292,7 @@
     }
 }
 
-void front_task::refuse(const request_ptr &pending, const char *why, millis retryAfter, int status)
+void front_task::refuse(const request_ptr &pending, const char *reason, millis retryAfter, int status)
 {
     // A refusal promises that the request did not and will not run. If an earlier send may have run, it has
     // to be reported as a failure, or the caller might repeat a request that has been executed.
@@ -302,29 +302,29 @@
         return;
     }
     if (pending->mayHaveRun) {
-        fail(pending, 502, why);
+        fail(pending, 502, reason);
         return;
     }
-    ++m_counters.refused[why];
+    ++m_counters.refused[reason];
     m_log.important("request.refused")
         .add("id", pending->request.id)
         .add("account", pending->account == nullptr ? std::string() : pending->account->name)
-        .add("why", why)
+        .add("why", reason)
         .add("status", status)
         .add("come_back_ms", retryAfter)
         .add("held_ms", bootNow() - pending->arrived);
-    pending->reply->respond(status, {{"Retry-After", secondsText(retryAfter)}}, std::string(why) + "\n");
+    pending->reply->respond(status, {{"Retry-After", secondsText(retryAfter)}}, std::string(reason) + "\n");
     finish(pending, "refused");
 }
 
-void front_task::fail(const request_ptr &pending, int status, const char *why)
+void front_task::fail(const request_ptr &pending, int status, const char *reason)
 {
     m_log.important("request.failed")
         .add("id", pending->request.id)
-        .add("why", why)
+        .add("why", reason)
         .add("status", status)
         .add("held_ms", bootNow() - pending->arrived);
-    pending->reply->respond(status, {}, std::string(why) + "\n");
+    pending->reply->respond(status, {}, std::string(reason) + "\n");
     finish(pending, "failed");
 }
 
@@ -351,9 +351,9 @@
     pending->deadlineTimer.reset();
     pending->slotRequestTimer.reset();
     pending->inactivityTimer.reset();
-    const auto asked = m_numberByRequestId.find(pending->request.id);
-    if (asked != m_numberByRequestId.end() && asked->second == pending->number) {
-        m_numberByRequestId.erase(asked);
+    const auto number = m_numberByRequestId.find(pending->request.id);
+    if (number != m_numberByRequestId.end() && number->second == pending->number) {
+        m_numberByRequestId.erase(number);
     }
     m_requests.erase(pending->number);
 }
--- a/packages/serving/front_task.h
+++ b/packages/serving/front_task.h
@@ -65,7 +65,7 @@
         server_notice_task &notices, backend_pool &pool, const request_codec &codec,
         const node_settings &settings, decision_log &log);
 
-    void setOrderer(orderer_task &orderer);
+    void setServerOwner(orderer_task &serverOwner);
     void setPort(fleet_port &port);
     void setRetryLimits(const retry_limits &limits);
 
@@ -131,10 +131,10 @@
     void onResponseComplete(const request_ptr &pending);
     void onServerUnresponsive(const request_ptr &pending);
     void onDeadline(const request_ptr &pending);
-    bool retryElsewhere(const request_ptr &pending, bool mayHaveRun, const char *why);
+    bool retryElsewhere(const request_ptr &pending, bool mayHaveRun, const char *reason);
     void forwardResponse(const request_ptr &pending);
-    void refuse(const request_ptr &pending, const char *why, millis retryAfter, int status = 503);
-    void fail(const request_ptr &pending, int status, const char *why);
+    void refuse(const request_ptr &pending, const char *reason, millis retryAfter, int status = 503);
+    void fail(const request_ptr &pending, int status, const char *reason);
     void finish(const request_ptr &pending, const std::string &outcome);
     void abandonServer(const request_ptr &pending, place_event event);
     void announceRunning(const std::string &server, const std::string &orderer);
--- a/packages/serving/orderer_send.cpp
+++ b/packages/serving/orderer_send.cpp
@@ -194,7 +194,7 @@
         return;
     }
     server_state &one = found->second;
-    const bool fine = answer == order_result::Holds || answer == order_result::Accepted;
+    const bool fine = answer == order_result::AlreadyDone || answer == order_result::Accepted;
     (fine ? m_log.ordinary("order.answered") : m_log.important("order.answered"))
         .add("server", id)
         .add("order", order.kind == order_kind::Load ? "load" : "unload")
--- a/packages/serving/server_ledger.cpp
+++ b/packages/serving/server_ledger.cpp
@@ -180,7 +180,7 @@
         place = &addPlace(ledger, order, now);
     }
     place->version = order.version != 0 ? order.version : place->version;
-    if (answer == order_result::Holds) {
+    if (answer == order_result::AlreadyDone) {
         if (place->state == place_state::Loading && place->askAgain.count != 0) {
             measureLoad(ledger, *place, now);
         }
@@ -393,7 +393,7 @@
     ledger.open.reset();
     switch (answer) {
     case order_result::Accepted:
-    case order_result::Holds:
+    case order_result::AlreadyDone:
         // The server counts the orders that it accepts; a load that holds already, or that is on its way
         // already, is none.
         if (!repeatsLoad(ledger, order)
@@ -406,7 +406,7 @@
         }
         if (order.kind == order_kind::Load) {
             onLoadAnswer(ledger, order, answer, now);
-        } else if (answer == order_result::Holds) {
+        } else if (answer == order_result::AlreadyDone) {
             removePlace(ledger, order.model, order.adapter);
         } else {
             ledger.proved = false; // it waits for its runs; a report tells when it is out
--- a/packages/serving/serving_config.cpp
+++ b/packages/serving/serving_config.cpp
@@ -23,11 +23,11 @@
 
 void indexRoutes(serving_config &config)
 {
-    config.byHost.clear();
+    config.routesByHost.clear();
     for (std::size_t i = 0; i < config.routes.size(); ++i) {
-        config.byHost[config.routes[i].host].push_back(i);
+        config.routesByHost[config.routes[i].host].push_back(i);
     }
-    for (auto &[host, indices] : config.byHost) {
+    for (auto &[host, indices] : config.routesByHost) {
         std::stable_sort(indices.begin(), indices.end(), [&config](std::size_t a, std::size_t b) {
             return config.routes[a].prefix.size() > config.routes[b].prefix.size();
         });
@@ -40,8 +40,8 @@
     if (const std::size_t colon = name.rfind(':'); colon != std::string::npos) {
         name.resize(colon);
     }
-    const auto found = config.byHost.find(name);
-    if (found == config.byHost.end()) {
+    const auto found = config.routesByHost.find(name);
+    if (found == config.routesByHost.end()) {
         return nullptr;
     }
     const std::string_view path = target.substr(0, target.find('?'));
--- a/packages/serving/serving_config.h
+++ b/packages/serving/serving_config.h
@@ -95,15 +95,16 @@
     std::map<std::string, service_spec> services;
     front_limits limits;
     std::vector<client_account> accounts; ///< if empty, callers need no keys
-    std::unordered_map<std::string, std::size_t> accountOfKey; ///< index into `accounts` by keyHash()
-    std::unordered_map<std::uint64_t, std::size_t> accountOfHash; ///< by accountHash(); see indexAccounts()
+    std::unordered_map<std::string, std::size_t> accountByKeyHash; ///< index into `accounts` by keyHash()
+    std::unordered_map<std::uint64_t, std::size_t>
+        accountByNameHash; ///< by accountHash(); see indexAccounts()
     std::vector<std::string> warnings; ///< usable but probably wrong entries, for the operator to fix
 
     /// Indices into `routes` by host, longest prefix first. Filled by indexRoutes().
-    std::unordered_map<std::string, std::vector<std::size_t>> byHost;
+    std::unordered_map<std::string, std::vector<std::size_t>> routesByHost;
 };
 
-/// Fills `byHost`. Call once, after `routes` has been filled.
+/// Fills `routesByHost`. Call once, after `routes` has been filled.
 void indexRoutes(serving_config &config);
 
 /// The route of the host with the longest prefix that matches the path, or null if none matches.
--- a/tests/load_model/load_model.cpp
+++ b/tests/load_model/load_model.cpp
@@ -492,10 +492,10 @@
             server.remembered.pop_back();
         }
         ++server.sequence;
-        return order_result::Holds;
+        return order_result::AlreadyDone;
     }
     if (server.resident.count(key) != 0) {
-        return order_result::Holds;
+        return order_result::AlreadyDone;
     }
     if (server.coming.count(key) != 0) {
         return order_result::Accepted;
--- a/tests/serving/account_test.cpp
+++ b/tests/serving/account_test.cpp
@@ -149,7 +149,7 @@
     error why;
     const auto config = platform::readConfig(hashed, why);
     ASSERT_TRUE(config) << message(why);
-    EXPECT_EQ(config->accountOfKey.count(keyHash("very-secret-key")), 1U);
+    EXPECT_EQ(config->accountByKeyHash.count(keyHash("very-secret-key")), 1U);
     EXPECT_EQ(platform::hideKeys(R"({"apiKeys": ["half of a)"), "");
 }
 
@@ -266,7 +266,7 @@
     error why;
     const auto config = configWith(json::array({account("ana", {"k"}), account("eva", {"k", "e"})}), why);
     ASSERT_TRUE(config);
-    EXPECT_EQ(config->accounts[config->accountOfKey.at(keyHash("k"))].name, "ana");
+    EXPECT_EQ(config->accounts[config->accountByKeyHash.at(keyHash("k"))].name, "ana");
     ASSERT_EQ(config->warnings.size(), 1U);
     EXPECT_NE(config->warnings[0].find("eva"), std::string::npos);
     EXPECT_EQ(config->warnings[0].find("\"k\""), std::string::npos);
--- a/tests/serving/load_crowd_test.cpp
+++ b/tests/serving/load_crowd_test.cpp
@@ -145,7 +145,7 @@
         }
         const std::string key = desk.ledger.server + '/' + due->adapter;
         if (due->kind == order_kind::Unload) {
-            takeAnswer(desk.ledger, *due, order_result::Holds, m_now);
+            takeAnswer(desk.ledger, *due, order_result::AlreadyDone, m_now);
             return;
         }
         const adapter_place *place = findPlace(desk.ledger, "base", due->adapter);
@@ -153,7 +153,7 @@
             m_store.left[key] = aloneMs;
         }
         const bool in = place != nullptr && m_store.isIn(key);
-        takeAnswer(desk.ledger, *due, in ? order_result::Holds : order_result::Accepted, m_now);
+        takeAnswer(desk.ledger, *due, in ? order_result::AlreadyDone : order_result::Accepted, m_now);
     }
 
     void count(const place_desk &desk, const std::vector<desk_answer> &answers, tally &seen)
--- a/tests/serving/server_ledger_test.cpp
+++ b/tests/serving/server_ledger_test.cpp
@@ -69,10 +69,10 @@
         if (order.kind == order_kind::Unload) {
             ++sequence;
             held.erase(order.adapter);
-            return order_result::Holds;
+            return order_result::AlreadyDone;
         }
         if (held.count(order.adapter) != 0) {
-            return order_result::Holds;
+            return order_result::AlreadyDone;
         }
         if (coming.count(order.adapter) != 0) {
             return order_result::Accepted;
@@ -165,7 +165,7 @@
     const auto next = nextOrder(ledger, want({"a3"}), limitsNow(), {2'600});
     ASSERT_TRUE(next);
     EXPECT_EQ(next->kind, order_kind::Unload) << "the free place may be the lost load's";
-    takeAnswer(ledger, *next, order_result::Holds, {2'610});
+    takeAnswer(ledger, *next, order_result::AlreadyDone, {2'610});
     EXPECT_EQ(takenPlaces(ledger), 0) << "the server's sequence has moved on: the lost load is void";
 }
 
@@ -187,7 +187,7 @@
     const auto again = nextOrder(ledger, {}, limitsNow(), {1'280});
     ASSERT_TRUE(again);
     EXPECT_EQ(again->expectedSequence, 5) << "the server doesn't count a load that is on its way already";
-    takeAnswer(ledger, *again, order_result::Holds, {1'282});
+    takeAnswer(ledger, *again, order_result::AlreadyDone, {1'282});
     EXPECT_EQ(findPlace(ledger, base, "a1")->state, place_state::Resident);
 }
 
@@ -206,14 +206,14 @@
         const auto load = nextOrder(ledger, want({"a" + std::to_string(i)}), limitsNow(), now);
         ASSERT_TRUE(load);
         if (load->kind == order_kind::Unload) {
-            takeAnswer(ledger, *load, order_result::Holds, now);
+            takeAnswer(ledger, *load, order_result::AlreadyDone, now);
             continue;
         }
         takeAnswer(ledger, *load, order_result::Accepted, now);
         now = now + millis{800};
         const auto ask = nextOrder(ledger, {}, limitsNow(), now);
         ASSERT_TRUE(ask);
-        takeAnswer(ledger, *ask, order_result::Holds, now);
+        takeAnswer(ledger, *ask, order_result::AlreadyDone, now);
         for (const load_seen &seen : std::exchange(ledger.loadsSeen, {})) {
             recordLoad(pace, seen.took, seen.crowd, now);
         }
