--- a/packages/serving/choose_server.cpp
+++ b/packages/serving/choose_server.cpp
@@ -60,7 +60,7 @@
 
 std::optional<double> costOf(const model_candidate &server, const prompt_shape &prompt)
 {
-    if (server.excluded || !server.modelResident
+    if (server.excluded || !server.modelLoaded
         || (!server.hasHeartbeat && server.hashRank >= maxHashRankUnobserved)) {
         return std::nullopt;
     }
@@ -69,7 +69,7 @@
     const double disturbance =
         prompt.separation * longResponsePenaltyMs * std::min(server.longResponses, maxLongResponsesCounted);
     const bool needsSlot =
-        server.adapter == adapter_residency::Absent || server.adapter == adapter_residency::Remembered;
+        server.adapter == adapter_residency::Absent || server.adapter == adapter_residency::Cached;
     const bool noOpenSlot = needsSlot && server.availableSlots == 0;
     // Long responses occupy their slots for seconds. Without an open slot, being attracted to a server that
     // has many of them would end in a refusal.
@@ -79,8 +79,8 @@
         return cost;
     case adapter_residency::Loading:
         return cost + loadingPenaltyMs;
-    case adapter_residency::Remembered:
-        return cost + knownLoadMs + (rememberedPenaltyMs - knownLoadMs) * prompt.copyCostShare
+    case adapter_residency::Cached:
+        return cost + knownLoadMs + (cachedPenaltyMs - knownLoadMs) * prompt.copyCostShare
             + (noOpenSlot ? noOpenSlotPenaltyMs : 0);
     case adapter_residency::Absent:
         break;
--- a/packages/serving/choose_server.h
+++ b/packages/serving/choose_server.h
@@ -16,7 +16,7 @@
 enum class adapter_residency : std::uint8_t
 {
     Absent, ///< would have to be loaded from the weight store
-    Remembered, ///< recently evicted; the server still has a copy in host memory
+    Cached, ///< evicted recently; the server still has a copy in host memory
     Loading,
     Resident,
 };
@@ -27,7 +27,7 @@
 struct model_candidate
 {
     adapter_residency adapter = adapter_residency::Absent;
-    bool modelResident = true; ///< the base model is loaded
+    bool modelLoaded = true; ///< the base model is loaded
     bool hasHeartbeat = true; ///< if false, only the server's owner is known
     bool sameDomain = false;
     bool excluded = false; ///< must not be chosen: tried already, closed, or nobody grants slots there
@@ -40,7 +40,8 @@
 };
 
 // Penalties are in ms of waiting that a caller would accept instead; one second of waiting is worth as much
-// as the whole request.
+// as the whole request. Scores are those of the load model: the value of all requests served, minus the cost
+// of loads, as a fraction of the maximum.
 
 /// Sending a prompt to another failure domain and its response back costs 1 to 2% of a request's value, about
 /// as much as this waiting time.
@@ -50,21 +51,22 @@
 /// are then refused. Between 350 and 900 ms a day's score rises by a tenth; it does not rise any further.
 constexpr double absentPenaltyMs = 900;
 constexpr double loadingPenaltyMs = 120;
-/// A remembered adapter loads in 25 ms without the weight store, but occupies a slot like any other. Values
+/// A cached adapter loads in 25 ms without the weight store, but occupies a slot like any other. Values
 /// from 250 to 500 ms score one percent higher than treating it as absent, with 6% fewer loads from the
 /// weight store.
-constexpr double rememberedPenaltyMs = 500;
+constexpr double cachedPenaltyMs = 500;
 /// No slot was available in the latest heartbeat: a running request has to finish first.
 constexpr double noOpenSlotPenaltyMs = 600;
 /// Per position in the adapter's rendezvous order. Keeps the copies of an adapter on few servers, so that one
-/// of them still remembers it at the next request. At 25 ms there are a third more loads from the weight
+/// of them still has it cached at the next request. At 25 ms there are a third more loads from the weight
 /// store.
 constexpr double hashRankPenaltyMs = 150;
 /// Positions beyond this are penalised no further.
 constexpr std::size_t maxHashRank = 6;
 /// Servers without heartbeats are candidates only in the first positions of an adapter's rendezvous order.
 constexpr std::size_t maxHashRankUnobserved = 2;
-/// At a failure rate of 1.
+/// At a failure rate of 1. Exceeds the value of a request, because a server that always fails isn't worth
+/// using however short its queue is.
 constexpr double failurePenaltyMs = 2'000;
 
 /// Servers from which one request asks for a slot before it is refused. When slots are scarce, each further
@@ -88,7 +90,7 @@
     double sampleCount = 0; ///< requests seen, at most `mixWindowRequests`
 };
 
-/// The statistics are moving averages over about this many requests, which is about 20 s of one entry's.
+/// The statistics are moving averages over about this many requests, which one entry receives in about 20 s.
 constexpr double mixWindowRequests = 100;
 /// Long responses can be separated from short ones only while they are few: fully up to the first share, not
 /// at all from the second on. At a share of 0.2 separation scores 5% higher. At 0.6 it scores 6% lower: long
--- a/packages/serving/observed_server.cpp
+++ b/packages/serving/observed_server.cpp
@@ -54,7 +54,7 @@
     const server_beat &heartbeat = observed.heartbeat;
     const bool fresh = isFresh(observed, now);
     model_candidate candidate;
-    candidate.modelResident = heartbeat.held;
+    candidate.modelLoaded = heartbeat.held;
     candidate.longResponses = heartbeat.longAnswers;
     candidate.availableSlots = fresh && heartbeat.openPlaces > observed.slotsRequestedSince
         ? heartbeat.openPlaces - observed.slotsRequestedSince
@@ -70,7 +70,7 @@
     const bool seenRecently = std::find(observed.recentAdapters.begin(), observed.recentAdapters.end(), name)
         != observed.recentAdapters.end();
     if (candidate.adapter == adapter_residency::Absent && seenRecently) {
-        candidate.adapter = adapter_residency::Remembered;
+        candidate.adapter = adapter_residency::Cached;
     }
     const double tokensPerMs = heartbeat.tokensPerSecond > 0
         ? static_cast<double>(heartbeat.tokensPerSecond) / msPerSecond
@@ -116,7 +116,7 @@
 {
     observed.requestedTokensSince += promptTokens;
     observed.slotsRequestedSince +=
-        adapter == adapter_residency::Absent || adapter == adapter_residency::Remembered ? 1 : 0;
+        adapter == adapter_residency::Absent || adapter == adapter_residency::Cached ? 1 : 0;
 }
 
 millis maxSlotWait(millis target)
--- a/packages/serving/observed_server.h
+++ b/packages/serving/observed_server.h
@@ -30,8 +30,9 @@
 /// The hash that stands for "MODEL/ADAPTER" in heartbeats.
 std::uint32_t adapterHash(std::string_view adapterKey);
 
-/// Applies a new heartbeat. Servers keep recently evicted adapters in host memory, but heartbeats list only
-/// resident ones, so an entry infers the remembered adapters from earlier heartbeats, up to a maximum number.
+/// Applies a new heartbeat. Servers keep recently evicted adapters cached in host memory, but heartbeats list
+/// only resident ones, so an entry infers the cached adapters from earlier heartbeats, up to a maximum
+/// number.
 void applyHeartbeat(
     observed_server &observed, const server_beat &heartbeat, const std::string &owner, millis now);
 
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -21,7 +21,7 @@
 mechanisms() {
     cat <<'TABLE'
 none            | choose_server.h | ^$ | 
-remembered      | choose_server.h | rememberedPenaltyMs = 500; | rememberedPenaltyMs = 1'400;
+remembered      | choose_server.h | cachedPenaltyMs = 500; | cachedPenaltyMs = 1'400;
 apart           | choose_server.h | longResponsePenaltyMs = 120; | longResponsePenaltyMs = 0;
 hash-rank       | choose_server.h | hashRankPenaltyMs = 150; | hashRankPenaltyMs = 0;
 copies-dear     | choose_server.h | absentPenaltyMs = 900; | absentPenaltyMs = 350;
--- a/tests/serving/decisions_test.cpp
+++ b/tests/serving/decisions_test.cpp
@@ -299,7 +299,7 @@
 
 // The adapter was evicted recently. Loading it elsewhere, from the weight store, would take ten times as long
 // and slow down other loads.
-TEST(ChooseServer, ServerThatRemembersTheAdapterIsPreferredUnlessItsQueueIsLong)
+TEST(ChooseServer, ServerWithTheAdapterCachedIsPreferredUnlessItsQueueIsLong)
 {
     observed_server observed;
     server_beat heartbeat;
@@ -310,22 +310,22 @@
     applyHeartbeat(observed, heartbeat, "n1", start);
     heartbeat.adapters = {{adapterHash("m/a3"), false}};
     applyHeartbeat(observed, heartbeat, "n1", start);
-    const model_candidate remembering = candidateOf(observed, "m/a1", true, observed.receivedAt);
-    EXPECT_EQ(remembering.adapter, adapter_residency::Remembered);
+    const model_candidate withCopy = candidateOf(observed, "m/a1", true, observed.receivedAt);
+    EXPECT_EQ(withCopy.adapter, adapter_residency::Cached);
     EXPECT_EQ(candidateOf(observed, "m/a2", true, observed.receivedAt).adapter, adapter_residency::Absent)
         << "never seen resident";
-    model_candidate fetching;
-    fetching.availableSlots = 1;
-    EXPECT_EQ(chooseModelServer({fetching, remembering}, shortResponse), 1U);
-    model_candidate busy = remembering;
+    model_candidate withoutCopy;
+    withoutCopy.availableSlots = 1;
+    EXPECT_EQ(chooseModelServer({withoutCopy, withCopy}, shortResponse), 1U);
+    model_candidate busy = withCopy;
     busy.backlogMs = 1'000;
-    EXPECT_EQ(chooseModelServer({fetching, busy}, shortResponse), 0U);
+    EXPECT_EQ(chooseModelServer({withoutCopy, busy}, shortResponse), 0U);
     for (int i = 0; i < 100; ++i) {
         heartbeat.adapters = {{adapterHash("m/b" + std::to_string(i)), false}};
         applyHeartbeat(observed, heartbeat, "n1", start);
     }
     EXPECT_EQ(candidateOf(observed, "m/a1", true, observed.receivedAt).adapter, adapter_residency::Absent)
-        << "no longer remembered";
+        << "no longer cached";
     EXPECT_LE(observed.recentAdapters.size(), rememberedAdapters);
 }
 
@@ -374,7 +374,7 @@
     model_candidate leaving;
     leaving.excluded = true;
     model_candidate empty;
-    empty.modelResident = false;
+    empty.modelLoaded = false;
     EXPECT_FALSE(chooseModelServer({leaving, empty}, shortResponse));
     plain_candidate out;
     out.excluded = true;
--- a/tests/serving/heartbeat_groups_test.cpp
+++ b/tests/serving/heartbeat_groups_test.cpp
@@ -142,7 +142,7 @@
     const double larger = bytesOf(300, 4, 300);
     const double largest = bytesOf(1'200, 8, 4'100);
     std::printf(
-        "bytes a server and round: 80 daemons %.0f, 300 %.0f, 1,200 %.0f\n", current, larger, largest);
+        "bytes per server and round: 80 daemons %.0f, 300 %.0f, 1,200 %.0f\n", current, larger, largest);
     EXPECT_LT(larger, 1.2 * current);
     EXPECT_LT(largest, 1.2 * current);
 }
@@ -155,8 +155,7 @@
     const double current = added(80, 4, 94);
     const double larger = added(200, 4, 680);
     const double largest = added(1'200, 8, 4'100);
-    std::printf(
-        "bytes that a limit adds to a server's beats and round: 80 daemons %.0f, 200 %.0f, 1,200 %.0f\n",
+    std::printf("bytes per server and round that a limit adds: 80 daemons %.0f, 200 %.0f, 1,200 %.0f\n",
         current, larger, largest);
     EXPECT_LT(larger, 1.2 * current);
     EXPECT_LT(largest, 1.2 * current);
