--- a/tests/serving/edge_test.cpp
+++ b/tests/serving/edge_test.cpp
@@ -289,7 +289,7 @@
 TEST_F(edge_test, PromptOfAResumedStreamCountsAsReadOnTheNewServer)
 {
     m_initialAdapters["m-1"] = {"a1"};
-    m_promptTokens = 2'000; // two of them are more than is let in at once
+    m_promptTokens = 2'000; // two of them are more than is admitted at once
     start();
     m_models[0]->currentBehavior = behavior::CutsStream;
     m_models[1]->currentBehavior = behavior::HoldsStream;
