--- a/packages/protocol/fleet_messages.h
+++ b/packages/protocol/fleet_messages.h
@@ -176,7 +176,7 @@
 {
     std::uint32_t name = 0; ///< hash of MODEL/ADAPTER, see adapterHash
     bool loading = false;
-    std::uint32_t uses = 0; ///< of late there, see heatHalfLife
+    std::uint32_t uses = 0; ///< of late there, see useScoreHalfLife
 
     template <class Archive>
     void serialize(Archive &archive)
--- a/packages/serving/choose_server.cpp
+++ b/packages/serving/choose_server.cpp
@@ -73,7 +73,7 @@
     case residence::Coming:
         return cost + comingMs;
     case residence::Remembered:
-        return cost + knownLoadMs + (rememberedMs - knownLoadMs) * prompt.copyShare
+        return cost + initialCachedLoadMs + (rememberedMs - initialCachedLoadMs) * prompt.copyShare
             + (noPlace ? noPlaceMs : 0);
     case residence::Absent:
         break;
--- a/packages/serving/choose_server.h
+++ b/packages/serving/choose_server.h
@@ -108,7 +108,7 @@
 };
 
 /// What one more copy takes from others is for all who will use it. With uses shared evenly among the copies,
-/// up to this many of late (see heatHalfLife) make a copy for one request alone; beyond, each answers for
+/// up to this many of late (see useScoreHalfLife) make a copy for one request alone; beyond, each answers for
 /// less. So a popular adapter is copied before its callers are late: of the five most asked for, a quarter of
 /// the requests was refused with eight copies each, on 78 servers. There and on 60 and 79 servers it earns
 /// one part in a hundred of what is owed on days of high load, on 9 to 12 servers nothing.
--- a/packages/serving/crash_store.cpp
+++ b/packages/serving/crash_store.cpp
@@ -35,10 +35,10 @@
     };
     links.keep = [&store](const std::string &fingerprint, const crash_record &record,
                      std::function<void(bool)> done) {
-        store.keepCrash(fingerprint, record, std::move(done));
+        store.writeCrashRecord(fingerprint, record, std::move(done));
     };
     links.drop = [&store](const std::string &fingerprint) {
-        store.dropCrash(fingerprint);
+        store.removeCrashRecord(fingerprint);
     };
     links.log = [&log](const crash_note &note) {
         log.important("crash." + std::string(nameOf(note.event)))
@@ -50,10 +50,10 @@
     return links;
 }
 
-void followStore(bus &messages, const store_task &store, crash_task &crashes)
+void subscribeToStore(bus &messages, const store_task &store, crash_task &crashes)
 {
     messages.on<view_changed>([&store, &crashes](const view_changed &change) {
-        for (const std::string &server : change.endedServers) {
+        for (const std::string &server : change.crashedServers) {
             crashes.onServerEnded(server);
         }
         for (const std::string &fingerprint : change.crashes) {
--- a/packages/serving/crash_store.h
+++ b/packages/serving/crash_store.h
@@ -15,7 +15,7 @@
 crash_links crashLinks(store_task &store, const std::unique_ptr<fleet_port> &port,
     const node_settings &settings, decision_log &log);
 /// Lets the task follow what the store tells.
-void followStore(bus &messages, const store_task &store, crash_task &crashes);
+void subscribeToStore(bus &messages, const store_task &store, crash_task &crashes);
 
 crash_target targetOf(const backend_server &server);
 /// Whether the server is on the platform's list and hasn't said that it leaves: what ends otherwise ends as
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -7,8 +7,8 @@
 #include "serving/fleet_port.h"
 #include "serving/fleet_send.h"
 #include "serving/front_task.h"
-#include "serving/orderer_task.h"
 #include "serving/quota_store.h"
+#include "serving/server_owner_task.h"
 #include "serving/store_task.h"
 #include "serving/word_task.h"
 #include "transport/backend_call.h"
@@ -115,7 +115,7 @@
     std::unique_ptr<quota_task> m_quota; ///< its links to itself go by this pointer
     word_task m_words;
     front_task m_front;
-    orderer_task m_orderer;
+    server_owner_task m_orderer;
     std::unique_ptr<fleet_port> m_port;
     std::unique_ptr<front_server> m_peers; ///< other daemons that fetch the store's news
     std::unique_ptr<front_server> m_callers;
@@ -149,8 +149,8 @@
     }
     m_front.setPort(*m_port);
     m_words.setPort(*m_port);
-    followStore(m_bus, m_store, m_crashes);
-    followStore(m_bus, m_store, *m_quota);
+    subscribeToStore(m_bus, m_store, m_crashes);
+    subscribeToStore(m_bus, m_store, *m_quota);
     m_peers = front_server::listen(
         m_loop, m_settings.peers.ip, m_settings.peers.port,
         [this](const front_request &request, const std::shared_ptr<front_reply> &reply) {
@@ -160,9 +160,9 @@
     if (!m_peers) {
         return false;
     }
-    m_store.setFleet({[this](const std::vector<std::string> &nodes, const store_news &news) {
-                          sendNews(nodes, news);
-                      },
+    m_store.setPeerCalls({[this](const std::vector<std::string> &nodes, const store_news &news) {
+                              sendNews(nodes, news);
+                          },
         [this](const std::string &node, std::int64_t after,
             std::function<void(std::optional<store_news>)> done) {
             fetchNews(node, after, std::move(done));
@@ -248,12 +248,12 @@
             } else if constexpr (std::is_same_v<body_type, packed_news>) {
                 error why;
                 if (const auto news = decodeNews(body.bytes, why)) {
-                    m_store.onNews(datagram.from, *news);
+                    m_store.onStoreUpdate(datagram.from, *news);
                 } else {
                     m_log.important("news.unreadable").add("peer", datagram.from).add("why", message(why));
                 }
             } else if constexpr (std::is_same_v<body_type, store_news>) {
-                m_store.onNews(datagram.from, body);
+                m_store.onStoreUpdate(datagram.from, body);
             } else if constexpr (std::is_same_v<body_type, crash_news>) {
                 m_crashes.hear(body);
             } else if constexpr (std::is_same_v<body_type, quota_ask>) {
@@ -267,12 +267,12 @@
                 m_words.hear(datagram.from, body);
             } else if constexpr (std::is_same_v<body_type, fleet_beat>) {
                 m_front.onBeat(datagram.from, body);
-                m_orderer.hear(datagram.from, body);
+                m_orderer.onHeartbeat(datagram.from, body);
                 if (body.relay) {
                     passOn(datagram, body);
                 }
             } else { // what an entry says of its places
-                m_orderer.take(datagram.from, body);
+                m_orderer.handle(datagram.from, body);
             }
         },
         datagram.body);
@@ -287,7 +287,7 @@
 fleet_shape daemon_impl::shape() const
 {
     const store_view &view = m_store.view();
-    return {&view.daemons, view.servers.size(), &view.lapsed};
+    return {&view.daemons, view.servers.size(), &view.expiredDaemons};
 }
 
 /// A beat from another failure domain, for the others here that hear of its servers.
@@ -307,21 +307,21 @@
 void daemon_impl::lookWhetherAlone()
 {
     const bool silent = m_heardPeerAt.count != 0 && bootNow() - m_heardPeerAt >= aloneAfter;
-    const bool alone = silent && m_orderer.expectsBeats();
+    const bool alone = silent && m_orderer.expectsHeartbeats();
     if (alone == m_alone) {
         return;
     }
     m_alone = alone;
     m_log.important(alone ? "peers.lost" : "peers.heard").add("silent_ms", bootNow() - m_heardPeerAt);
-    m_front.setAlone(alone);
-    m_orderer.setAlone(alone);
+    m_front.setIsolated(alone);
+    m_orderer.setIsolated(alone);
     m_callers->setClosing(alone || m_ending);
 }
 
 void daemon_impl::beat()
 {
     lookWhetherAlone();
-    const fleet_beat now = m_orderer.beat();
+    const fleet_beat now = m_orderer.heartbeat();
     m_front.onBeat(m_settings.node, now);
     ++m_beats;
     for (const beat_parcel &parcel : dealBeats(shape(), self(), now, m_beats)) {
@@ -357,7 +357,7 @@
         reply.respond(404, {}, "only the store's news are here\n");
         return;
     }
-    reply.respond(200, {}, encode(m_store.newsAfter(after)));
+    reply.respond(200, {}, encode(m_store.updatesAfter(after)));
 }
 
 void daemon_impl::fetchNews(
@@ -400,7 +400,7 @@
     const std::string text =
         metricsText({&m_front.counters(), &m_crashes.counters(), &m_orderer.counters(), &m_pool.counters(),
             &m_port->counters(), &m_loopLag, m_front.active(), m_callers->connections(), m_log.dropped(),
-            view.config ? view.config->version : 0, m_store.configKnownAt(), &m_quota->counters()});
+            view.config ? view.config->version : 0, m_store.configConfirmedAt(), &m_quota->counters()});
     return m_parts.storeMetrics ? text + m_parts.storeMetrics() : text;
 }
 
@@ -441,7 +441,7 @@
         m_handedOver = true;
         m_orderer.stop();
         m_quota->stop();
-        m_store.leave();
+        m_store.releaseRecords();
     }
     if (since > lastTaking && !m_closed) {
         m_closed = true;
--- a/packages/serving/edge_metrics.cpp
+++ b/packages/serving/edge_metrics.cpp
@@ -50,7 +50,7 @@
     put(out, "place_asks_total", front.asks);
 }
 
-void putOrders(std::ostringstream &out, const orderer_counters &orders)
+void putOrders(std::ostringstream &out, const server_owner_counters &orders)
 {
     put(out, "places_granted_total", orders.granted);
     put(out, "places_refused_total", orders.refused);
@@ -82,8 +82,8 @@
     put(out, "loop_lag", *figures.loopLag);
     put(out, "log_lines_dropped_total", figures.linesDropped);
     put(out, "config_version", figures.configVersion);
-    if (figures.configKnownAt) {
-        put(out, "config_age_ms", (bootNow() - *figures.configKnownAt).count);
+    if (figures.configConfirmedAt) {
+        put(out, "config_age_ms", (bootNow() - *figures.configConfirmedAt).count);
     }
     put(out, "quota_asks_total", figures.quota->asks);
     put(out, "quota_answers_total", figures.quota->answers);
--- a/packages/serving/edge_metrics.h
+++ b/packages/serving/edge_metrics.h
@@ -3,7 +3,7 @@
 #include "coordination/crash_task.h"
 #include "serving/fleet_port.h"
 #include "serving/front_task.h"
-#include "serving/orderer_task.h"
+#include "serving/server_owner_task.h"
 #include "state/latency.h"
 #include "transport/backend_pool.h"
 
@@ -18,7 +18,7 @@
 {
     const front_counters *front = nullptr;
     const crash_counters *crashes = nullptr;
-    const orderer_counters *orders = nullptr;
+    const server_owner_counters *orders = nullptr;
     const pool_counters *pool = nullptr;
     const fleet_counters *fleet = nullptr;
     const latency_histogram *loopLag = nullptr; ///< by how much a timer of the loop fires late
@@ -26,7 +26,7 @@
     std::size_t callerConnections = 0;
     std::uint64_t linesDropped = 0;
     std::uint64_t configVersion = 0; ///< 0: none
-    std::optional<millis> configKnownAt; ///< when it was last known to be the newest
+    std::optional<millis> configConfirmedAt; ///< when it was last known to be the newest
     const quota_counters *quota = nullptr;
 };
 
--- a/packages/serving/front_account.cpp
+++ b/packages/serving/front_account.cpp
@@ -37,7 +37,7 @@
     // Guards against: a key that was withdrawn goes on being served by a daemon that hears of no changes.
     // Holds because such a daemon knows how old its knowledge is. Only where the operator asks for it: else
     // callers would be refused whenever the store is out.
-    const auto known = m_store.configKnownAt();
+    const auto known = m_store.configConfirmedAt();
     const bool stale = !known || bootNow() - *known > m_settings.withdrawnKnown;
     if (m_settings.strictWithdrawal && stale && wantsKeys(*one->config) && !one->way->open) {
         refuse(one, "it is not known here whether the key has been withdrawn", comeBackElsewhere);
--- a/packages/serving/front_closed.cpp
+++ b/packages/serving/front_closed.cpp
@@ -64,9 +64,9 @@
         }
     }
     if (closed && !open) {
-        return spread(std::max(pause.value_or(comeBackAllLeave), shortestComeBack), one.request.id);
+        return spread(std::max(pause.value_or(comeBackAllLeave), minRetryAfter), one.request.id);
     }
-    return first ? std::max(*first, shortestComeBack) : otherwise;
+    return first ? std::max(*first, minRetryAfter) : otherwise;
 }
 
 /// What waits for a place at a server that has become closed goes elsewhere at once.
--- a/packages/serving/front_limit.cpp
+++ b/packages/serving/front_limit.cpp
@@ -39,15 +39,15 @@
 std::string front_task::limitHolder(const backend_server &server) const
 {
     const store_view &view = m_store.view();
-    const auto record = view.orderers.find(server.id);
+    const auto record = view.serverOwners.find(server.id);
     const auto heard = m_heard.find(server.id);
-    if (record != view.orderers.end() && view.daemons.count(record->second.record.node) != 0) {
+    if (record != view.serverOwners.end() && view.daemons.count(record->second.record.node) != 0) {
         const std::string &node = record->second.record.node;
         const bool silent =
             heard != m_heard.end() && heard->second.orderer == node && !isFresh(heard->second, bootNow());
         return silent ? std::string() : node;
     }
-    return proposedHolder(holderChoice(view.daemons), server);
+    return preferredOwner(ownerCandidates(view.daemons), server);
 }
 
 /// Asks whether a plain server's limit has a turn for the request.
--- a/packages/serving/front_route.cpp
+++ b/packages/serving/front_route.cpp
@@ -181,8 +181,8 @@
         return "";
     }
     const store_view &view = m_store.view();
-    const auto found = view.orderers.find(server);
-    const bool lives = found != view.orderers.end() && view.daemons.count(found->second.record.node) != 0;
+    const auto found = view.serverOwners.find(server);
+    const bool lives = found != view.serverOwners.end() && view.daemons.count(found->second.record.node) != 0;
     return lives ? found->second.record.node : "";
 }
 
--- a/packages/serving/front_task.cpp
+++ b/packages/serving/front_task.cpp
@@ -49,7 +49,7 @@
     });
 }
 
-void front_task::setOrderer(orderer_task &orderer)
+void front_task::setOrderer(server_owner_task &orderer)
 {
     m_orderer = &orderer;
 }
@@ -76,7 +76,7 @@
 
 void front_task::followView(const view_changed &change)
 {
-    for (const std::string &id : change.goneServers) {
+    for (const std::string &id : change.removedServers) {
         m_heard.erase(id);
         m_records.erase(id);
         if (const auto again = m_store.view().servers.find(id); again != m_store.view().servers.end()) {
@@ -100,7 +100,7 @@
     m_taking = false;
 }
 
-void front_task::setAlone(bool alone)
+void front_task::setIsolated(bool alone)
 {
     m_alone = alone;
 }
--- a/packages/serving/front_task.h
+++ b/packages/serving/front_task.h
@@ -10,9 +10,9 @@
 #include "serving/fleet_port.h"
 #include "serving/heard_server.h"
 #include "serving/node_settings.h"
-#include "serving/orderer_task.h"
 #include "serving/repeat_budget.h"
 #include "serving/server_limit.h"
+#include "serving/server_owner_task.h"
 #include "serving/store_task.h"
 #include "serving/word_task.h"
 #include "state/latency.h"
@@ -63,14 +63,14 @@
         word_task &words, backend_pool &pool, const request_codec &codec, const node_settings &settings,
         decision_log &log);
 
-    void setOrderer(orderer_task &orderer);
+    void setOrderer(server_owner_task &orderer);
     void setPort(fleet_port &port);
     void setRepeatLimits(const repeat_limits &limits);
 
     /// From now on new requests are refused, since the process ends before they could be answered.
     void stopTaking();
     /// Other daemons can't be asked for places: only servers that this one gives orders to are used.
-    void setAlone(bool alone);
+    void setIsolated(bool alone);
     void onRequest(front_request raw, std::shared_ptr<front_reply> reply);
     void onAnswer(const place_answer &answer);
     void onBeat(const std::string &node, const fleet_beat &beat);
@@ -149,7 +149,7 @@
     const request_codec &m_codec;
     node_settings m_settings;
     decision_log &m_log;
-    orderer_task *m_orderer = nullptr;
+    server_owner_task *m_orderer = nullptr;
     fleet_port *m_port = nullptr;
     front_counters m_counters;
     repeat_budget m_budget;
--- a/packages/serving/front_work.h
+++ b/packages/serving/front_work.h
@@ -90,7 +90,7 @@
 {
     deliverToNode(
         m_loop, *m_port, m_store, m_settings.node, orderer, message, [this](const message_type &own) {
-            m_orderer->take(m_settings.node, own);
+            m_orderer->handle(m_settings.node, own);
         });
 }
 
--- a/packages/serving/heard_server.cpp
+++ b/packages/serving/heard_server.cpp
@@ -36,9 +36,9 @@
             heard.lately.push_back(each.name);
         }
     }
-    if (heard.lately.size() > rememberedAdapters) {
+    if (heard.lately.size() > maxCachedAdapters) {
         heard.lately.erase(
-            heard.lately.begin(), heard.lately.end() - static_cast<std::ptrdiff_t>(rememberedAdapters));
+            heard.lately.begin(), heard.lately.end() - static_cast<std::ptrdiff_t>(maxCachedAdapters));
     }
 }
 
--- a/packages/serving/metadata_store.h
+++ b/packages/serving/metadata_store.h
@@ -23,7 +23,7 @@
 {
     Ok,
     Conflict, ///< a condition did not hold; nothing was done
-    Missing, ///< no such lease
+    LeaseNotFound, ///< no such lease
     HistoryGone, ///< a watch's revision is too old: read anew
     Refused, ///< certain that nothing was done
     Unknown, ///< no answer; a write may have been done, or may be done later
@@ -65,7 +65,7 @@
     virtual void change(
         const store_change &what, std::function<void(store_status, std::int64_t revision)> done) = 0;
     virtual void grantLease(millis ttl, std::function<void(store_status, std::int64_t lease)> done) = 0;
-    virtual void keepLease(std::int64_t lease, std::function<void(store_status)> done) = 0;
+    virtual void renewLease(std::int64_t lease, std::function<void(store_status)> done) = 0;
 };
 
 }
--- a/packages/serving/quota_store.cpp
+++ b/packages/serving/quota_store.cpp
@@ -16,7 +16,7 @@
         return std::nullopt;
     }
     const orderer_record &record = found->second.record;
-    const bool own = store.isOwn(record) && store.isUnderLease(record);
+    const bool own = store.isOwn(record) && store.isUnderCurrentLease(record);
     return home_record{record.node, found->second.revision, own, found->second.settled};
 }
 
@@ -36,7 +36,7 @@
     };
     links.fleet = [&store] {
         std::vector<std::string> nodes = nodesOf(store.view().daemons);
-        const std::vector<std::string> lapsed = nodesOf(store.view().lapsed);
+        const std::vector<std::string> lapsed = nodesOf(store.view().expiredDaemons);
         nodes.insert(nodes.end(), lapsed.begin(), lapsed.end());
         return nodes;
     };
@@ -64,13 +64,13 @@
         store.claimQuotaHome(std::to_string(shard), released);
     };
     links.settle = [&store](std::uint32_t shard) {
-        store.settleQuotaHome(std::to_string(shard));
+        store.confirmPredecessorExpired(std::to_string(shard));
     };
     links.cutFromRecords = [&store] {
-        return store.isCutOffAlone();
+        return store.isStoreUnreachableLocallyOnly();
     };
     links.provenUntil = [&store] {
-        return store.quotaHomesProvenUntil();
+        return store.quotaHomesValidUntil();
     };
     links.limitOf = [&store](std::uint64_t account) {
         const auto &config = store.view().config;
@@ -86,7 +86,7 @@
     return links;
 }
 
-void followStore(bus &messages, const store_task &store, quota_task &quota)
+void subscribeToStore(bus &messages, const store_task &store, quota_task &quota)
 {
     messages.on<view_changed>([&store, &quota](const view_changed &change) {
         if (change.config) {
--- a/packages/serving/quota_store.h
+++ b/packages/serving/quota_store.h
@@ -17,6 +17,6 @@
 quota_links quotaLinks(loop &eventLoop, store_task &store, const std::unique_ptr<fleet_port> &port,
     const node_settings &settings, decision_log &log, const std::unique_ptr<quota_task> &self);
 /// Lets the task follow the store's records, daemons and configuration.
-void followStore(bus &messages, const store_task &store, quota_task &quota);
+void subscribeToStore(bus &messages, const store_task &store, quota_task &quota);
 
 }
--- a/packages/serving/server_ledger.cpp
+++ b/packages/serving/server_ledger.cpp
@@ -9,46 +9,47 @@
 
 bool remembers(const server_ledger &ledger, const std::string &key)
 {
-    return std::find(ledger.remembered.begin(), ledger.remembered.end(), key) != ledger.remembered.end();
+    return std::find(ledger.cachedAdapters.begin(), ledger.cachedAdapters.end(), key)
+        != ledger.cachedAdapters.end();
 }
 
 void remember(server_ledger &ledger, const std::string &key)
 {
-    std::erase(ledger.remembered, key);
-    ledger.remembered.push_back(key);
-    if (ledger.remembered.size() > rememberedAdapters) {
-        ledger.remembered.erase(ledger.remembered.begin());
+    std::erase(ledger.cachedAdapters, key);
+    ledger.cachedAdapters.push_back(key);
+    if (ledger.cachedAdapters.size() > maxCachedAdapters) {
+        ledger.cachedAdapters.erase(ledger.cachedAdapters.begin());
     }
 }
 
-void measureLoad(server_ledger &ledger, const adapter_place &place, millis now)
+void measureLoad(server_ledger &ledger, const adapter_slot &place, millis now)
 {
-    const millis took = now - place.since;
-    if (place.known) {
-        ledger.knownMs += loadTimeWeight * (static_cast<double>(took.count) - ledger.knownMs);
-    } else if (place.ordered) {
-        ledger.loadsSeen.push_back({took, (place.crowd + ledger.crowd) / 2});
+    const millis took = now - place.stateSince;
+    if (place.cached) {
+        ledger.cachedLoadMs += loadTimeWeight * (static_cast<double>(took.count) - ledger.cachedLoadMs);
+    } else if (place.orderedHere) {
+        ledger.measuredLoads.push_back({took, (place.concurrentLoads + ledger.concurrentLoads) / 2});
     }
 }
 
-adapter_place &addPlace(server_ledger &ledger, const server_order &order, millis now)
+adapter_slot &addPlace(server_ledger &ledger, const server_order &order, millis now)
 {
-    adapter_place place;
+    adapter_slot place;
     place.model = order.model;
     place.adapter = order.adapter;
     place.version = order.version;
-    place.since = now;
-    place.heatAt = now;
-    place.known = remembers(ledger, adapterKey(order.model, order.adapter));
-    place.ordered = true;
-    place.crowd = ledger.crowd;
+    place.stateSince = now;
+    place.useScoreAt = now;
+    place.cached = remembers(ledger, adapterKey(order.model, order.adapter));
+    place.orderedHere = true;
+    place.concurrentLoads = ledger.concurrentLoads;
     ledger.adapters.push_back(place);
     return ledger.adapters.back();
 }
 
 void removePlace(server_ledger &ledger, const std::string &model, const std::string &adapter)
 {
-    std::erase_if(ledger.adapters, [&](const adapter_place &place) {
+    std::erase_if(ledger.adapters, [&](const adapter_slot &place) {
         return place.model == model && place.adapter == adapter;
     });
 }
@@ -57,16 +58,16 @@
 {
     double sum = 0;
     for (const model_spec &spec : models) {
-        const bool held = holdsModel(ledger, spec.name) || ledger.modelComing == spec.name;
+        const bool held = holdsModel(ledger, spec.name) || ledger.loadingModel == spec.name;
         sum += held ? spec.weightsMb : 0;
-        for (const adapter_place &place : ledger.adapters) {
+        for (const adapter_slot &place : ledger.adapters) {
             sum += place.model == spec.name ? spec.adapterMb : 0;
         }
     }
     return sum;
 }
 
-const model_spec *specOf(const order_limits &limits, const std::string &model)
+const model_spec *specOf(const order_constraints &limits, const std::string &model)
 {
     for (const model_spec &spec : *limits.models) {
         if (spec.name == model) {
@@ -78,9 +79,9 @@
 
 /// A server that holds no base model serves nothing: the first one that fits goes in.
 std::optional<server_order> modelOrder(
-    const server_ledger &ledger, const std::vector<adapter_want> &wants, const order_limits &limits)
+    const server_ledger &ledger, const std::vector<wanted_adapter> &wants, const order_constraints &limits)
 {
-    if (!ledger.models.empty() || !ledger.modelComing.empty() || !limits.mayLoadModel
+    if (!ledger.models.empty() || !ledger.loadingModel.empty() || !limits.mayLoadModel
         || limits.models->empty()) {
         return std::nullopt;
     }
@@ -95,8 +96,8 @@
 /// Asks whether an adapter on its way is in: the same load again, which then holds already.
 std::optional<server_order> confirmOrder(server_ledger &ledger, millis now)
 {
-    for (adapter_place &place : ledger.adapters) {
-        if (place.state == place_state::Loading && place.askAgain <= now) {
+    for (adapter_slot &place : ledger.adapters) {
+        if (place.state == slot_state::Loading && place.confirmAt <= now) {
             return server_order{
                 order_kind::Load, place.model, place.adapter, place.version, ledger.sequence, "", 0};
         }
@@ -105,11 +106,12 @@
 }
 
 /// A resident adapter of an older version is replaced in place; the server lets its runs end first.
-std::optional<server_order> replaceOrder(const server_ledger &ledger, const order_limits &limits)
+std::optional<server_order> replaceOrder(const server_ledger &ledger, const order_constraints &limits)
 {
-    for (const adapter_place &place : ledger.adapters) {
-        const std::int64_t newest = limits.newest ? limits.newest(place.model, place.adapter) : 0;
-        if (place.state == place_state::Resident && newest > place.version) {
+    for (const adapter_slot &place : ledger.adapters) {
+        const std::int64_t newest =
+            limits.newestVersion ? limits.newestVersion(place.model, place.adapter) : 0;
+        if (place.state == slot_state::Resident && newest > place.version) {
             return server_order{order_kind::Load, place.model, place.adapter, newest, ledger.sequence, "", 0};
         }
     }
@@ -117,38 +119,39 @@
 }
 
 /// The least used of the adapters that nothing uses or waits for.
-const adapter_place *victim(const server_ledger &ledger, const order_limits &limits, millis now)
+const adapter_slot *victim(const server_ledger &ledger, const order_constraints &limits, millis now)
 {
-    const adapter_place *coldest = nullptr;
-    for (const adapter_place &place : ledger.adapters) {
-        const bool idle = place.state == place_state::Resident && place.users == 0
-            && !(limits.waitedFor && limits.waitedFor(place.model, place.adapter));
-        if (idle && (coldest == nullptr || usesNow(place, now) < usesNow(*coldest, now))) {
+    const adapter_slot *coldest = nullptr;
+    for (const adapter_slot &place : ledger.adapters) {
+        const bool idle = place.state == slot_state::Resident && place.users == 0
+            && !(limits.isWaitedFor && limits.isWaitedFor(place.model, place.adapter));
+        if (idle && (coldest == nullptr || currentUseScore(place, now) < currentUseScore(*coldest, now))) {
             coldest = &place;
         }
     }
     return coldest;
 }
 
-std::optional<server_order> wantedOrder(
-    server_ledger &ledger, const std::vector<adapter_want> &wants, const order_limits &limits, millis now)
+std::optional<server_order> wantedOrder(server_ledger &ledger, const std::vector<wanted_adapter> &wants,
+    const order_constraints &limits, millis now)
 {
-    for (const adapter_want &want : wants) {
+    for (const wanted_adapter &want : wants) {
         const model_spec *spec = specOf(limits, want.model);
         if (spec == nullptr || !holdsModel(ledger, want.model)
-            || findPlace(ledger, want.model, want.adapter) != nullptr) {
+            || findSlot(ledger, want.model, want.adapter) != nullptr) {
             continue;
         }
-        const bool fits = takenPlaces(ledger) < ledger.places
+        const bool fits = occupiedSlots(ledger) < ledger.slots
             && usedMb(ledger, *limits.models) + spec->adapterMb <= ledger.weightsMb;
-        if (fits && loadsUnderWay(ledger) >= loadsPerServer) {
+        if (fits && loadsInProgress(ledger) >= maxLoadsPerServer) {
             return std::nullopt;
         }
         if (fits) {
-            const std::int64_t newest = limits.newest ? limits.newest(want.model, want.adapter) : 0;
+            const std::int64_t newest =
+                limits.newestVersion ? limits.newestVersion(want.model, want.adapter) : 0;
             return server_order{order_kind::Load, want.model, want.adapter, newest, ledger.sequence, "", 0};
         }
-        const adapter_place *out = victim(ledger, limits, now);
+        const adapter_slot *out = victim(ledger, limits, now);
         if (out == nullptr) {
             return std::nullopt;
         }
@@ -160,64 +163,65 @@
 /// Whether the order asks for an adapter that is on its way.
 bool repeatsLoad(const server_ledger &ledger, const server_order &order)
 {
-    const adapter_place *place = findPlace(ledger, order.model, order.adapter);
-    return order.kind == order_kind::Load && place != nullptr && place->state == place_state::Loading;
+    const adapter_slot *place = findSlot(ledger, order.model, order.adapter);
+    return order.kind == order_kind::Load && place != nullptr && place->state == slot_state::Loading;
 }
 
 void onLoadAnswer(server_ledger &ledger, const server_order &order, order_answer answer, millis now)
 {
     if (order.adapter.empty()) {
         if (answer == order_answer::Accepted) {
-            ledger.modelComing = order.model;
+            ledger.loadingModel = order.model;
             ledger.notBefore = now + conflictPause;
         } else if (!holdsModel(ledger, order.model)) {
             ledger.models.push_back(order.model);
         }
         return;
     }
-    adapter_place *place = findPlace(ledger, order.model, order.adapter);
+    adapter_slot *place = findSlot(ledger, order.model, order.adapter);
     if (place == nullptr) {
         place = &addPlace(ledger, order, now);
     }
     place->version = order.version != 0 ? order.version : place->version;
     if (answer == order_answer::Holds) {
-        if (place->state == place_state::Loading && place->askAgain.count != 0) {
+        if (place->state == slot_state::Loading && place->confirmAt.count != 0) {
             measureLoad(ledger, *place, now);
         }
-        place->state = place_state::Resident;
+        place->state = slot_state::Resident;
         remember(ledger, adapterKey(order.model, order.adapter));
         return;
     }
-    if (place->state != place_state::Loading || place->askAgain.count == 0) {
-        place->state = place_state::Loading;
-        place->since = now;
-        const double quickest = place->known ? knownLoadMs : firstLoadMs;
-        place->askAgain = now + millis{std::llround(quickest * askAfterShare)};
+    if (place->state != slot_state::Loading || place->confirmAt.count == 0) {
+        place->state = slot_state::Loading;
+        place->stateSince = now;
+        const double quickest = place->cached ? initialCachedLoadMs : firstLoadMs;
+        place->confirmAt = now + millis{std::llround(quickest * confirmAfterFraction)};
     } else {
-        const auto elapsed = static_cast<double>((now - place->since).count);
-        place->askAgain = now + std::max(askAgainEvery, millis{std::llround(elapsed * askPauseShare)});
+        const auto elapsed = static_cast<double>((now - place->stateSince).count);
+        place->confirmAt =
+            now + std::max(minConfirmPause, millis{std::llround(elapsed * confirmPauseFraction)});
     }
 }
 
 }
 
-std::string_view nameOf(place_state value)
+std::string_view nameOf(slot_state value)
 {
     switch (value) {
-    case place_state::Loading:
+    case slot_state::Loading:
         return "loading";
-    case place_state::Resident:
+    case slot_state::Resident:
         return "resident";
-    case place_state::Unloading:
+    case slot_state::Unloading:
         return "unloading";
     }
     return "unknown";
 }
 
-const adapter_place *findPlace(
+const adapter_slot *findSlot(
     const server_ledger &ledger, const std::string &model, const std::string &adapter)
 {
-    for (const adapter_place &place : ledger.adapters) {
+    for (const adapter_slot &place : ledger.adapters) {
         if (place.model == model && place.adapter == adapter) {
             return &place;
         }
@@ -232,16 +236,16 @@
     return names[static_cast<std::size_t>(value)];
 }
 
-double usesNow(const adapter_place &place, millis now)
+double currentUseScore(const adapter_slot &place, millis now)
 {
     const double halves =
-        static_cast<double>((now - place.heatAt).count) / static_cast<double>(heatHalfLife.count);
-    return place.heat * std::exp2(-std::max(halves, 0.0));
+        static_cast<double>((now - place.useScoreAt).count) / static_cast<double>(useScoreHalfLife.count);
+    return place.useScore * std::exp2(-std::max(halves, 0.0));
 }
 
-adapter_place *findPlace(server_ledger &ledger, const std::string &model, const std::string &adapter)
+adapter_slot *findSlot(server_ledger &ledger, const std::string &model, const std::string &adapter)
 {
-    return const_cast<adapter_place *>(findPlace(static_cast<const server_ledger &>(ledger), model, adapter));
+    return const_cast<adapter_slot *>(findSlot(static_cast<const server_ledger &>(ledger), model, adapter));
 }
 
 bool holdsModel(const server_ledger &ledger, const std::string &model)
@@ -249,78 +253,78 @@
     return std::find(ledger.models.begin(), ledger.models.end(), model) != ledger.models.end();
 }
 
-int takenPlaces(const server_ledger &ledger)
+int occupiedSlots(const server_ledger &ledger)
 {
     int taken = static_cast<int>(ledger.adapters.size());
-    for (const auto *pending : {&ledger.open, &ledger.ghost}) {
+    for (const auto *pending : {&ledger.openOrder, &ledger.unansweredLoad}) {
         const bool load = *pending && (*pending)->kind == order_kind::Load && !(*pending)->adapter.empty();
-        if (load && findPlace(ledger, (*pending)->model, (*pending)->adapter) == nullptr) {
+        if (load && findSlot(ledger, (*pending)->model, (*pending)->adapter) == nullptr) {
             ++taken;
         }
     }
     return taken;
 }
 
-int openPlaces(const server_ledger &ledger)
+int availableSlots(const server_ledger &ledger)
 {
-    int count = ledger.places - takenPlaces(ledger);
-    for (const adapter_place &place : ledger.adapters) {
-        count += place.state == place_state::Resident && place.users == 0 ? 1 : 0;
+    int count = ledger.slots - occupiedSlots(ledger);
+    for (const adapter_slot &place : ledger.adapters) {
+        count += place.state == slot_state::Resident && place.users == 0 ? 1 : 0;
     }
     return std::max(count, 0);
 }
 
-int loadsUnderWay(const server_ledger &ledger)
+int loadsInProgress(const server_ledger &ledger)
 {
     return static_cast<int>(
-        std::count_if(ledger.adapters.begin(), ledger.adapters.end(), [](const adapter_place &place) {
-            return place.state == place_state::Loading;
+        std::count_if(ledger.adapters.begin(), ledger.adapters.end(), [](const adapter_slot &place) {
+            return place.state == slot_state::Loading;
         }));
 }
 
 millis adapterWait(
     const server_ledger &ledger, const std::string &model, const std::string &adapter, millis now)
 {
-    const adapter_place *place = findPlace(ledger, model, adapter);
-    if (adapter.empty() || (place != nullptr && place->state == place_state::Resident)) {
+    const adapter_slot *place = findSlot(ledger, model, adapter);
+    if (adapter.empty() || (place != nullptr && place->state == slot_state::Resident)) {
         return {};
     }
-    const bool known = place != nullptr ? place->known : remembers(ledger, adapterKey(model, adapter));
-    const millis whole{std::llround(known ? ledger.knownMs : ledger.storeMs)};
-    const bool coming = place != nullptr && place->state == place_state::Loading;
-    return coming ? std::max(whole - (now - place->since), millis{}) : whole;
+    const bool known = place != nullptr ? place->cached : remembers(ledger, adapterKey(model, adapter));
+    const millis whole{std::llround(known ? ledger.cachedLoadMs : ledger.storeLoadMs)};
+    const bool coming = place != nullptr && place->state == slot_state::Loading;
+    return coming ? std::max(whole - (now - place->stateSince), millis{}) : whole;
 }
 
-void takeReport(server_ledger &ledger, const server_report &report, millis now)
+void applyReport(server_ledger &ledger, const server_report &report, millis now)
 {
-    if (report.sequence < ledger.sequence && now - ledger.acceptedAt < reportLagMost) {
+    if (report.sequence < ledger.sequence && now - ledger.acceptedAt < maxReportLag) {
         ledger.notBefore = now + conflictPause;
         return;
     }
     ledger.sequence = report.sequence;
-    ledger.proved = true;
-    if (ledger.ghost && ledger.ghost->expected < report.sequence) {
-        ledger.ghost.reset();
+    ledger.confirmed = true;
+    if (ledger.unansweredLoad && ledger.unansweredLoad->expected < report.sequence) {
+        ledger.unansweredLoad.reset();
     }
-    std::vector<adapter_place> places;
+    std::vector<adapter_slot> places;
     const auto carryOver = [&](const std::string &model, const std::string &adapter, std::int64_t version,
-                               place_state state) {
-        const bool twice = std::any_of(places.begin(), places.end(), [&](const adapter_place &place) {
+                               slot_state state) {
+        const bool twice = std::any_of(places.begin(), places.end(), [&](const adapter_slot &place) {
             return place.model == model && place.adapter == adapter;
         });
         if (twice) {
             return;
         }
-        adapter_place place;
-        if (const adapter_place *old = findPlace(ledger, model, adapter)) {
+        adapter_slot place;
+        if (const adapter_slot *old = findSlot(ledger, model, adapter)) {
             place = *old;
         }
         place.model = model;
         place.adapter = adapter;
         place.version = version != 0 ? version : place.version;
         place.state = state;
-        place.since = now;
-        place.askAgain = state == place_state::Loading ? now + askAgainEvery : millis{};
+        place.stateSince = now;
+        place.confirmAt = state == slot_state::Loading ? now + minConfirmPause : millis{};
         places.push_back(place);
         remember(ledger, adapterKey(model, adapter));
     };
@@ -328,7 +332,7 @@
     for (const held_model &model : report.models) {
         ledger.models.push_back(model.name);
         for (const held_adapter &adapter : model.adapters) {
-            carryOver(model.name, adapter.name, adapter.version, place_state::Resident);
+            carryOver(model.name, adapter.name, adapter.version, slot_state::Resident);
         }
     }
     for (const std::string &coming : report.coming) {
@@ -336,37 +340,38 @@
         const std::string rest = slash == std::string::npos ? "" : coming.substr(slash + 1);
         const std::string name = rest.substr(0, rest.find('@'));
         if (!name.empty()) {
-            carryOver(coming.substr(0, slash), name, 0, place_state::Loading);
+            carryOver(coming.substr(0, slash), name, 0, slot_state::Loading);
         }
     }
     ledger.adapters = std::move(places);
-    if (!report.busy || holdsModel(ledger, ledger.modelComing)) {
-        ledger.modelComing.clear();
+    if (!report.busy || holdsModel(ledger, ledger.loadingModel)) {
+        ledger.loadingModel.clear();
     }
 }
 
-void startAgain(server_ledger &ledger, millis now)
+void resetAfterRestart(server_ledger &ledger, millis now)
 {
     server_ledger fresh;
     fresh.server = ledger.server;
-    fresh.places = ledger.places;
+    fresh.slots = ledger.slots;
     fresh.weightsMb = ledger.weightsMb;
-    const auto &unanswered = ledger.open ? ledger.open : ledger.ghost;
+    const auto &unanswered = ledger.openOrder ? ledger.openOrder : ledger.unansweredLoad;
     if (unanswered && unanswered->kind == order_kind::Load) {
-        fresh.ghost = unanswered;
-        fresh.ghostUntil =
-            ledger.ghostUntil.count != 0 && !ledger.open ? ledger.ghostUntil : now + lateOrderLife;
+        fresh.unansweredLoad = unanswered;
+        fresh.unansweredUntil = ledger.unansweredUntil.count != 0 && !ledger.openOrder
+            ? ledger.unansweredUntil
+            : now + maxOrderDelay;
     }
     ledger = std::move(fresh);
 }
 
-std::optional<server_order> nextOrder(
-    server_ledger &ledger, const std::vector<adapter_want> &wants, const order_limits &limits, millis now)
+std::optional<server_order> nextOrder(server_ledger &ledger, const std::vector<wanted_adapter> &wants,
+    const order_constraints &limits, millis now)
 {
-    if (ledger.ghost && ledger.ghostUntil.count != 0 && now >= ledger.ghostUntil) {
-        ledger.ghost.reset();
+    if (ledger.unansweredLoad && ledger.unansweredUntil.count != 0 && now >= ledger.unansweredUntil) {
+        ledger.unansweredLoad.reset();
     }
-    if (!ledger.proved || ledger.open || now < ledger.notBefore || now < ledger.ordersFrom) {
+    if (!ledger.confirmed || ledger.openOrder || now < ledger.notBefore || now < ledger.ordersPausedUntil) {
         return std::nullopt;
     }
     auto order = modelOrder(ledger, wants, limits);
@@ -380,17 +385,17 @@
         order = wantedOrder(ledger, wants, limits, now);
     }
     if (order) {
-        ledger.open = order;
+        ledger.openOrder = order;
         if (order->kind == order_kind::Unload) {
-            findPlace(ledger, order->model, order->adapter)->state = place_state::Unloading;
+            findSlot(ledger, order->model, order->adapter)->state = slot_state::Unloading;
         }
     }
     return order;
 }
 
-void takeAnswer(server_ledger &ledger, const server_order &order, order_answer answer, millis now)
+void onOrderResponse(server_ledger &ledger, const server_order &order, order_answer answer, millis now)
 {
-    ledger.open.reset();
+    ledger.openOrder.reset();
     switch (answer) {
     case order_answer::Accepted:
     case order_answer::Holds:
@@ -400,8 +405,8 @@
             && (answer == order_answer::Accepted || order.kind == order_kind::Unload)) {
             ledger.sequence = order.expected + 1;
             ledger.acceptedAt = now;
-            if (ledger.ghost && ledger.ghost->expected < ledger.sequence) {
-                ledger.ghost.reset();
+            if (ledger.unansweredLoad && ledger.unansweredLoad->expected < ledger.sequence) {
+                ledger.unansweredLoad.reset();
             }
         }
         if (order.kind == order_kind::Load) {
@@ -409,24 +414,24 @@
         } else if (answer == order_answer::Holds) {
             removePlace(ledger, order.model, order.adapter);
         } else {
-            ledger.proved = false; // it waits for its runs; a report tells when it is out
+            ledger.confirmed = false; // it waits for its runs; a report tells when it is out
             ledger.notBefore = now + conflictPause;
         }
         return;
     case order_answer::Unknown:
         if (order.kind == order_kind::Load) {
-            ledger.ghost = order;
-            ledger.ghostUntil = {};
+            ledger.unansweredLoad = order;
+            ledger.unansweredUntil = {};
         }
-        ledger.proved = false;
+        ledger.confirmed = false;
         return;
     default:
         if (order.kind == order_kind::Unload) {
-            if (adapter_place *place = findPlace(ledger, order.model, order.adapter)) {
-                place->state = place_state::Resident;
+            if (adapter_slot *place = findSlot(ledger, order.model, order.adapter)) {
+                place->state = slot_state::Resident;
             }
         }
-        ledger.proved = false;
+        ledger.confirmed = false;
         ledger.notBefore = now + conflictPause;
         return;
     }
@@ -434,27 +439,27 @@
 
 void beginUse(server_ledger &ledger, const std::string &model, const std::string &adapter, millis now)
 {
-    if (adapter_place *place = findPlace(ledger, model, adapter)) {
+    if (adapter_slot *place = findSlot(ledger, model, adapter)) {
         ++place->users;
-        place->heat = usesNow(*place, now) + 1;
-        place->heatAt = now;
+        place->useScore = currentUseScore(*place, now) + 1;
+        place->useScoreAt = now;
     }
 }
 
 void endUse(server_ledger &ledger, const std::string &model, const std::string &adapter)
 {
-    adapter_place *place = findPlace(ledger, model, adapter);
+    adapter_slot *place = findSlot(ledger, model, adapter);
     if (place != nullptr && place->users > 0) {
         --place->users;
     }
 }
 
-void notHeld(server_ledger &ledger, const std::string &model, const std::string &adapter, millis now)
+void onNotHeld(server_ledger &ledger, const std::string &model, const std::string &adapter, millis now)
 {
-    adapter_place *place = findPlace(ledger, model, adapter);
-    if (place != nullptr && place->state == place_state::Resident) {
+    adapter_slot *place = findSlot(ledger, model, adapter);
+    if (place != nullptr && place->state == slot_state::Resident) {
         // It may be on its way out or replaced behind our back: only a report tells.
-        ledger.proved = false;
+        ledger.confirmed = false;
         ledger.notBefore = now + conflictPause;
     }
 }
--- a/packages/serving/orderer_hold.cpp
+++ b/packages/serving/server_owner_claims.cpp
@@ -1,7 +1,7 @@
 #include "coordination/quota_plan.h"
 #include "coordination/rendezvous.h"
 #include "serving/beat_cells.h"
-#include "serving/orderer_task.h"
+#include "serving/server_owner_task.h"
 
 #include <algorithm>
 #include <limits>
@@ -28,24 +28,24 @@
 
 }
 
-holder_choice holderChoice(const daemon_map &daemons)
+owner_candidates ownerCandidates(const daemon_map &daemons)
 {
-    holder_choice choice{nodesOf(daemons), {}};
+    owner_candidates choice{nodesOf(daemons), {}};
     for (const auto &[node, record] : daemons) {
         choice.byDomain[record.failureDomain].push_back(node);
     }
     return choice;
 }
 
-std::string proposedHolder(const holder_choice &choice, const backend_server &server)
+std::string preferredOwner(const owner_candidates &choice, const backend_server &server)
 {
     const auto near = choice.byDomain.find(server.failureDomain);
     return rendezvousFirst(server.id, near == choice.byDomain.end() ? choice.all : near->second);
 }
 
-void orderer_task::followView(const view_changed &change)
+void server_owner_task::followView(const view_changed &change)
 {
-    for (const std::string &id : change.goneServers) {
+    for (const std::string &id : change.removedServers) {
         if (const backend_server *server = serverOf(id); server != nullptr) {
             startAgain(id, server->born);
             continue;
@@ -55,7 +55,7 @@
     }
     noteHolders();
     const store_view &view = m_store.view();
-    for (const auto &[id, entry] : view.orderers) {
+    for (const auto &[id, entry] : view.serverOwners) {
         const bool mine = m_store.isOwn(entry.record);
         const auto held = m_servers.find(id);
         const auto fence = static_cast<std::uint64_t>(entry.revision);
@@ -74,11 +74,11 @@
 }
 
 /// Who holds which record, and which records went without being given up.
-void orderer_task::noteHolders()
+void server_owner_task::noteHolders()
 {
     const store_view &view = m_store.view();
     std::erase_if(m_holders, [&](const auto &each) {
-        if (view.orderers.count(each.first) != 0) {
+        if (view.serverOwners.count(each.first) != 0) {
             return false;
         }
         const auto heard = m_heardRights.find(each.second);
@@ -86,7 +86,7 @@
         m_vacated[each.first] = {bootNow(), known ? std::optional(heard->second) : std::nullopt};
         return true;
     });
-    for (const auto &[id, entry] : view.orderers) {
+    for (const auto &[id, entry] : view.serverOwners) {
         if (entry.record.node.empty() || entry.record.node == m_settings.node) {
             m_holders.erase(id);
         } else {
@@ -96,10 +96,10 @@
     }
 }
 
-void orderer_task::hear(const std::string &node, const fleet_beat &beat)
+void server_owner_task::onHeartbeat(const std::string &node, const fleet_beat &beat)
 {
     const millis now = bootNow();
-    const heard_right right{now, now + millis{beat.orderingMs}};
+    const reported_ownership right{now, now + millis{beat.orderingMs}};
     m_heardRights[node] = right;
     if (node != m_settings.node) {
         noteHeard(m_pace, static_cast<double>(beat.loadsAtOnce));
@@ -126,7 +126,7 @@
 }
 
 /// Whether somebody has to keep the server's record: of a plain one only while it names a limit.
-bool orderer_task::isKept(const backend_server &server) const
+bool server_owner_task::isKept(const backend_server &server) const
 {
     return engineOfServer(server) != nullptr || m_limits.count(server.id) != 0
         || m_servers.count(server.id) != 0;
@@ -134,41 +134,44 @@
 
 /// A server without a daemon that gives its orders is claimed by the one that rendezvous hashing proposes,
 /// out of those in its failure domain where there are any.
-void orderer_task::claimOrphans()
+void server_owner_task::claimOrphans()
 {
     const store_view &view = m_store.view();
     if (m_stopped || !view.config || view.daemons.count(m_settings.node) == 0) {
         return;
     }
     // Once for all servers: after a start each of them is an orphan, and a fleet may have thousands.
-    const holder_choice choice = holderChoice(view.daemons);
+    const owner_candidates choice = ownerCandidates(view.daemons);
     const bool settled = bootNow() - view.registeredAt >= settleTime;
     for (const auto &[id, server] : view.servers) {
-        const auto entry = view.orderers.find(id);
+        const auto entry = view.serverOwners.find(id);
         // Its own record of before a restart, or under a lease that ran out; or one that went with the lease
         // while nobody else took the server.
-        const bool formerSelf = entry == view.orderers.end() ? m_servers.count(id) != 0
-                                                             : entry->second.record.node == m_settings.node
-                && !(m_store.isOwn(entry->second.record) && m_store.isUnderLease(entry->second.record));
-        const bool orphan = entry == view.orderers.end() || entry->second.record.node.empty() || formerSelf;
+        const bool formerSelf = entry == view.serverOwners.end()
+            ? m_servers.count(id) != 0
+            : entry->second.record.node == m_settings.node
+                && !(
+                    m_store.isOwn(entry->second.record) && m_store.isUnderCurrentLease(entry->second.record));
+        const bool orphan =
+            entry == view.serverOwners.end() || entry->second.record.node.empty() || formerSelf;
         if (!orphan || m_words.accessOf(server) == server_access::Leaving || !isKept(server)) {
             continue;
         }
-        if (formerSelf && entry != view.orderers.end()) {
+        if (formerSelf && entry != view.serverOwners.end()) {
             m_ownBefore.insert(id);
         }
-        if (formerSelf || (settled && proposedHolder(choice, server) == m_settings.node)) {
-            m_store.claim(id);
+        if (formerSelf || (settled && preferredOwner(choice, server) == m_settings.node)) {
+            m_store.claimServer(id);
         }
     }
 }
 
-bool orderer_task::expectsBeats() const
+bool server_owner_task::expectsHeartbeats() const
 {
     const store_view &view = m_store.view();
     const std::size_t cells = cellsIn({&view.daemons, view.servers.size()}, m_settings.failureDomain);
     const std::size_t own = cellOf(m_settings.node, cells);
-    return std::any_of(view.orderers.begin(), view.orderers.end(), [&](const auto &each) {
+    return std::any_of(view.serverOwners.begin(), view.serverOwners.end(), [&](const auto &each) {
         const std::string &holder = each.second.record.node;
         return holder != m_settings.node && view.daemons.count(holder) != 0
             && view.servers.count(each.first) != 0 && cellOf(each.first, cells) == own;
@@ -180,13 +183,13 @@
 /// servers that nobody loads. Holds because another daemon takes the record with a higher fencing token,
 /// which the server goes by: what the former holder still orders is refused. Servers that check no tokens are
 /// left to their holder until its records are gone.
-void orderer_task::replaceSilent()
+void server_owner_task::replaceSilent()
 {
     const store_view &view = m_store.view();
     const millis now = bootNow();
     std::erase_if(m_heardHolders, [&](const auto &each) {
-        const auto entry = view.orderers.find(each.first);
-        return entry == view.orderers.end() || entry->second.record.node != each.second.node;
+        const auto entry = view.serverOwners.find(each.first);
+        return entry == view.serverOwners.end() || entry->second.record.node != each.second.node;
     });
     if (m_stopped || !m_settings.serversCheckTokens || !hearsMost(m_heardHolders, now)) {
         return;
@@ -212,12 +215,12 @@
                 .add("holder", holder.node)
                 .add("silent_ms", now - holder.at);
             m_replaced.insert(id);
-            m_store.claim(id, true);
+            m_store.claimServer(id, true);
         }
     }
 }
 
-void orderer_task::begin(const std::string &id, const orderer_entry &entry)
+void server_owner_task::begin(const std::string &id, const ownership_entry &entry)
 {
     const backend_server *server = serverOf(id);
     if (server == nullptr || m_stopped || !isKept(*server)) {
@@ -228,9 +231,9 @@
         server_ledger &ledger = held->second.desk.ledger;
         held->second.fence = fence;
         held->second.fenced = false;
-        ledger.proved = false;
-        if (ledger.open) { // its answer is about the token before
-            takeAnswer(ledger, server_order(*ledger.open), order_answer::Unknown, bootNow());
+        ledger.confirmed = false;
+        if (ledger.openOrder) { // its answer is about the token before
+            onOrderResponse(ledger, server_order(*ledger.openOrder), order_answer::Unknown, bootNow());
         }
         return;
     }
@@ -247,18 +250,18 @@
     pump(id);
 }
 
-void orderer_task::openDesk(place_desk &desk, const backend_server &server) const
+void server_owner_task::openDesk(slot_scheduler &desk, const backend_server &server) const
 {
     const engine_spec *engine = engineOfServer(server);
     desk.ledger.server = server.id;
     desk.plain = engine == nullptr;
     if (desk.plain) {
-        desk.queue.slots = std::numeric_limits<int>::max();
+        desk.queue.maxRunning = std::numeric_limits<int>::max();
         return;
     }
-    desk.ledger.places = engine->adapterPlaces;
+    desk.ledger.slots = engine->adapterPlaces;
     desk.ledger.weightsMb = engine->weightsMb;
-    desk.queue.slots = std::min(server.slots, engine->slots);
+    desk.queue.maxRunning = std::min(server.slots, engine->slots);
     desk.queue.memoryTokens = engine->memoryTokens;
 }
 
@@ -266,7 +269,7 @@
 /// requests for adapters that are not there, and as orders that the server refuses for their number. Reports,
 /// answers and entries name the start they are about; what is known ends with it, and what an earlier one
 /// said is passed over.
-void orderer_task::startAgain(const std::string &id, std::int64_t born)
+void server_owner_task::startAgain(const std::string &id, std::int64_t born)
 {
     const auto found = m_servers.find(id);
     const backend_server *server = serverOf(id);
@@ -277,7 +280,7 @@
     server_state &one = found->second;
     answerAll(refuseWaiting(one.desk, refusal::ServerLeaving));
     server_ledger ledger = std::move(one.desk.ledger);
-    briarhead::startAgain(ledger, bootNow());
+    briarhead::resetAfterRestart(ledger, bootNow());
     one.desk = {};
     one.desk.ledger = std::move(ledger);
     openDesk(one.desk, *server);
@@ -286,7 +289,7 @@
 }
 
 /// From when this daemon may order a server that it begins to hold.
-millis orderer_task::firstOrder(const std::string &id)
+millis server_owner_task::firstOrder(const std::string &id)
 {
     millis from = bootNow() + announceWait;
     if (const auto released = m_released.find(id); released != m_released.end()) {
@@ -305,19 +308,19 @@
     }
     // Of a holder that is gone this is the time that it may have ordered for since it was last heard,
     // whatever its lease: that of servers that check tokens only ends later.
-    const millis length = std::max(leaseTime, m_settings.leaseMin);
+    const millis length = std::max(shortLeaseTtl, m_settings.leaseMin);
     const store_view &view = m_store.view();
     if (const auto left = m_vacated.find(id); left != m_vacated.end()) {
         from = std::max(from, firstOrderAt(left->second, length));
         m_vacated.erase(left);
     } else if (m_ownBefore.count(id) == 0) {
         // No holder was ever seen: one may have been there shortly before this daemon first read the store.
-        from = std::max(from, view.firstRead + length);
+        from = std::max(from, view.firstReadAt + length);
     }
     return std::max(from, bootNow() + (m_replaced.erase(id) != 0 ? replacedWait : beatWait));
 }
 
-void orderer_task::drop(const std::string &id, const char *why)
+void server_owner_task::drop(const std::string &id, const char *why)
 {
     const auto found = m_servers.find(id);
     if (found == m_servers.end()) {
@@ -331,12 +334,12 @@
     m_servers.erase(found);
 }
 
-void orderer_task::setAlone(bool alone)
+void server_owner_task::setIsolated(bool alone)
 {
     m_alone = alone;
 }
 
-void orderer_task::stop()
+void server_owner_task::stop()
 {
     m_stopped = true;
     while (!m_servers.empty()) {
--- a/packages/serving/orderer_send.cpp
+++ b/packages/serving/server_owner_orders.cpp
@@ -1,5 +1,5 @@
 #include "serving/heard_server.h"
-#include "serving/orderer_task.h"
+#include "serving/server_owner_task.h"
 #include "transport/backend_call.h"
 
 #include <algorithm>
@@ -22,13 +22,13 @@
 
 }
 
-std::int64_t orderer_task::newestVersion(const std::string &model, const std::string &adapter) const
+std::int64_t server_owner_task::newestVersion(const std::string &model, const std::string &adapter) const
 {
     const auto found = m_store.view().versions.find(adapterKey(model, adapter));
     return found == m_store.view().versions.end() ? 0 : found->second;
 }
 
-bool orderer_task::mayLoadModel(const engine_spec &engine) const
+bool server_owner_task::mayLoadModel(const engine_spec &engine) const
 {
     const double daemons = static_cast<double>(std::max<std::size_t>(m_store.view().daemons.size(), 1));
     const double rate = std::max(engine.loadsPerSecond, 0.1);
@@ -36,12 +36,12 @@
     return m_lastModelLoad.count == 0 || bootNow() - m_lastModelLoad >= pace;
 }
 
-order_limits orderer_task::limitsFor(const engine_spec &engine) const
+order_constraints server_owner_task::limitsFor(const engine_spec &engine) const
 {
-    order_limits limits;
+    order_constraints limits;
     limits.models = &engine.models;
     limits.mayLoadModel = mayLoadModel(engine);
-    limits.newest = [this](const std::string &model, const std::string &adapter) {
+    limits.newestVersion = [this](const std::string &model, const std::string &adapter) {
         return newestVersion(model, adapter);
     };
     return limits;
@@ -49,7 +49,7 @@
 
 /// How many adapters are on their way, to all servers: of those in other cells it hears nothing, and takes
 /// them for like the others.
-void orderer_task::countLoads()
+void server_owner_task::countLoads()
 {
     const millis now = bootNow();
     std::erase_if(m_heardLoads, [&](const auto &each) {
@@ -60,10 +60,10 @@
         loads += heard.count;
     }
     for (const auto &[id, one] : m_servers) {
-        loads += loadsUnderWay(one.desk.ledger);
+        loads += loadsInProgress(one.desk.ledger);
     }
     const std::size_t counted = m_heardLoads.size() + m_servers.size();
-    const auto all = std::max(m_store.view().orderers.size(), counted);
+    const auto all = std::max(m_store.view().serverOwners.size(), counted);
     m_pace.crowd = counted == 0
         ? 0
         : static_cast<double>(loads) * static_cast<double>(all) / static_cast<double>(counted);
@@ -73,7 +73,7 @@
 /// that doesn't check tokens. It shows as two daemons' loads in one server's places, and as a crash of the
 /// server for one too many. Holds because no order is sent, and none stays unanswered, past the time up to
 /// which the store's lease is proved, and the successor begins after that (see order_right.h).
-bool orderer_task::mayOrder(const std::string &id, const server_state &one) const
+bool server_owner_task::mayOrder(const std::string &id, const server_state &one) const
 {
     const millis now = bootNow();
     if (one.fenced || now < one.mayOrderFrom || now < m_pausedUntil) {
@@ -82,18 +82,19 @@
     if (m_settings.serversCheckTokens) {
         return !m_alone;
     }
-    return m_store.holdsRecord(id) && now >= one.rivalUntil && now + leastOrderTime <= m_store.provenUntil();
+    return m_store.ownsServer(id) && now >= one.rivalUntil
+        && now + minOrderTime <= m_store.ownershipValidUntil();
 }
 
 /// What the answer to a call of this daemon's own says of the server.
-void orderer_task::hearWords(const backend_server &server, const call_result &result)
+void server_owner_task::hearWords(const backend_server &server, const call_result &result)
 {
     if (result.how == send_end::Whole) {
         m_words.hear("", server.id, startOf(server), m_codec.readCallAnswer(result.head));
     }
 }
 
-void orderer_task::askReport(const std::string &id, server_state &one, const backend_server &server)
+void server_owner_task::askReport(const std::string &id, server_state &one, const backend_server &server)
 {
     if (turnsLeft(one.desk.limit, bootNow()) == 0) {
         return;
@@ -128,11 +129,11 @@
             startAgain(id, report->born); // the store tells later
         }
         const std::int64_t before = state.desk.ledger.sequence;
-        takeReport(state.desk, *report, now);
+        applyReport(state.desk, *report, now);
         // Guards against: a load of weights, seconds long, is asked after at the speed of the net. It showed
         // as a hundred reports a second of each server that loads. A report says all there is to know; the
         // next one is due when something can have changed.
-        if (!mayOrder(id, state) || !state.desk.ledger.modelComing.empty()) {
+        if (!mayOrder(id, state) || !state.desk.ledger.loadingModel.empty()) {
             state.desk.ledger.notBefore = now + reportPause;
         }
         m_log.ordinary("server.report")
@@ -146,7 +147,7 @@
     callServer(m_loop, m_pool, server.address, m_codec.writeReportCall(server), reportTimeout, finish);
 }
 
-void orderer_task::sendOrder(const std::string &id, server_state &one, const backend_server &server)
+void server_owner_task::sendOrder(const std::string &id, server_state &one, const backend_server &server)
 {
     const engine_spec *engine = engineOfServer(server);
     if (engine == nullptr) {
@@ -158,11 +159,11 @@
     }
     order->holder = m_settings.node;
     order->fence = one.fence;
-    one.desk.ledger.open = order;
+    one.desk.ledger.openOrder = order;
     one.lastOrder = bootNow();
     const millis atMost = m_settings.serversCheckTokens
         ? orderTimeout
-        : std::min(orderTimeout, m_store.provenUntil() - one.lastOrder);
+        : std::min(orderTimeout, m_store.ownershipValidUntil() - one.lastOrder);
     ++m_counters.orders;
     if (order->adapter.empty() && order->kind == order_kind::Load) {
         m_lastModelLoad = bootNow();
@@ -185,7 +186,7 @@
     callServer(m_loop, m_pool, server.address, m_codec.writeOrder(*order, server), atMost, finish);
 }
 
-void orderer_task::onOrderEnd(const std::string &id, std::int64_t born, std::uint64_t fence,
+void server_owner_task::onOrderEnd(const std::string &id, std::int64_t born, std::uint64_t fence,
     const server_order &order, order_answer answer)
 {
     const auto found = m_servers.find(id);
@@ -205,12 +206,12 @@
     m_counters.ordersUnknown += answer == order_answer::Unknown ? 1 : 0;
     m_counters.loads += answer == order_answer::Accepted && order.kind == order_kind::Load ? 1 : 0;
     m_counters.unloads += fine && order.kind == order_kind::Unload ? 1 : 0;
-    takeAnswer(one.desk.ledger, order, answer, bootNow());
+    onOrderResponse(one.desk.ledger, order, answer, bootNow());
     if (answer == order_answer::Fenced) {
         // Someone ordered under a higher token. If the record still names this daemon, a new claim raises
         // its token above; if not, the view drops the server.
         one.fenced = true;
-        m_store.claim(id);
+        m_store.claimServer(id);
     }
     pump(id);
 }
--- a/packages/serving/orderer_task.cpp
+++ b/packages/serving/server_owner_task.cpp
@@ -1,4 +1,4 @@
-#include "serving/orderer_task.h"
+#include "serving/server_owner_task.h"
 
 #include "coordination/quota_plan.h"
 
@@ -19,7 +19,7 @@
 
 }
 
-orderer_task::orderer_task(loop &eventLoop, bus &messages, store_task &store, word_task &words,
+server_owner_task::server_owner_task(loop &eventLoop, bus &messages, store_task &store, word_task &words,
     backend_pool &pool, const request_codec &codec, const node_settings &settings, decision_log &log,
     answer_call onAnswer)
     : m_loop(eventLoop)
@@ -47,33 +47,33 @@
     });
 }
 
-const backend_server *orderer_task::serverOf(const std::string &id) const
+const backend_server *server_owner_task::serverOf(const std::string &id) const
 {
     const auto found = m_store.view().servers.find(id);
     return found == m_store.view().servers.end() ? nullptr : &found->second;
 }
 
-const engine_spec *orderer_task::engineOfServer(const backend_server &server) const
+const engine_spec *server_owner_task::engineOfServer(const backend_server &server) const
 {
     const auto &config = m_store.view().config;
     return config ? engineOf(*config, server.service) : nullptr;
 }
 
-void orderer_task::answerAll(const std::vector<desk_answer> &answers)
+void server_owner_task::answerAll(const std::vector<addressed_response> &answers)
 {
-    for (const desk_answer &each : answers) {
+    for (const addressed_response &each : answers) {
         answer(each.entry, each.answer);
     }
 }
 
-void orderer_task::answer(const std::string &entry, const place_answer &answer)
+void server_owner_task::answer(const std::string &entry, const place_answer &answer)
 {
     m_counters.granted += answer.verdict == place_verdict::Granted ? 1 : 0;
     m_counters.refused += answer.verdict == place_verdict::Refused ? 1 : 0;
     m_answer(entry, answer);
 }
 
-void orderer_task::take(const std::string &entry, const place_ask &ask)
+void server_owner_task::handle(const std::string &entry, const place_ask &ask)
 {
     const auto found = m_servers.find(ask.server);
     const backend_server *server = serverOf(ask.server);
@@ -82,19 +82,20 @@
             hearTold(m_limits, ask.server, fromMilli(ask.limitMilli), heardBefore(ask.limitAgeMs, bootNow()),
                 bootNow());
         }
-        answer(entry, refuseAsk(ask.id, ask.server, refusal::NotOrderer, {}));
+        answer(entry, refusedResponse(ask.id, ask.server, refusal::NotOrderer, {}));
         return;
     }
     const server_access access = m_words.accessOf(*server, entry);
     if (isClosed(access)) {
         const bool leaves = access == server_access::Leaving;
         const millis back = leaves ? millis{} : m_words.pauseLeft(*server, entry);
-        answer(entry, refuseAsk(ask.id, ask.server, leaves ? refusal::ServerLeaving : refusal::Paused, back));
+        answer(entry,
+            refusedResponse(ask.id, ask.server, leaves ? refusal::ServerLeaving : refusal::Paused, back));
         m_words.tellLeaving(entry, *server);
         return;
     }
     followLimit(ask.server, found->second);
-    const place_answer first = askDesk(found->second.desk, entry, ask, bootNow());
+    const place_answer first = handleSlotRequest(found->second.desk, entry, ask, bootNow());
     if (first.verdict != place_verdict::Queued) {
         answer(entry, first);
         return;
@@ -106,15 +107,15 @@
     }
 }
 
-void orderer_task::take(const std::string &entry, const place_running &run)
+void server_owner_task::handle(const std::string &entry, const place_running &run)
 {
     const auto found = m_servers.find(run.server);
     if (found != m_servers.end()) {
-        takeRunning(found->second.desk, entry, run, bootNow());
+        registerRunning(found->second.desk, entry, run, bootNow());
     }
 }
 
-void orderer_task::take(const std::string &, const limit_note &note)
+void server_owner_task::handle(const std::string &, const limit_note &note)
 {
     const auto found = m_servers.find(note.server);
     if (found == m_servers.end()) {
@@ -123,14 +124,14 @@
         }
         return;
     }
-    takeLimit(found->second.desk, note, bootNow());
+    onLimitNotice(found->second.desk, note, bootNow());
     pump(note.server);
 }
 
 /// Guards against: two daemons grant the turns of one server, since one of them is cut off and doesn't know
 /// that it was replaced. It shows as a server that gets nearly twice its limit. Holds because only whose
 /// lease stands grants the whole limit, and who knows of a successor none of it.
-void orderer_task::followLimit(const std::string &id, server_state &one)
+void server_owner_task::followLimit(const std::string &id, server_state &one)
 {
     if (one.desk.limit.perSecond != one.limitTold) {
         one.limitTold = one.desk.limit.perSecond;
@@ -143,21 +144,21 @@
     if (!one.desk.limit.perSecond) {
         return;
     }
-    const bool stands = m_store.holdsRecord(id) && m_store.leaseStands();
+    const bool stands = m_store.ownsServer(id) && m_store.isLeaseValid();
     setShare(one.desk.limit, one.fenced ? 0 : stands ? 1 : unprovenShare, bootNow());
 }
 
-void orderer_task::take(const std::string &, const place_note &note)
+void server_owner_task::handle(const std::string &, const place_note &note)
 {
     const auto found = m_servers.find(note.server);
     if (found == m_servers.end()) {
         return;
     }
-    takeNote(found->second.desk, note, bootNow());
+    onRequestEvent(found->second.desk, note, bootNow());
     pump(note.server);
 }
 
-void orderer_task::pumpAll()
+void server_owner_task::pumpAll()
 {
     countLoads();
     std::vector<std::string> ids;
@@ -170,7 +171,7 @@
     }
 }
 
-void orderer_task::pump(const std::string &id)
+void server_owner_task::pump(const std::string &id)
 {
     const auto found = m_servers.find(id);
     const backend_server *server = serverOf(id);
@@ -180,7 +181,7 @@
     server_state &one = found->second;
     const millis now = bootNow();
     followLimit(id, one);
-    followPace(one.desk, m_pace, now);
+    updateLoadTimes(one.desk, m_pace, now);
     dropExpired(one.desk, now);
     const server_access access = m_words.accessOf(*server);
     if (access == server_access::Leaving) {
@@ -192,29 +193,29 @@
             return m_words.pauseLeft(*server, entry);
         }));
     }
-    one.desk.ledger.ordersFrom = now + m_words.pauseLeft(*server, m_settings.node);
+    one.desk.ledger.ordersPausedUntil = now + m_words.pauseLeft(*server, m_settings.node);
     if (one.desk.plain) {
-        answerAll(answersDue(one.desk, now));
+        answerAll(dueResponses(one.desk, now));
         return;
     }
     const server_ledger &ledger = one.desk.ledger;
     // Whether a load is done is asked by the order again; who may not order now learns it from a report.
-    const bool cantAsk = loadsUnderWay(ledger) > 0 && !mayOrder(id, one);
-    const bool unsure = !ledger.proved || !ledger.modelComing.empty() || cantAsk;
+    const bool cantAsk = loadsInProgress(ledger) > 0 && !mayOrder(id, one);
+    const bool unsure = !ledger.confirmed || !ledger.loadingModel.empty() || cantAsk;
     if (isClosed(access)) {
         // It wants nothing from this daemon; others' requests for what it holds are let in all the same.
-        answerAll(answersDue(one.desk, now));
+        answerAll(dueResponses(one.desk, now));
         return;
     }
-    if (unsure && !one.reporting && !ledger.open && now >= ledger.notBefore) {
+    if (unsure && !one.reporting && !ledger.openOrder && now >= ledger.notBefore) {
         askReport(id, one, *server);
     } else if (mayOrder(id, one)) {
         sendOrder(id, one, *server);
     }
-    answerAll(answersDue(one.desk, now));
+    answerAll(dueResponses(one.desk, now));
 }
 
-fleet_beat orderer_task::beat()
+fleet_beat server_owner_task::heartbeat()
 {
     const millis now = bootNow();
     if (m_lastBeat.count != 0 && now - m_lastBeat > stillMost) {
@@ -225,21 +226,21 @@
     }
     m_lastBeat = now;
     fleet_beat out;
-    out.orderingMs = std::max<std::int64_t>((m_store.provenUntil() - bootNow()).count, 0);
+    out.orderingMs = std::max<std::int64_t>((m_store.ownershipValidUntil() - bootNow()).count, 0);
     out.loadsAtOnce = std::llround(toPassOn(m_pace, bootNow()));
     for (const auto &[id, one] : m_servers) {
         const bool orders = mayOrder(id, one) && !isClosed(m_words.accessOf(id));
-        server_beat server = beatOf(one.desk, orders, now);
+        server_beat server = serverHeartbeat(one.desk, orders, now);
         server.fence = one.fence;
         out.servers.push_back(std::move(server));
-        if (auto limit = limitBeatOf(one.desk, now)) {
+        if (auto limit = limitHeartbeat(one.desk, now)) {
             out.limits.push_back(std::move(*limit));
         }
     }
     return out;
 }
 
-const orderer_counters &orderer_task::counters() const
+const server_owner_counters &server_owner_task::counters() const
 {
     return m_counters;
 }
--- a/packages/serving/place_queue.cpp
+++ b/packages/serving/slot_queue.cpp
@@ -1,4 +1,4 @@
-#include "serving/place_queue.h"
+#include "serving/slot_queue.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,31 +20,32 @@
     return a.rank != b.rank ? a.rank < b.rank : a.arrived < b.arrived;
 }
 
-std::int64_t memoryInUse(const place_queue &queue)
+std::int64_t memoryInUse(const slot_queue &queue)
 {
     std::int64_t sum = 0;
     for (const auto &[id, one] : queue.running) {
-        sum += one.what.promptTokens + one.what.outputTokens;
+        sum += one.prompt.promptTokens + one.prompt.outputTokens;
     }
     return sum;
 }
 
-bool hasRoom(const place_queue &queue, const waiting_prompt &prompt)
+bool hasRoom(const slot_queue &queue, const waiting_prompt &prompt)
 {
     if (queue.running.empty()) {
         return true;
     }
     const std::int64_t reading = readingTokens(queue);
-    const auto window = static_cast<std::int64_t>(queue.speed * readAheadMs);
+    const auto window = static_cast<std::int64_t>(queue.tokensPerMs * maxReadAheadMs);
     const bool reads = reading == 0 || reading + prompt.promptTokens <= window;
-    const auto memory = static_cast<std::int64_t>(memoryShare * static_cast<double>(queue.memoryTokens));
+    const auto memory =
+        static_cast<std::int64_t>(maxMemoryFraction * static_cast<double>(queue.memoryTokens));
     const bool fits = memoryInUse(queue) + prompt.promptTokens + prompt.outputTokens <= memory;
-    return reads && fits && queue.running.size() < static_cast<std::size_t>(queue.slots);
+    return reads && fits && queue.running.size() < static_cast<std::size_t>(queue.maxRunning);
 }
 
 /// Index of the prompt whose turn it is: the first that can be on time, else the first.
 std::optional<std::size_t> nextPrompt(
-    const place_queue &queue, const std::function<bool(const waiting_prompt &)> &ready, millis now)
+    const slot_queue &queue, const std::function<bool(const waiting_prompt &)> &ready, millis now)
 {
     std::optional<std::size_t> first;
     for (std::size_t i = 0; i < queue.waiting.size(); ++i) {
@@ -62,14 +63,14 @@
     return first;
 }
 
-void measure(place_queue &queue, std::int64_t tokens, millis now)
+void measure(slot_queue &queue, std::int64_t tokens, millis now)
 {
     queue.readTokens += tokens;
     const std::int64_t span = (now - queue.busySince).count;
     if (queue.busySince.count != 0 && span >= measuredSpanMs) {
         const double seen = static_cast<double>(queue.readTokens) / static_cast<double>(span);
-        queue.speed =
-            std::clamp(queue.speed * (1 - speedShare) + seen * speedShare, slowestSpeed, fastestSpeed);
+        queue.tokensPerMs =
+            std::clamp(queue.tokensPerMs * (1 - speedShare) + seen * speedShare, slowestSpeed, fastestSpeed);
         queue.busySince = now;
         queue.readTokens = 0;
     }
@@ -81,16 +82,16 @@
 
 }
 
-std::int64_t readingTokens(const place_queue &queue)
+std::int64_t readingTokens(const slot_queue &queue)
 {
     std::int64_t sum = 0;
     for (const auto &[id, one] : queue.running) {
-        sum += one.reading ? one.what.promptTokens : 0;
+        sum += one.reading ? one.prompt.promptTokens : 0;
     }
     return sum;
 }
 
-std::int64_t backlogTokens(const place_queue &queue)
+std::int64_t backlogTokens(const slot_queue &queue)
 {
     std::int64_t sum = readingTokens(queue);
     for (const waiting_prompt &prompt : queue.waiting) {
@@ -99,20 +100,20 @@
     return sum;
 }
 
-bool canBeOnTime(const place_queue &queue, const waiting_prompt &prompt, millis now)
+bool canBeOnTime(const slot_queue &queue, const waiting_prompt &prompt, millis now)
 {
-    const double readMs = static_cast<double>(readingTokens(queue) + prompt.promptTokens) / queue.speed;
+    const double readMs = static_cast<double>(readingTokens(queue) + prompt.promptTokens) / queue.tokensPerMs;
     return now + millis{std::llround(readMs)} + firstEventMargin <= prompt.targetAt;
 }
 
-bool isWaiting(const place_queue &queue, const std::string &id)
+bool isWaiting(const slot_queue &queue, const std::string &id)
 {
     return std::any_of(queue.waiting.begin(), queue.waiting.end(), [&id](const waiting_prompt &each) {
         return each.id == id;
     });
 }
 
-admission admit(place_queue &queue, const waiting_prompt &prompt, millis now)
+enqueue_result enqueue(slot_queue &queue, const waiting_prompt &prompt, millis now)
 {
     if (queue.running.count(prompt.id) != 0 || isWaiting(queue, prompt.id)) {
         return {true, true, {}};
@@ -124,7 +125,7 @@
         const bool before = other.rank == prompt.rank ? otherOnTime >= onTime : other.rank < prompt.rank;
         ahead += before ? other.promptTokens : 0;
     }
-    const millis wait{std::llround(static_cast<double>(ahead) / queue.speed)};
+    const millis wait{std::llround(static_cast<double>(ahead) / queue.tokensPerMs)};
     if (now + wait > prompt.startBy) {
         return {false, false, wait};
     }
@@ -133,7 +134,7 @@
     return {true, false, wait};
 }
 
-std::vector<waiting_prompt> letIn(place_queue &queue,
+std::vector<waiting_prompt> admitReady(slot_queue &queue,
     const std::function<bool(const waiting_prompt &)> &ready, std::vector<waiting_prompt> &late, millis now,
     std::size_t most)
 {
@@ -165,16 +166,16 @@
     return in;
 }
 
-void firstToken(place_queue &queue, const std::string &id, millis now)
+void onFirstToken(slot_queue &queue, const std::string &id, millis now)
 {
     const auto found = queue.running.find(id);
     if (found != queue.running.end() && found->second.reading) {
         found->second.reading = false;
-        measure(queue, found->second.what.promptTokens, now);
+        measure(queue, found->second.prompt.promptTokens, now);
     }
 }
 
-std::optional<running_prompt> ended(place_queue &queue, const std::string &id, millis now)
+std::optional<running_prompt> removePrompt(slot_queue &queue, const std::string &id, millis now)
 {
     std::erase_if(queue.waiting, [&id](const waiting_prompt &prompt) {
         return prompt.id == id;
@@ -191,17 +192,17 @@
     return one;
 }
 
-std::vector<running_prompt> expired(place_queue &queue, millis now)
+std::vector<running_prompt> removeExpired(slot_queue &queue, millis now)
 {
     std::vector<std::string> ids;
     for (const auto &[id, one] : queue.running) {
-        if (one.what.deadline + expiryMargin < now) {
+        if (one.prompt.deadline + expiryMargin < now) {
             ids.push_back(id);
         }
     }
     std::vector<running_prompt> out;
     for (const std::string &id : ids) {
-        if (auto one = ended(queue, id, now)) {
+        if (auto one = removePrompt(queue, id, now)) {
             out.push_back(std::move(*one));
         }
     }
--- a/packages/serving/place_desk.cpp
+++ b/packages/serving/slot_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "serving/place_desk.h"
+#include "serving/slot_scheduler.h"
 
 #include "coordination/quota_plan.h"
 #include "serving/heard_server.h"
@@ -15,7 +15,7 @@
 constexpr double msPerSecond = 1'000;
 
 /// Whether the server can run the prompt now: its model and adapter are there.
-bool isHeld(const place_desk &desk, const waiting_prompt &prompt)
+bool isHeld(const slot_scheduler &desk, const waiting_prompt &prompt)
 {
     const server_ledger &ledger = desk.ledger;
     if (desk.plain) {
@@ -27,8 +27,8 @@
     if (prompt.adapter.empty()) {
         return true;
     }
-    const adapter_place *place = findPlace(ledger, prompt.model, prompt.adapter);
-    return place != nullptr && place->state == place_state::Resident;
+    const adapter_slot *place = findSlot(ledger, prompt.model, prompt.adapter);
+    return place != nullptr && place->state == slot_state::Resident;
 }
 
 /// Guards against: more adapters are asked for than the weight store can deliver, as when all entries begin
@@ -40,18 +40,18 @@
 /// none.
 bool comesTooLate(const server_ledger &ledger, const waiting_prompt &prompt, millis now)
 {
-    const bool ordered = prompt.adapter.empty() || findPlace(ledger, prompt.model, prompt.adapter) != nullptr;
-    const millis from = ordered ? now : std::max(now, ledger.ordersFrom);
+    const bool ordered = prompt.adapter.empty() || findSlot(ledger, prompt.model, prompt.adapter) != nullptr;
+    const millis from = ordered ? now : std::max(now, ledger.ordersPausedUntil);
     return from + adapterWait(ledger, prompt.model, prompt.adapter, now) > prompt.startBy;
 }
 
 /// Prompts whose load has not begun and would end too late: they are not held until their time is over.
-std::vector<waiting_prompt> takeHopeless(place_desk &desk, millis now)
+std::vector<waiting_prompt> takeHopeless(slot_scheduler &desk, millis now)
 {
     std::vector<waiting_prompt> hopeless;
     std::erase_if(desk.queue.waiting, [&](const waiting_prompt &prompt) {
         const bool begun =
-            prompt.adapter.empty() || findPlace(desk.ledger, prompt.model, prompt.adapter) != nullptr;
+            prompt.adapter.empty() || findSlot(desk.ledger, prompt.model, prompt.adapter) != nullptr;
         const bool over = !begun && comesTooLate(desk.ledger, prompt, now);
         if (over) {
             hopeless.push_back(prompt);
@@ -68,29 +68,29 @@
 
 place_answer grant(const server_ledger &ledger, const waiting_prompt &prompt)
 {
-    const adapter_place *place = findPlace(ledger, prompt.model, prompt.adapter);
+    const adapter_slot *place = findSlot(ledger, prompt.model, prompt.adapter);
     return {prompt.id, ledger.server, place_verdict::Granted, refusal::None,
         place == nullptr ? 0 : place->version, 0};
 }
 
 }
 
-place_answer refuseAsk(const std::string &id, const std::string &server, refusal why, millis comeBack)
+place_answer refusedResponse(const std::string &id, const std::string &server, refusal why, millis comeBack)
 {
-    return {id, server, place_verdict::Refused, why, 0, std::max(comeBack, shortestComeBack).count};
+    return {id, server, place_verdict::Refused, why, 0, std::max(comeBack, minRetryAfter).count};
 }
 
 namespace {
 
-place_answer answerAsk(place_desk &desk, const std::string &entry, const place_ask &ask, millis now)
+place_answer answerAsk(slot_scheduler &desk, const std::string &entry, const place_ask &ask, millis now)
 {
     server_ledger &ledger = desk.ledger;
     noteAnswer(desk.answers, ask.outputTokens);
-    if (ledger.proved && ledger.models.empty() && ledger.modelComing.empty()) {
-        return refuseAsk(ask.id, ask.server, refusal::NotHeld, {});
+    if (ledger.confirmed && ledger.models.empty() && ledger.loadingModel.empty()) {
+        return refusedResponse(ask.id, ask.server, refusal::NotHeld, {});
     }
     if (const auto running = desk.queue.running.find(ask.id); running != desk.queue.running.end()) {
-        return grant(ledger, running->second.what); // the grant was lost
+        return grant(ledger, running->second.prompt); // the grant was lost
     }
     if (ask.limitMilli >= 0) {
         nameLimit(desk.limit, fromMilli(ask.limitMilli), heardBefore(ask.limitAgeMs, now), now);
@@ -98,35 +98,36 @@
     const millis turn =
         isWaiting(desk.queue, ask.id) ? millis{} : turnAfter(desk.limit, desk.queue.waiting.size(), now);
     if (turn > millis{ask.waitMs}) {
-        return refuseAsk(ask.id, ask.server, refusal::Limited, turn - millis{ask.waitMs});
+        return refusedResponse(ask.id, ask.server, refusal::Limited, turn - millis{ask.waitMs});
     }
-    const bool needsPlace = !ask.adapter.empty() && findPlace(ledger, ask.model, ask.adapter) == nullptr;
-    if (needsPlace && openPlaces(ledger) <= adaptersWaited(desk, ask.model, ask.adapter)) {
-        return refuseAsk(ask.id, ask.server, refusal::NoPlace, placeComeBack);
+    const bool needsPlace = !ask.adapter.empty() && findSlot(ledger, ask.model, ask.adapter) == nullptr;
+    if (needsPlace && availableSlots(ledger) <= adaptersWaitingForSlot(desk, ask.model, ask.adapter)) {
+        return refusedResponse(ask.id, ask.server, refusal::NoPlace, slotRetryAfter);
     }
     const waiting_prompt prompt{ask.id, entry, ask.model, ask.adapter, ask.promptTokens, ask.outputTokens,
         ask.rank, now, now + millis{ask.waitMs}, now + millis{ask.deadlineMs}, now + millis{ask.targetMs}};
     if (comesTooLate(ledger, prompt, now)) {
         const millis wait = adapterWait(ledger, ask.model, ask.adapter, now);
-        return refuseAsk(ask.id, ask.server, refusal::LoadTooSlow, wait - millis{ask.waitMs});
+        return refusedResponse(ask.id, ask.server, refusal::LoadTooSlow, wait - millis{ask.waitMs});
     }
-    const admission admitted = admit(desk.queue, prompt, now);
-    if (!admitted.taken) {
-        return refuseAsk(ask.id, ask.server, refusal::TooBusy, admitted.wait - millis{ask.waitMs});
+    const enqueue_result admitted = enqueue(desk.queue, prompt, now);
+    if (!admitted.accepted) {
+        return refusedResponse(ask.id, ask.server, refusal::TooBusy, admitted.wait - millis{ask.waitMs});
     }
     return {ask.id, ask.server, place_verdict::Queued, refusal::None, 0, 0};
 }
 
 }
 
-place_answer askDesk(place_desk &desk, const std::string &entry, const place_ask &ask, millis now)
+place_answer handleSlotRequest(
+    slot_scheduler &desk, const std::string &entry, const place_ask &ask, millis now)
 {
     place_answer answer = answerAsk(desk, entry, ask, now);
     answer.limitMilli = limitMilliOf(desk.limit);
     return answer;
 }
 
-void takeRunning(place_desk &desk, const std::string &entry, const place_running &run, millis now)
+void registerRunning(slot_scheduler &desk, const std::string &entry, const place_running &run, millis now)
 {
     if (desk.queue.running.count(run.id) != 0) {
         return;
@@ -137,24 +138,24 @@
     beginUse(desk.ledger, run.model, run.adapter, now);
 }
 
-void takeNote(place_desk &desk, const place_note &note, millis now)
+void onRequestEvent(slot_scheduler &desk, const place_note &note, millis now)
 {
     if (note.event == place_event::FirstToken) {
-        firstToken(desk.queue, note.id, now);
+        onFirstToken(desk.queue, note.id, now);
         return;
     }
-    if (const auto run = ended(desk.queue, note.id, now)) {
-        endUse(desk.ledger, run->what.model, run->what.adapter);
+    if (const auto run = removePrompt(desk.queue, note.id, now)) {
+        endUse(desk.ledger, run->prompt.model, run->prompt.adapter);
         if (note.event == place_event::Unsent) {
             returnTurn(desk.limit);
         }
         if (note.event == place_event::NotHeld) {
-            notHeld(desk.ledger, run->what.model, run->what.adapter, now);
+            onNotHeld(desk.ledger, run->prompt.model, run->prompt.adapter, now);
         }
     }
 }
 
-void takeLimit(place_desk &desk, const limit_note &note, millis now)
+void onLimitNotice(slot_scheduler &desk, const limit_note &note, millis now)
 {
     if (note.limitMilli >= 0) {
         nameLimit(desk.limit, fromMilli(note.limitMilli), now, now);
@@ -166,93 +167,94 @@
     }
 }
 
-void dropExpired(place_desk &desk, millis now)
+void dropExpired(slot_scheduler &desk, millis now)
 {
-    for (const running_prompt &run : expired(desk.queue, now)) {
-        endUse(desk.ledger, run.what.model, run.what.adapter);
+    for (const running_prompt &run : removeExpired(desk.queue, now)) {
+        endUse(desk.ledger, run.prompt.model, run.prompt.adapter);
     }
 }
 
-void takeReport(place_desk &desk, const server_report &report, millis now)
+void applyReport(slot_scheduler &desk, const server_report &report, millis now)
 {
-    takeReport(desk.ledger, report, now);
-    for (adapter_place &place : desk.ledger.adapters) {
+    applyReport(desk.ledger, report, now);
+    for (adapter_slot &place : desk.ledger.adapters) {
         place.users = 0;
         for (const auto &[id, run] : desk.queue.running) {
-            place.users += run.what.model == place.model && run.what.adapter == place.adapter ? 1 : 0;
+            place.users += run.prompt.model == place.model && run.prompt.adapter == place.adapter ? 1 : 0;
         }
     }
 }
 
-std::vector<desk_answer> answersDue(place_desk &desk, millis now)
+std::vector<addressed_response> dueResponses(slot_scheduler &desk, millis now)
 {
-    std::vector<desk_answer> answers;
+    std::vector<addressed_response> answers;
     std::vector<waiting_prompt> late = takeHopeless(desk, now);
     const auto ready = [&desk](const waiting_prompt &prompt) {
         return isHeld(desk, prompt);
     };
-    for (const waiting_prompt &prompt : letIn(desk.queue, ready, late, now, turnsLeft(desk.limit, now))) {
+    for (const waiting_prompt &prompt :
+        admitReady(desk.queue, ready, late, now, turnsLeft(desk.limit, now))) {
         takeTurn(desk.limit);
         beginUse(desk.ledger, prompt.model, prompt.adapter, now);
         answers.push_back({prompt.entry, grant(desk.ledger, prompt)});
     }
     for (const waiting_prompt &prompt : late) {
         answers.push_back(
-            {prompt.entry, refuseAsk(prompt.id, desk.ledger.server, refusal::TooBusy, shortestComeBack)});
+            {prompt.entry, refusedResponse(prompt.id, desk.ledger.server, refusal::TooBusy, minRetryAfter)});
     }
-    for (desk_answer &each : answers) {
+    for (addressed_response &each : answers) {
         each.answer.limitMilli = limitMilliOf(desk.limit);
     }
     return answers;
 }
 
-std::vector<desk_answer> refusePaused(
-    place_desk &desk, const std::function<millis(const std::string &entry)> &pauseLeft)
+std::vector<addressed_response> refusePaused(
+    slot_scheduler &desk, const std::function<millis(const std::string &entry)> &pauseLeft)
 {
-    std::vector<desk_answer> answers;
+    std::vector<addressed_response> answers;
     std::erase_if(desk.queue.waiting, [&](const waiting_prompt &prompt) {
         const millis left = pauseLeft(prompt.entry);
         if (left > millis{}) {
             answers.push_back(
-                {prompt.entry, refuseAsk(prompt.id, desk.ledger.server, refusal::Paused, left)});
+                {prompt.entry, refusedResponse(prompt.id, desk.ledger.server, refusal::Paused, left)});
         }
         return left > millis{};
     });
     return answers;
 }
 
-std::vector<desk_answer> refuseWaiting(place_desk &desk, refusal why)
+std::vector<addressed_response> refuseWaiting(slot_scheduler &desk, refusal why)
 {
-    std::vector<desk_answer> answers;
+    std::vector<addressed_response> answers;
     for (const waiting_prompt &prompt : std::exchange(desk.queue.waiting, {})) {
-        answers.push_back({prompt.entry, refuseAsk(prompt.id, desk.ledger.server, why, shortestComeBack)});
+        answers.push_back({prompt.entry, refusedResponse(prompt.id, desk.ledger.server, why, minRetryAfter)});
     }
     return answers;
 }
 
-void followPace(place_desk &desk, load_pace &pace, millis now)
+void updateLoadTimes(slot_scheduler &desk, load_pace &pace, millis now)
 {
-    for (const load_seen &load : std::exchange(desk.ledger.loadsSeen, {})) {
-        noteLoad(pace, load.took, load.crowd, now);
+    for (const measured_load &load : std::exchange(desk.ledger.measuredLoads, {})) {
+        noteLoad(pace, load.duration, load.concurrentLoads, now);
     }
-    for (const adapter_place &place : desk.ledger.adapters) {
-        if (place.state == place_state::Loading && !place.known && place.ordered) {
-            noteUnderWay(pace, now - place.since, (place.crowd + pace.crowd) / 2, now);
+    for (const adapter_slot &place : desk.ledger.adapters) {
+        if (place.state == slot_state::Loading && !place.cached && place.orderedHere) {
+            noteUnderWay(pace, now - place.stateSince, (place.concurrentLoads + pace.crowd) / 2, now);
         }
     }
-    desk.ledger.crowd = pace.crowd;
-    desk.ledger.storeMs = loadMsNow(pace);
+    desk.ledger.concurrentLoads = pace.crowd;
+    desk.ledger.storeLoadMs = loadMsNow(pace);
 }
 
-std::optional<server_order> orderDue(place_desk &desk, order_limits limits, millis now)
+std::optional<server_order> orderDue(slot_scheduler &desk, order_constraints limits, millis now)
 {
-    std::vector<adapter_want> wants;
+    std::vector<wanted_adapter> wants;
     for (const waiting_prompt &prompt : desk.queue.waiting) {
         if (!prompt.adapter.empty() && !comesTooLate(desk.ledger, prompt, now)) {
             wants.push_back({prompt.model, prompt.adapter});
         }
     }
-    limits.waitedFor = [&desk](const std::string &model, const std::string &adapter) {
+    limits.isWaitedFor = [&desk](const std::string &model, const std::string &adapter) {
         return std::any_of(
             desk.queue.waiting.begin(), desk.queue.waiting.end(), [&](const waiting_prompt &prompt) {
                 return prompt.model == model && prompt.adapter == adapter;
@@ -261,20 +263,20 @@
     return nextOrder(desk.ledger, wants, limits, now);
 }
 
-int adaptersWaited(const place_desk &desk, const std::string &model, const std::string &adapter)
+int adaptersWaitingForSlot(const slot_scheduler &desk, const std::string &model, const std::string &adapter)
 {
     std::set<std::string> names;
     for (const waiting_prompt &prompt : desk.queue.waiting) {
         const bool other = prompt.model != model || prompt.adapter != adapter;
         if (other && !prompt.adapter.empty()
-            && findPlace(desk.ledger, prompt.model, prompt.adapter) == nullptr) {
+            && findSlot(desk.ledger, prompt.model, prompt.adapter) == nullptr) {
             names.insert(adapterKey(prompt.model, prompt.adapter));
         }
     }
     return static_cast<int>(names.size());
 }
 
-std::optional<limit_beat> limitBeatOf(const place_desk &desk, millis now)
+std::optional<limit_beat> limitHeartbeat(const slot_scheduler &desk, millis now)
 {
     const bool endedLately = desk.limit.ended.count != 0 && now - desk.limit.ended < endTold;
     if (!desk.limit.perSecond && !endedLately) {
@@ -284,26 +286,26 @@
         turnAfter(desk.limit, desk.queue.waiting.size(), now).count};
 }
 
-server_beat beatOf(const place_desk &desk, bool mayOrder, millis now)
+server_beat serverHeartbeat(const slot_scheduler &desk, bool mayOrder, millis now)
 {
     server_beat beat;
     beat.server = desk.ledger.server;
     beat.held = !desk.ledger.models.empty();
-    for (const adapter_place &place : desk.ledger.adapters) {
-        if (place.state != place_state::Unloading) {
+    for (const adapter_slot &place : desk.ledger.adapters) {
+        if (place.state != slot_state::Unloading) {
             beat.adapters.push_back(
-                {adapterHash(adapterKey(place.model, place.adapter)), place.state == place_state::Loading,
-                    static_cast<std::uint32_t>(std::llround(usesNow(place, now)))});
+                {adapterHash(adapterKey(place.model, place.adapter)), place.state == slot_state::Loading,
+                    static_cast<std::uint32_t>(std::llround(currentUseScore(place, now)))});
         }
     }
     // Less those that are spoken for; entries would else go on sending there what is refused.
-    const int open = openPlaces(desk.ledger) - adaptersWaited(desk, "", "");
-    beat.openPlaces = mayOrder && desk.ledger.proved ? static_cast<std::uint32_t>(std::max(open, 0)) : 0;
+    const int open = availableSlots(desk.ledger) - adaptersWaitingForSlot(desk, "", "");
+    beat.openPlaces = mayOrder && desk.ledger.confirmed ? static_cast<std::uint32_t>(std::max(open, 0)) : 0;
     beat.backlogTokens = backlogTokens(desk.queue);
-    beat.tokensPerSecond = std::llround(desk.queue.speed * msPerSecond);
+    beat.tokensPerSecond = std::llround(desk.queue.tokensPerMs * msPerSecond);
     beat.running = static_cast<std::uint32_t>(desk.queue.running.size());
     for (const auto &[id, run] : desk.queue.running) {
-        beat.longAnswers += isLongAnswer(desk.answers, run.what.outputTokens) ? 1 : 0;
+        beat.longAnswers += isLongAnswer(desk.answers, run.prompt.outputTokens) ? 1 : 0;
     }
     return beat;
 }
--- a/packages/serving/store_take.cpp
+++ b/packages/serving/store_apply.cpp
@@ -50,7 +50,7 @@
     for (const auto &[node, record] : m_view.daemons) {
         keys.push_back(detail::daemonPrefix + node);
     }
-    for (const auto &[id, entry] : m_view.orderers) {
+    for (const auto &[id, entry] : m_view.serverOwners) {
         keys.push_back(detail::ordererPrefix + id);
     }
     for (const auto &[shard, entry] : m_view.quotaHomes) {
@@ -73,8 +73,8 @@
 stored_item store_task::withoutKeys(const stored_item &item) const
 {
     stored_item out = item;
-    if (item.key == m_codec.configKey && !item.removed && m_codec.hideKeys) {
-        out.value = m_codec.hideKeys(item.value);
+    if (item.key == m_codec.configKey && !item.removed && m_codec.hashAccountKeys) {
+        out.value = m_codec.hashAccountKeys(item.value);
     }
     return out;
 }
@@ -167,11 +167,11 @@
             return true;
         }
         if (!known->second.draining) {
-            change.endedServers.push_back(id);
+            change.crashedServers.push_back(id);
         }
         m_view.servers.erase(known);
         m_missing.erase(id);
-        change.goneServers.push_back(id);
+        change.removedServers.push_back(id);
         m_log.important("server.gone").add("server", id).add("revision", item.revision);
         return true;
     }
@@ -182,7 +182,7 @@
         if (known != m_view.servers.end()) {
             m_view.servers.erase(known);
             m_missing.erase(id);
-            change.goneServers.push_back(id);
+            change.removedServers.push_back(id);
         }
         return true;
     }
@@ -192,9 +192,9 @@
         return false; // of an earlier start: what it says is over
     }
     if (again) {
-        change.goneServers.push_back(id);
+        change.removedServers.push_back(id);
         if (!known->second.draining) {
-            change.endedServers.push_back(id);
+            change.crashedServers.push_back(id);
         }
         m_log.important("server.started_again").add("server", id).add("revision", item.revision);
     }
@@ -228,8 +228,8 @@
     view_changed change;
     for (const std::string &id : m_missing) {
         m_view.servers.erase(id);
-        change.goneServers.push_back(id);
-        change.endedServers.push_back(id);
+        change.removedServers.push_back(id);
+        change.crashedServers.push_back(id);
         m_log.important("server.gone").add("server", id).add("why", "its entry did not come back");
     }
     m_missing.clear();
@@ -264,9 +264,9 @@
             m_log.important("peer.up").add("peer", node).add("revision", item.revision);
         }
         m_view.daemons[node] = *record;
-        m_view.lapsed.erase(node);
+        m_view.expiredDaemons.erase(node);
     } else if (const auto gone = m_view.daemons.find(node); gone != m_view.daemons.end()) {
-        m_view.lapsed[node] = gone->second;
+        m_view.expiredDaemons[node] = gone->second;
         m_lapsedAt[node] = bootNow();
         m_view.daemons.erase(gone);
         m_log.important("peer.down").add("peer", node).add("revision", item.revision);
@@ -284,9 +284,9 @@
         record = orderer_record{};
     }
     if (record) {
-        keepRight(m_view.orderers, server, {*record, item.revision, false});
+        keepRight(m_view.serverOwners, server, {*record, item.revision, false});
     } else {
-        m_view.orderers.erase(server);
+        m_view.serverOwners.erase(server);
     }
 }
 
@@ -306,9 +306,9 @@
     }
 }
 
-void store_task::keepRight(right_map &rights, const std::string &name, const orderer_entry &entry)
+void store_task::keepRight(ownership_map &rights, const std::string &name, const ownership_entry &entry)
 {
-    orderer_entry &known = rights[name];
+    ownership_entry &known = rights[name];
     if (entry.revision >= known.revision) {
         known = entry;
     }
--- a/packages/serving/store_records.h
+++ b/packages/serving/store_records.h
@@ -30,7 +30,7 @@
     std::function<std::optional<adapter_version>(const std::string &, error &)> readVersion;
     /// A configuration's text with hashes in place of its keys, which readConfig reads alike: what daemons
     /// keep and pass on.
-    std::function<std::string(const std::string &)> hideKeys;
+    std::function<std::string(const std::string &)> hashAccountKeys;
 };
 
 }
--- a/packages/serving/store_task.cpp
+++ b/packages/serving/store_task.cpp
@@ -47,7 +47,7 @@
 
 const daemon_record *findPeer(const store_view &view, const std::string &node)
 {
-    for (const daemon_map *known : {&view.daemons, &view.lapsed}) {
+    for (const daemon_map *known : {&view.daemons, &view.expiredDaemons}) {
         if (const auto found = known->find(node); found != known->end()) {
             return &found->second;
         }
@@ -55,9 +55,9 @@
     return nullptr;
 }
 
-millis leaseLength(const node_settings &settings)
+millis leaseTtlFor(const node_settings &settings)
 {
-    return std::max(settings.serversCheckTokens ? longLease : leaseTime, settings.leaseMin);
+    return std::max(settings.serversCheckTokens ? longLeaseTtl : shortLeaseTtl, settings.leaseMin);
 }
 
 store_task::store_task(loop &eventLoop, bus &messages, metadata_store &store, const record_codec &codec,
@@ -94,14 +94,15 @@
     return m_incarnation;
 }
 
-millis store_task::provenUntil() const
+millis store_task::ownershipValidUntil() const
 {
-    return m_lease == 0 ? millis{} : briarhead::provenUntil(m_proof);
+    return m_lease == 0 ? millis{} : briarhead::validUntil(m_proof);
 }
 
-bool store_task::leaseStands() const
+bool store_task::isLeaseValid() const
 {
-    return m_lease != 0 && !m_lastFailed && bootNow() <= m_proof.renewed + m_proof.length - proofMargin;
+    return m_lease != 0 && !m_lastFailed
+        && bootNow() <= m_proof.lastRenewal + m_proof.length - validityMargin;
 }
 
 bool store_task::isOwn(const orderer_record &record) const
@@ -109,16 +110,16 @@
     return record.node == m_settings.node && record.incarnation == m_incarnation;
 }
 
-bool store_task::isUnderLease(const orderer_record &record) const
+bool store_task::isUnderCurrentLease(const orderer_record &record) const
 {
     return m_lease != 0 && record.lease == m_lease;
 }
 
-bool store_task::holdsRecord(const std::string &server) const
+bool store_task::ownsServer(const std::string &server) const
 {
-    const auto found = m_view.orderers.find(server);
-    return found != m_view.orderers.end() && isOwn(found->second.record)
-        && isUnderLease(found->second.record);
+    const auto found = m_view.serverOwners.find(server);
+    return found != m_view.serverOwners.end() && isOwn(found->second.record)
+        && isUnderCurrentLease(found->second.record);
 }
 
 bool store_task::holdsQuotaHome() const
@@ -128,12 +129,12 @@
     });
 }
 
-millis store_task::quotaHomesProvenUntil() const
+millis store_task::quotaHomesValidUntil() const
 {
-    return m_lease == 0 ? millis{} : briarhead::provenUntil(m_quotaProof);
+    return m_lease == 0 ? millis{} : briarhead::validUntil(m_quotaProof);
 }
 
-std::optional<millis> store_task::configKnownAt() const
+std::optional<millis> store_task::configConfirmedAt() const
 {
     return m_configKnownAt;
 }
@@ -144,8 +145,8 @@
     const bool again = std::exchange(m_lastFailed, !answered);
     if (!answered) {
         m_failingSince = again ? m_failingSince : now;
-        doubted(m_proof, now);
-        doubted(m_quotaProof, now);
+        markUncertain(m_proof, now);
+        markUncertain(m_quotaProof, now);
         if (again && m_view.reachable && now - m_view.lastAnswer > awayAfter) {
             m_view.reachable = false;
             m_log.important("store.lost").add("call", call).add("silent_ms", now - m_view.lastAnswer);
@@ -166,7 +167,7 @@
     m_view.lastAnswer = now;
 }
 
-void store_task::setFleet(fleet_calls calls)
+void store_task::setPeerCalls(peer_calls calls)
 {
     m_fleet = std::move(calls);
 }
@@ -182,7 +183,7 @@
     std::erase_if(m_lapsedAt, [this](const auto &each) {
         const bool over = bootNow() - each.second > lapsedLife;
         if (over) {
-            m_view.lapsed.erase(each.first);
+            m_view.expiredDaemons.erase(each.first);
         }
         return over;
     });
@@ -195,7 +196,7 @@
     }
     m_leaseCalling = true;
     const millis asked = bootNow();
-    const millis length = leaseLength(m_settings);
+    const millis length = leaseTtlFor(m_settings);
     m_store.grantLease(length, [this, asked, length](store_status status, std::int64_t lease) {
         heard(status == store_status::Ok, "lease");
         if (status != store_status::Ok || m_leaving) {
@@ -203,8 +204,8 @@
             return;
         }
         m_lease = lease;
-        granted(m_proof, asked, length);
-        granted(m_quotaProof, asked, length);
+        onLeaseGranted(m_proof, asked, length);
+        onLeaseGranted(m_quotaProof, asked, length);
         store_change change;
         const daemon_record record{m_settings.node, m_settings.peers.ip, m_settings.peers.port,
             m_settings.failureDomain, m_incarnation};
@@ -221,7 +222,7 @@
             m_view.daemons[m_settings.node] = record;
             m_view.registeredAt = bootNow();
             publish({});
-            if (m_view.firstRead.count == 0 && !m_reading) {
+            if (m_view.firstReadAt.count == 0 && !m_reading) {
                 readOnceAllRegistered();
             }
         });
@@ -239,35 +240,35 @@
         return;
     }
     const millis asked = bootNow();
-    const bool due = m_lastFailed || asked - m_proof.renewed >= m_renewEvery;
+    const bool due = m_lastFailed || asked - m_proof.lastRenewal >= m_renewEvery;
     if (m_leaseCalling || !due) {
         return;
     }
     m_leaseCalling = true;
-    m_store.keepLease(m_lease, [this, asked](store_status status) {
+    m_store.renewLease(m_lease, [this, asked](store_status status) {
         m_leaseCalling = false;
-        heard(status == store_status::Ok || status == store_status::Missing, "keep");
+        heard(status == store_status::Ok || status == store_status::LeaseNotFound, "keep");
         if (status == store_status::Ok) {
-            renewed(m_proof, asked);
-            renewed(m_quotaProof, asked, m_renewEvery + renewalGapMost);
-            if (m_quotaProof.doubted && holdsQuotaHome()) {
+            onLeaseRenewed(m_proof, asked);
+            onLeaseRenewed(m_quotaProof, asked, m_renewEvery + maxRenewalGap);
+            if (m_quotaProof.uncertain && holdsQuotaHome()) {
                 proveQuotaHomes();
             }
             // Whether the records still stand; servers that check tokens tell themselves.
-            if (m_proof.doubted && !m_reading && !m_settings.serversCheckTokens) {
+            if (m_proof.uncertain && !m_reading && !m_settings.serversCheckTokens) {
                 readAll();
             }
-        } else if (status == store_status::Missing) {
-            m_log.important("lease.lost").add("lease", m_lease).add("kept_ms", asked - m_proof.renewed);
+        } else if (status == store_status::LeaseNotFound) {
+            m_log.important("lease.lost").add("lease", m_lease).add("kept_ms", asked - m_proof.lastRenewal);
             m_lease = 0;
             grantLease();
         }
     });
 }
 
-void store_task::claim(const std::string &server, bool replace)
+void store_task::claimServer(const std::string &server, bool replace)
 {
-    claimRight(detail::ordererPrefix, m_view.orderers, server, replace);
+    claimRight(detail::ordererPrefix, m_view.serverOwners, server, replace);
 }
 
 void store_task::claimQuotaHome(const std::string &shard, bool replace)
@@ -275,12 +276,12 @@
     claimRight(detail::quotaPrefix, m_view.quotaHomes, shard, replace);
 }
 
-bool store_task::isCutOffAlone() const
+bool store_task::isStoreUnreachableLocallyOnly() const
 {
-    return m_lastFailed && newsFresh() && m_newsAt > m_failingSince + readerWait;
+    return m_lastFailed && newsFresh() && m_newsAt > m_failingSince + readerWatchTimeout;
 }
 
-void store_task::settleQuotaHome(const std::string &shard)
+void store_task::confirmPredecessorExpired(const std::string &shard)
 {
     const auto known = m_view.quotaHomes.find(shard);
     if (known != m_view.quotaHomes.end() && isOwn(known->second.record)) {
@@ -289,7 +290,7 @@
 }
 
 void store_task::claimRight(
-    const std::string &prefix, right_map &rights, const std::string &name, bool replace)
+    const std::string &prefix, ownership_map &rights, const std::string &name, bool replace)
 {
     const auto known = rights.find(name);
     const bool others = known != rights.end() && !known->second.record.node.empty()
@@ -301,7 +302,8 @@
 
 /// Writes this daemon's name in place of the record as it is known here. `rights` is a part of the view, as
 /// long as this task.
-void store_task::putRight(const std::string &prefix, right_map &rights, const std::string &name, bool settled)
+void store_task::putRight(
+    const std::string &prefix, ownership_map &rights, const std::string &name, bool settled)
 {
     const std::string key = prefix + name;
     if (m_lease == 0 || m_leaving || m_claiming.count(key) != 0 || bootNow() < m_claimAfter) {
@@ -312,7 +314,7 @@
     store_change change;
     change.expected.emplace_back(key, revision);
     const orderer_record record{m_settings.node, m_incarnation, m_lease};
-    const bool server = &rights == &m_view.orderers;
+    const bool server = &rights == &m_view.serverOwners;
     change.puts.push_back(
         {key, server ? encode(record) : encode(quota_home_record{record, settled}), m_lease});
     m_claiming.insert(key);
@@ -324,7 +326,7 @@
                 .add(server ? "server" : "shard", name)
                 .add("outcome", status == store_status::Ok ? "taken" : "not taken")
                 .add("fence", changed);
-            if (status == store_status::Missing) {
+            if (status == store_status::LeaseNotFound) {
                 m_lease = 0;
             }
             if (status == store_status::Refused || status == store_status::Unknown) {
@@ -360,12 +362,12 @@
             const bool stands = found != present.end() && found->second == each.second.revision;
             return !stands && isOwn(each.second.record) && each.second.revision <= read.revision;
         });
-        confirmed(m_quotaProof, asked);
+        onRecordsRead(m_quotaProof, asked);
         publish({});
     });
 }
 
-void store_task::keepCrash(
+void store_task::writeCrashRecord(
     const std::string &fingerprint, const crash_record &record, std::function<void(bool)> done)
 {
     store_change change;
@@ -373,7 +375,7 @@
     changeCrash(fingerprint, std::move(change), std::move(done));
 }
 
-void store_task::dropCrash(const std::string &fingerprint)
+void store_task::removeCrashRecord(const std::string &fingerprint)
 {
     if (m_view.crashes.count(fingerprint) == 0) {
         return;
@@ -409,25 +411,25 @@
     });
 }
 
-void store_task::leave()
+void store_task::releaseRecords()
 {
     m_leaving = true;
     store_change change;
     change.removes.push_back(detail::daemonPrefix + m_settings.node);
     constexpr std::size_t maxEntries = 30; // of the store's 32 in one change
-    const auto giveUp = [&](const std::string &prefix, const right_map &rights) {
+    const auto giveUp = [&](const std::string &prefix, const ownership_map &rights) {
         for (const auto &[name, entry] : rights) {
             if (isOwn(entry.record) && change.puts.size() + change.expected.size() < maxEntries) {
                 change.expected.emplace_back(prefix + name, entry.revision);
                 change.puts.push_back({prefix + name,
-                    &rights == &m_view.orderers ? encode(orderer_record{})
-                                                : encode(quota_home_record{{}, entry.settled}),
+                    &rights == &m_view.serverOwners ? encode(orderer_record{})
+                                                    : encode(quota_home_record{{}, entry.settled}),
                     0});
             }
         }
     };
     giveUp(detail::quotaPrefix, m_view.quotaHomes);
-    giveUp(detail::ordererPrefix, m_view.orderers);
+    giveUp(detail::ordererPrefix, m_view.serverOwners);
     m_store.change(change, [this](store_status status, std::int64_t revision) {
         m_log.important("records.given_up")
             .add("outcome", status == store_status::Ok ? "done" : "not done")
--- a/packages/serving/store_task.h
+++ b/packages/serving/store_task.h
@@ -2,11 +2,11 @@
 
 #include "protocol/fleet_messages.h"
 #include "serving/decision_log.h"
+#include "serving/lease_validity.h"
 #include "serving/metadata_store.h"
 #include "serving/node_settings.h"
-#include "serving/order_right.h"
-#include "serving/store_pace.h"
 #include "serving/store_records.h"
+#include "serving/store_timing.h"
 #include "transport/bus.h"
 #include "transport/loop.h"
 
@@ -22,16 +22,16 @@
 namespace briarhead {
 
 /// A right that one daemon at a time has, under its lease.
-struct orderer_entry
+struct ownership_entry
 {
     orderer_record record;
     std::int64_t revision = 0;
     bool settled = false; ///< of a quota home: see quota_home_record
 };
 
-using right_map = std::map<std::string, orderer_entry>; ///< by what the right is over
+using ownership_map = std::map<std::string, ownership_entry>; ///< by what the right is over
 
-struct stored_crash
+struct stored_crash_record
 {
     crash_record record;
     std::int64_t revision = 0;
@@ -46,13 +46,13 @@
     daemon_map daemons; ///< this one is among them
     /// Whose record went lately. Most of them are cut off from the store or end, not from the others, and
     /// have callers: they are told and answered all the same.
-    daemon_map lapsed;
-    right_map orderers; ///< by server id
-    right_map quotaHomes; ///< by number of a shard of client accounts, as text
-    std::map<std::string, stored_crash> crashes; ///< by fingerprint
+    daemon_map expiredDaemons;
+    ownership_map serverOwners; ///< by server id
+    ownership_map quotaHomes; ///< by number of a shard of client accounts, as text
+    std::map<std::string, stored_crash_record> crashes; ///< by fingerprint
     millis registeredAt; ///< when this daemon's record was last put there
     millis lastAnswer; ///< of the store
-    millis firstRead; ///< when all keys were read first
+    millis firstReadAt; ///< when all keys were read first
     bool reachable = false;
 };
 
@@ -62,19 +62,20 @@
 
 /// On servers that check no tokens a dead daemon is replaced after its lease; the shortest that bears a lost
 /// renewal or two.
-constexpr millis leaseTime{2'500};
+constexpr millis shortLeaseTtl{2'500};
 /// On those that check them it is replaced once it is silent (see peer_hearing.h), so its lease only has to
 /// end at all. At 195 daemons renewals every 800 ms were half of the price of all store calls, 0.024 of a
 /// quiet day's worth.
-constexpr millis longLease{6'000};
-millis leaseLength(const node_settings &settings);
+constexpr millis longLeaseTtl{6'000};
+millis leaseTtlFor(const node_settings &settings);
 
 /// Posted after each change of the view.
 struct view_changed
 {
     bool config = false;
-    std::vector<std::string> goneServers; ///< also one that has started again under its id: it holds nothing
-    std::vector<std::string> endedServers; ///< of these, those that had not said that they leave
+    std::vector<std::string>
+        removedServers; ///< also one that has started again under its id: it holds nothing
+    std::vector<std::string> crashedServers; ///< of these, those that had not said that they leave
     std::vector<std::string> crashes; ///< fingerprints whose record is new or gone
 };
 
@@ -89,52 +90,52 @@
     std::uint64_t incarnation() const;
     /// How this daemon speaks to the others of its failure domain: `send` a datagram to a node, `fetch` the
     /// news after a revision from one.
-    struct fleet_calls
+    struct peer_calls
     {
         std::function<void(const std::vector<std::string> &nodes, const store_news &news)> send;
         std::function<void(
             const std::string &node, std::int64_t after, std::function<void(std::optional<store_news>)> done)>
             fetch;
     };
-    void setFleet(fleet_calls calls);
-    void onNews(const std::string &reader, const store_news &news);
+    void setPeerCalls(peer_calls calls);
+    void onStoreUpdate(const std::string &reader, const store_news &news);
     /// The news after a revision, for a daemon that fetches them.
-    store_news newsAfter(std::int64_t revision) const;
+    store_news updatesAfter(std::int64_t revision) const;
     /// Until when this daemon can prove that its orderer records stand; see order_right.h.
-    millis provenUntil() const;
+    millis ownershipValidUntil() const;
     /// Whether this process put the record there, and whether that was under the lease in force, the one that
     /// the proof is about.
     bool isOwn(const orderer_record &record) const;
-    bool isUnderLease(const orderer_record &record) const;
+    bool isUnderCurrentLease(const orderer_record &record) const;
     /// Whether the view has such a record of a server. Asked anew before each order: a lease that has been
     /// lost and granted again proves nothing of records of before.
-    bool holdsRecord(const std::string &server) const;
+    bool ownsServer(const std::string &server) const;
     /// Whether the lease lives by this daemon's clock, and the store's latest answer came. Without a reading
     /// this proves no record: another daemon may have replaced it a moment ago.
-    bool leaseStands() const;
+    bool isLeaseValid() const;
     /// Whether this daemon follows the store itself.
     bool isReader() const;
     /// Claims the right to give a server's orders if nobody else has it, or also from one that has it. The
     /// view tells how it ended.
-    void claim(const std::string &server, bool replace = false);
+    void claimServer(const std::string &server, bool replace = false);
     /// The same for the home of a shard of client accounts.
     void claimQuotaHome(const std::string &shard, bool replace = false);
     /// Notes in this daemon's record that whoever was the home before gives nothing any more.
-    void settleQuotaHome(const std::string &shard);
+    void confirmPredecessorExpired(const std::string &shard);
     /// Whether the store fails this daemon's calls while others reach it: a reader speaks of it.
-    bool isCutOffAlone() const;
+    bool isStoreUnreachableLocallyOnly() const;
     /// Until when this daemon can prove that its records of quota homes stand. Unlike orders, what a home
     /// gives is checked by nobody else, so that a doubt ends the proof until a reading has shown the records.
-    millis quotaHomesProvenUntil() const;
+    millis quotaHomesValidUntil() const;
     /// When this daemon last knew that its configuration is the newest; nothing: it never did.
-    std::optional<millis> configKnownAt() const;
+    std::optional<millis> configConfirmedAt() const;
     /// Writes which servers ended under a request, in place of the record that the view has, or of none;
     /// nothing is done if another daemon was faster. `done`, never from inside, says whether it stands.
-    void keepCrash(
+    void writeCrashRecord(
         const std::string &fingerprint, const crash_record &record, std::function<void(bool)> done);
-    void dropCrash(const std::string &fingerprint);
+    void removeCrashRecord(const std::string &fingerprint);
     /// Gives up all of this daemon's records, for a shutdown.
-    void leave();
+    void releaseRecords();
 
 private:
     void readAll();
@@ -158,9 +159,9 @@
     void takeDaemon(const stored_item &item);
     void takeOrderer(const stored_item &item);
     void takeQuotaHome(const stored_item &item);
-    static void keepRight(right_map &rights, const std::string &name, const orderer_entry &entry);
-    void claimRight(const std::string &prefix, right_map &rights, const std::string &name, bool replace);
-    void putRight(const std::string &prefix, right_map &rights, const std::string &name, bool settled);
+    static void keepRight(ownership_map &rights, const std::string &name, const ownership_entry &entry);
+    void claimRight(const std::string &prefix, ownership_map &rights, const std::string &name, bool replace);
+    void putRight(const std::string &prefix, ownership_map &rights, const std::string &name, bool settled);
     void proveQuotaHomes();
     void takeCrash(const stored_item &item, view_changed &change);
     void changeCrash(const std::string &fingerprint, store_change change, std::function<void(bool)> done);
@@ -191,7 +192,7 @@
     std::int64_t m_lease = 0;
     bool m_leaseCalling = false;
     bool m_leaving = false;
-    fleet_calls m_fleet;
+    peer_calls m_fleet;
     std::map<std::string, stored_item> m_items; ///< all there are, for those that fetch them
     std::deque<stored_item> m_recent; ///< the latest changes, oldest first
     std::int64_t m_recentFrom = 0; ///< `m_recent` holds all changes after this revision
@@ -200,8 +201,8 @@
     std::uint64_t m_fetchRound = 0;
     std::shared_ptr<void> m_fetchTimer;
     std::uint64_t m_watchRound = 0; ///< number of the watch that counts; others are outdated
-    lease_proof m_proof;
-    lease_proof m_quotaProof; ///< that the records of quota homes stand
+    lease_validity m_proof;
+    lease_validity m_quotaProof; ///< that the records of quota homes stand
     bool m_provingQuota = false;
     std::optional<millis> m_configKnownAt;
     bool m_reading = false; ///< a reading of all keys is on its way
--- a/packages/serving/store_follow.cpp
+++ b/packages/serving/store_watch.cpp
@@ -58,12 +58,12 @@
         }
         m_refusals = 0;
         // A reading is as good as news for a moment: readers get their turn before a watch is paid for.
-        m_newsAt = bootNow() - newsLife + firstNews;
+        m_newsAt = bootNow() - maxUpdateAge + firstUpdateGrace;
         if (read.revision >= m_revision) { // else news of later changes came while it was on its way
             takeAll(read);
         }
-        confirmed(m_proof, asked);
-        confirmed(m_quotaProof, asked);
+        onRecordsRead(m_proof, asked);
+        onRecordsRead(m_quotaProof, asked);
         m_configKnownAt = bootNow();
         follow();
     });
@@ -109,8 +109,8 @@
     }
     dropMissing(present, change);
     m_revision = read.revision;
-    if (m_view.firstRead.count == 0) {
-        m_view.firstRead = bootNow();
+    if (m_view.firstReadAt.count == 0) {
+        m_view.firstReadAt = bootNow();
     }
     m_recent.clear();
     m_recentFrom = m_revision;
@@ -139,7 +139,7 @@
 
 bool store_task::newsFresh() const
 {
-    return m_newsAt.count != 0 && bootNow() - m_newsAt < newsLife;
+    return m_newsAt.count != 0 && bootNow() - m_newsAt < maxUpdateAge;
 }
 
 void store_task::sendNews(std::int64_t from, const std::vector<stored_item> &items)
@@ -158,7 +158,7 @@
         news.fetch = true;
     }
     std::vector<std::string> others = domainPeers();
-    for (const auto &[node, record] : m_view.lapsed) {
+    for (const auto &[node, record] : m_view.expiredDaemons) {
         if (record.failureDomain == m_settings.failureDomain) {
             others.push_back(node);
         }
@@ -169,7 +169,7 @@
     }
 }
 
-store_news store_task::newsAfter(std::int64_t revision) const
+store_news store_task::updatesAfter(std::int64_t revision) const
 {
     store_news news{revision, m_revision, false, revision < m_recentFrom, {}};
     if (news.whole) {
@@ -186,7 +186,7 @@
     return news;
 }
 
-void store_task::onNews(const std::string &reader, const store_news &news)
+void store_task::onStoreUpdate(const std::string &reader, const store_news &news)
 {
     if (m_leaving || m_revision == 0 || news.to < m_revision) {
         return; // an outdated reader is no sign that the store was heard
@@ -247,7 +247,7 @@
 
 // Guards against: a reader that speaks while what it has can't be fetched, over a connection that went
 // silent. It showed as a daemon that served an old configuration for seconds. Only news that were taken in
-// count as heard, so that such a daemon follows the store itself after newsLife.
+// count as heard, so that such a daemon follows the store itself after maxUpdateAge.
 
 /// Follows the store itself, or listens to the readers of its failure domain while they speak.
 void store_task::follow()
@@ -268,7 +268,7 @@
 {
     const std::uint64_t round = ++m_watchRound;
     const bool listenedTo = isReader() && domainPeers().size() > readersPerDomain;
-    const millis wait = listenedTo ? readerWait : watchWait;
+    const millis wait = listenedTo ? readerWatchTimeout : watchTimeout;
     m_store.watch("", m_revision, wait, [this, round](const store_read &read) {
         heard(read.status == store_status::Ok || read.status == store_status::HistoryGone, "watch");
         if (round != m_watchRound || m_leaving) {
--- a/packages/serving/word_task.cpp
+++ b/packages/serving/word_task.cpp
@@ -44,7 +44,7 @@
     , m_log(log)
 {
     m_bus.on<view_changed>([this](const view_changed &change) {
-        for (const std::string &server : change.goneServers) {
+        for (const std::string &server : change.removedServers) {
             m_words.limits.erase(server);
         }
     });
@@ -118,8 +118,8 @@
         return;
     }
     m_bus.post(server_closed{server});
-    const auto holder = m_store.view().orderers.find(server);
-    if (holder != m_store.view().orderers.end()) {
+    const auto holder = m_store.view().serverOwners.find(server);
+    if (holder != m_store.view().serverOwners.end()) {
         tell({server, start, meta.leaving, meta.pause.count, false}, {holder->second.record.node}, 1);
     }
     if (leaves) {
@@ -164,7 +164,7 @@
 std::vector<std::string> word_task::peers() const
 {
     std::vector<std::string> nodes = nodesOf(m_store.view().daemons);
-    for (const auto &[node, record] : m_store.view().lapsed) {
+    for (const auto &[node, record] : m_store.view().expiredDaemons) {
         nodes.push_back(node);
     }
     return nodes;
--- a/tests/load_model/load_model.cpp
+++ b/tests/load_model/load_model.cpp
@@ -2,7 +2,7 @@
 
 #include "serving/choose_server.h"
 #include "serving/heard_server.h"
-#include "serving/place_desk.h"
+#include "serving/slot_scheduler.h"
 
 #include <algorithm>
 #include <array>
@@ -67,7 +67,7 @@
 {
     std::string id;
     std::size_t domain = 0;
-    place_desk desk;
+    slot_scheduler desk;
     load_pace pace; ///< of its orderer
     engine_model engine;
     std::set<std::string> resident;
@@ -150,11 +150,11 @@
         server.engine.figures = plan.engine;
         server.engine.slowness = plan.slowness[i % plan.slowness.size()];
         server.desk.ledger.server = server.id;
-        server.desk.ledger.places = plan.places;
+        server.desk.ledger.slots = plan.places;
         server.desk.ledger.weightsMb = 1;
-        server.desk.ledger.proved = true;
+        server.desk.ledger.confirmed = true;
         server.desk.ledger.models = {baseModel};
-        server.desk.queue.slots = plan.engine.slots;
+        server.desk.queue.maxRunning = plan.engine.slots;
         server.desk.queue.memoryTokens = plan.engine.memoryTokens;
         m_servers.push_back(std::move(server));
     }
@@ -342,7 +342,7 @@
     const place_ask ask{one.id, server.id, baseModel, what.adapter, what.promptTokens, announced, kind.rank,
         std::max<std::int64_t>(wait.count, 0), what.atMs + kind.deadlineMs - m_nowMs,
         m_plan.targetMs - waited.count};
-    const place_answer answer = askDesk(server.desk, std::to_string(what.entry), ask, now());
+    const place_answer answer = handleSlotRequest(server.desk, std::to_string(what.entry), ask, now());
     if (answer.verdict == place_verdict::Queued) {
         pump(*chosen);
     } else {
@@ -441,13 +441,13 @@
         request &one = found->second;
         if (event.first) {
             one.firstMs = event.atMs;
-            takeNote(server.desk, {event.id, server.id, place_event::FirstToken}, now());
+            onRequestEvent(server.desk, {event.id, server.id, place_event::FirstToken}, now());
         } else {
             one.worstGapMs = std::max(one.worstGapMs, event.atMs - one.lastMs);
         }
         one.lastMs = event.atMs;
         if (event.last) {
-            takeNote(server.desk, {event.id, server.id, place_event::Ended}, now());
+            onRequestEvent(server.desk, {event.id, server.id, place_event::Ended}, now());
             finish(event.id, true);
         }
     }
@@ -516,18 +516,18 @@
     if (server.lost) {
         return;
     }
-    followPace(server.desk, server.pace, now());
+    updateLoadTimes(server.desk, server.pace, now());
     dropExpired(server.desk, now());
-    order_limits limits;
+    order_constraints limits;
     limits.models = &m_models;
     for (int i = 0; i < 4; ++i) {
         const auto order = orderDue(server.desk, limits, now());
         if (!order) {
             break;
         }
-        takeAnswer(server.desk.ledger, *order, carryOut(server, *order), now());
+        onOrderResponse(server.desk.ledger, *order, carryOut(server, *order), now());
     }
-    for (const desk_answer &each : answersDue(server.desk, now())) {
+    for (const addressed_response &each : dueResponses(server.desk, now())) {
         onAnswer(each.answer);
     }
 }
@@ -537,7 +537,7 @@
 {
     int underWay = 0;
     for (const model_server &server : m_servers) {
-        underWay += loadsUnderWay(server.desk.ledger);
+        underWay += loadsInProgress(server.desk.ledger);
     }
     for (model_server &server : m_servers) {
         server.pace.crowd = underWay;
@@ -551,7 +551,7 @@
 {
     tellLoads();
     for (std::size_t i = 0; i < m_servers.size(); ++i) {
-        const server_beat beat = beatOf(m_servers[i].desk, true, now());
+        const server_beat beat = serverHeartbeat(m_servers[i].desk, true, now());
         for (std::size_t entry = 0; entry < m_heard.size(); ++entry) {
             const bool near = m_servers[i].domain == entry % m_plan.domains;
             if (near || m_nowMs % farBeatEveryMs == 0 || m_heard[entry][i].at.count == 0) {
@@ -608,7 +608,7 @@
         if (found->second.server) {
             model_server &server = m_servers[*found->second.server];
             dropRun(server.engine, id);
-            takeNote(server.desk, {id, server.id, place_event::Ended}, now());
+            onRequestEvent(server.desk, {id, server.id, place_event::Ended}, now());
         }
         finish(id, false);
     }
--- a/tests/load_model/load_model.h
+++ b/tests/load_model/load_model.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "load_model/engine_model.h"
-#include "serving/place_queue.h"
+#include "serving/slot_queue.h"
 
 #include <cstdint>
 #include <map>
@@ -9,7 +9,7 @@
 #include <vector>
 
 // A day's load on model servers, played in seconds against the decisions that serve callers: the same
-// place_desk, heard_server and choose_server, with engines, weight store, network and callers reduced to
+// slot_scheduler, heard_server and choose_server, with engines, weight store, network and callers reduced to
 // arithmetic. For comparing policies; what it leaves out stands in docs/MEASUREMENTS.md.
 namespace briarhead::load_model {
 
--- a/tests/serving/account_test.cpp
+++ b/tests/serving/account_test.cpp
@@ -147,13 +147,13 @@
         return !peer->receive(seen);
     }));
     EXPECT_EQ(seen.find("very-secret-key"), std::string::npos);
-    const std::string hidden = platform::hideKeys(m_store.items["op/config"].value);
+    const std::string hidden = platform::hashAccountKeys(m_store.items["op/config"].value);
     EXPECT_EQ(hidden.find("very-secret-key"), std::string::npos);
     error why;
     const auto config = platform::readConfig(hidden, why);
     ASSERT_TRUE(config) << message(why);
     EXPECT_EQ(config->accountOfKey.count(keyHash("very-secret-key")), 1U);
-    EXPECT_EQ(platform::hideKeys(R"({"apiKeys": ["half of a)"), "");
+    EXPECT_EQ(platform::hashAccountKeys(R"({"apiKeys": ["half of a)"), "");
 }
 
 // A daemon that hears of no changes can't know whether keys were withdrawn. Where the operator asks for it,
@@ -166,10 +166,10 @@
     m_settings.withdrawnKnown = millis{3'000};
     start();
     EXPECT_EQ(statusOf(answerTo("/once/x")), "200");
-    m_client.trouble = store_trouble::Refuses;
+    m_client.fault = store_fault::RefusesCalls;
     triesUntil("/once/x", "503");
     EXPECT_EQ(statusOf(answerTo("/open/x")), "200");
-    m_client.trouble = store_trouble::None;
+    m_client.fault = store_fault::None;
     triesUntil("/once/x", "200");
 }
 
@@ -297,7 +297,7 @@
     const json odd{{"name", bytes.empty() ? "x" : "n"},
         {"apiKeys", json::array({1, nullptr, json::array({"k"})})}, {"ratePerS", nullptr}};
     (void)configWith(json::array({odd, 7}), why);
-    (void)platform::hideKeys("{\"tenants\":[" + bytes + "],\"apiKeys\":1}");
+    (void)platform::hashAccountKeys("{\"tenants\":[" + bytes + "],\"apiKeys\":1}");
 }
 
 }
--- a/tests/serving/beat_cells_test.cpp
+++ b/tests/serving/beat_cells_test.cpp
@@ -46,7 +46,7 @@
 }
 
 /// The beats of one daemon that gives the orders of `servers`.
-fleet_beat beatOf(const std::vector<std::string> &servers)
+fleet_beat serverHeartbeat(const std::vector<std::string> &servers)
 {
     fleet_beat beat;
     for (const std::string &server : servers) {
@@ -59,7 +59,8 @@
 std::multiset<std::string> hearers(const fleet &of, const daemon_record &orderer, const std::string &server)
 {
     std::multiset<std::string> heard;
-    for (const beat_parcel &parcel : dealBeats(of.shape(), orderer, beatOf({server}), relayedRounds)) {
+    for (const beat_parcel &parcel :
+        dealBeats(of.shape(), orderer, serverHeartbeat({server}), relayedRounds)) {
         for (const daemon_record *to : parcel.to) {
             heard.insert(to->node);
             if (parcel.beat.relay) {
@@ -81,7 +82,7 @@
     for (const auto &[node, record] : of.daemons) {
         for (std::size_t i = 0; i * daemons < servers; ++i) {
             const std::string &server = of.servers[next++ % servers];
-            fleet_beat beat = beatOf({server});
+            fleet_beat beat = serverHeartbeat({server});
             if (limited) {
                 beat.limits.push_back({server, 1'700, 580});
             }
--- a/tests/serving/crash_task_test.cpp
+++ b/tests/serving/crash_task_test.cpp
@@ -47,7 +47,7 @@
                 }
             },
             why);
-        followStore(messages, store, crashes);
+        subscribeToStore(messages, store, crashes);
         messages.on<request_blocked>([this](const request_blocked &) {
             ++blockedTold;
         });
@@ -242,13 +242,13 @@
     loseAnswer(1, "s2", true);
     ASSERT_TRUE(allDaemons(knowsTwo));
     for (const auto &one : m_daemons) {
-        one->client.trouble = store_trouble::Refuses;
+        one->client.fault = store_fault::RefusesCalls;
     }
     loseAnswer(2, "s3", true);
     EXPECT_TRUE(allDaemons(blocks));
     EXPECT_EQ(stored().servers.size(), 2U);
     for (const auto &one : m_daemons) {
-        one->client.trouble = store_trouble::None;
+        one->client.fault = store_fault::None;
     }
     EXPECT_TRUE(runUntil([this] {
         return stored().servers.size() == 3;
--- a/tests/serving/decisions_test.cpp
+++ b/tests/serving/decisions_test.cpp
@@ -1,10 +1,10 @@
 #include "serving/choose_server.h"
 #include "serving/event_stream.h"
 #include "serving/heard_server.h"
-#include "serving/place_queue.h"
 #include "serving/repeat_budget.h"
 #include "serving/server_ledger.h"
 #include "serving/serving_config.h"
+#include "serving/slot_queue.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -26,10 +26,10 @@
         arrived + millis{5'000}, arrived + millis{1'000}};
 }
 
-place_queue queueOf(int slots = 64, std::int64_t memory = 120'000)
+slot_queue queueOf(int slots = 64, std::int64_t memory = 120'000)
 {
-    place_queue queue;
-    queue.slots = slots;
+    slot_queue queue;
+    queue.maxRunning = slots;
     queue.memoryTokens = memory;
     return queue;
 }
@@ -39,11 +39,11 @@
     return true;
 }
 
-std::vector<std::string> letInNow(place_queue &queue, millis now)
+std::vector<std::string> letInNow(slot_queue &queue, millis now)
 {
     std::vector<waiting_prompt> late;
     std::vector<std::string> ids;
-    for (const waiting_prompt &one : letIn(queue, always, late, now)) {
+    for (const waiting_prompt &one : admitReady(queue, always, late, now)) {
         ids.push_back(one.id);
     }
     return ids;
@@ -56,21 +56,21 @@
 // turn.
 TEST(PlaceQueue, LetsInOnlyWhatKeepsTheServerReading)
 {
-    place_queue queue = queueOf();
+    slot_queue queue = queueOf();
     for (int i = 0; i < 4; ++i) {
-        EXPECT_TRUE(admit(queue, prompt("p" + std::to_string(i), 2'000, start), start).taken);
+        EXPECT_TRUE(enqueue(queue, prompt("p" + std::to_string(i), 2'000, start), start).accepted);
     }
     EXPECT_EQ(letInNow(queue, start).size(), 1U) << "170 ms at 14 tokens a ms are 2,380 tokens";
-    firstToken(queue, "p0", start + millis{140});
+    onFirstToken(queue, "p0", start + millis{140});
     EXPECT_EQ(letInNow(queue, start + millis{140}), std::vector<std::string>{"p1"});
 }
 
 // The largest prompts are over the window by themselves. A user with one would never be served.
 TEST(PlaceQueue, ThePromptLargerThanTheWindowGoesAloneAndIsNotOvertakenForEver)
 {
-    place_queue queue = queueOf();
-    ASSERT_TRUE(admit(queue, prompt("large", 7'000, start), start).taken);
-    ASSERT_TRUE(admit(queue, prompt("small", 300, start + millis{1}), start).taken);
+    slot_queue queue = queueOf();
+    ASSERT_TRUE(enqueue(queue, prompt("large", 7'000, start), start).accepted);
+    ASSERT_TRUE(enqueue(queue, prompt("small", 300, start + millis{1}), start).accepted);
     EXPECT_EQ(letInNow(queue, start), std::vector<std::string>{"large"});
     EXPECT_TRUE(letInNow(queue, start).empty()) << "what reads stutters under more";
 }
@@ -78,23 +78,23 @@
 // A queue is longer than a caller can wait. It is told so at once, not when its time is over.
 TEST(PlaceQueue, RefusesAtOnceWhatWouldComeTooLate)
 {
-    place_queue queue = queueOf();
+    slot_queue queue = queueOf();
     int taken = 0;
     for (int i = 0; i < 30; ++i) {
-        taken += admit(queue, prompt("p" + std::to_string(i), 2'000, start), start).taken ? 1 : 0;
+        taken += enqueue(queue, prompt("p" + std::to_string(i), 2'000, start), start).accepted ? 1 : 0;
     }
     EXPECT_EQ(taken, 6) << "750 ms at 14 tokens a ms, and the one whose turn comes right then";
-    const admission refused = admit(queue, prompt("q", 2'000, start), start);
-    EXPECT_FALSE(refused.taken);
+    const enqueue_result refused = enqueue(queue, prompt("q", 2'000, start), start);
+    EXPECT_FALSE(refused.accepted);
     EXPECT_GT(refused.wait.count, 750);
 }
 
 TEST(PlaceQueue, TheMostUrgentGoesFirstThenWhoCameFirst)
 {
-    place_queue queue = queueOf();
-    ASSERT_TRUE(admit(queue, prompt("late", 100, start + millis{2}, 1), start).taken);
-    ASSERT_TRUE(admit(queue, prompt("early", 100, start, 1), start).taken);
-    ASSERT_TRUE(admit(queue, prompt("urgent", 100, start + millis{3}, 0), start).taken);
+    slot_queue queue = queueOf();
+    ASSERT_TRUE(enqueue(queue, prompt("late", 100, start + millis{2}, 1), start).accepted);
+    ASSERT_TRUE(enqueue(queue, prompt("early", 100, start, 1), start).accepted);
+    ASSERT_TRUE(enqueue(queue, prompt("urgent", 100, start + millis{3}, 0), start).accepted);
     EXPECT_EQ(letInNow(queue, start + millis{3}), (std::vector<std::string>{"urgent", "early", "late"}));
 }
 
@@ -103,7 +103,7 @@
 // would wait in vain; so those who can still be on time go before those who can't.
 TEST(PlaceQueue, AnOverloadedServerKeepsMostOnTime)
 {
-    place_queue queue = queueOf();
+    slot_queue queue = queueOf();
     constexpr std::int64_t tokens = 2'000;
     constexpr millis readTime{140}; // 2,000 tokens at the 14 tokens a ms assumed at first
     int onTime = 0;
@@ -112,17 +112,17 @@
     millis readingEnds;
     for (millis now = start; now < start + millis{10'000}; now = now + millis{10}) {
         if (!reading.empty() && now >= readingEnds) {
-            const waiting_prompt done = queue.running.at(reading).what;
+            const waiting_prompt done = queue.running.at(reading).prompt;
             onTime += now <= done.targetAt ? 1 : 0;
             ++read;
-            firstToken(queue, reading, now);
-            (void)ended(queue, reading, now);
+            onFirstToken(queue, reading, now);
+            (void)removePrompt(queue, reading, now);
             reading.clear();
         }
         if ((now - start).count % 110 == 0) { // 1.27 times what the server can read
             waiting_prompt next = prompt("p" + std::to_string(now.count), tokens, now);
             next.startBy = now + millis{1'400}; // served late rather than not at all
-            (void)admit(queue, next, now);
+            (void)enqueue(queue, next, now);
         }
         const auto in = letInNow(queue, now);
         ASSERT_LE(in.size(), 1U);
@@ -138,56 +138,56 @@
 // A more urgent kind is never behind a less urgent one, also when it is late already.
 TEST(PlaceQueue, AnUrgentPromptThatIsLateGoesBeforeALessUrgentOneThatIsNot)
 {
-    place_queue queue = queueOf();
+    slot_queue queue = queueOf();
     waiting_prompt late = prompt("late", 100, start, 0);
     late.targetAt = start;
-    ASSERT_TRUE(admit(queue, prompt("ordinary", 100, start, 1), start).taken);
-    ASSERT_TRUE(admit(queue, late, start).taken);
+    ASSERT_TRUE(enqueue(queue, prompt("ordinary", 100, start, 1), start).accepted);
+    ASSERT_TRUE(enqueue(queue, late, start).accepted);
     EXPECT_EQ(letInNow(queue, start), (std::vector<std::string>{"late", "ordinary"}));
 }
 
 TEST(PlaceQueue, NeverFillsMemoryOrSlots)
 {
-    place_queue queue = queueOf(2, 5'000);
+    slot_queue queue = queueOf(2, 5'000);
     for (int i = 0; i < 4; ++i) {
-        ASSERT_TRUE(admit(queue, prompt("p" + std::to_string(i), 100, start), start).taken);
+        ASSERT_TRUE(enqueue(queue, prompt("p" + std::to_string(i), 100, start), start).accepted);
     }
     EXPECT_EQ(letInNow(queue, start).size(), 2U);
-    place_queue tight = queueOf(64, 1'000);
-    ASSERT_TRUE(admit(tight, prompt("a", 700, start), start).taken);
-    ASSERT_TRUE(admit(tight, prompt("b", 300, start), start).taken);
+    slot_queue tight = queueOf(64, 1'000);
+    ASSERT_TRUE(enqueue(tight, prompt("a", 700, start), start).accepted);
+    ASSERT_TRUE(enqueue(tight, prompt("b", 300, start), start).accepted);
     EXPECT_EQ(letInNow(tight, start).size(), 1U);
 }
 
 // Word of an end is a datagram and may be lost. A user would see a server that looks full for ever.
 TEST(PlaceQueue, AGrantWhoseEndWasLostEndsByItsDeadline)
 {
-    place_queue queue = queueOf();
-    ASSERT_TRUE(admit(queue, prompt("a", 100, start), start).taken);
+    slot_queue queue = queueOf();
+    ASSERT_TRUE(enqueue(queue, prompt("a", 100, start), start).accepted);
     ASSERT_EQ(letInNow(queue, start).size(), 1U);
-    EXPECT_TRUE(expired(queue, start + millis{5'000}).empty());
-    EXPECT_EQ(expired(queue, start + millis{6'000}).size(), 1U);
+    EXPECT_TRUE(removeExpired(queue, start + millis{5'000}).empty());
+    EXPECT_EQ(removeExpired(queue, start + millis{6'000}).size(), 1U);
     EXPECT_TRUE(queue.running.empty());
 }
 
 TEST(PlaceQueue, LearnsHowFastAServerReads)
 {
-    place_queue queue = queueOf();
+    slot_queue queue = queueOf();
     millis now = start;
     for (int i = 0; i < 40; ++i) {
         const std::string id = "p" + std::to_string(i);
-        ASSERT_TRUE(admit(queue, prompt(id, 2'000, now), now).taken);
+        ASSERT_TRUE(enqueue(queue, prompt(id, 2'000, now), now).accepted);
         ASSERT_EQ(letInNow(queue, now).size(), 1U);
         now = now + millis{400}; // a slow server: 5 tokens a ms
-        firstToken(queue, id, now);
-        ASSERT_TRUE(ended(queue, id, now));
+        onFirstToken(queue, id, now);
+        ASSERT_TRUE(removePrompt(queue, id, now));
     }
-    EXPECT_NEAR(queue.speed, 5, 0.5);
+    EXPECT_NEAR(queue.tokensPerMs, 5, 0.5);
 }
 
 RC_GTEST_PROP(PlaceQueue, CountsEachPromptOnce, ())
 {
-    place_queue queue = queueOf();
+    slot_queue queue = queueOf();
     std::set<std::string> open;
     millis now = start;
     for (int i = 0; i < 60; ++i) {
@@ -195,20 +195,20 @@
         now = now + millis{*rc::gen::inRange(0, 40)};
         switch (*rc::gen::inRange(0, 3)) {
         case 0:
-            if (admit(queue, prompt(id, *rc::gen::inRange(1, 3'000), now), now).taken) {
+            if (enqueue(queue, prompt(id, *rc::gen::inRange(1, 3'000), now), now).accepted) {
                 open.insert(id);
             }
             break;
         case 1: {
             std::vector<waiting_prompt> late;
-            letIn(queue, always, late, now);
+            admitReady(queue, always, late, now);
             for (const waiting_prompt &one : late) {
                 open.erase(one.id);
             }
             break;
         }
         default:
-            ended(queue, id, now);
+            removePrompt(queue, id, now);
             open.erase(id);
             break;
         }
@@ -331,7 +331,7 @@
         takeBeat(lately, beat, "n1", start);
     }
     EXPECT_EQ(candidateOf(lately, "m/a1", true, lately.at).adapter, residence::Absent) << "forgotten by now";
-    EXPECT_LE(lately.lately.size(), rememberedAdapters);
+    EXPECT_LE(lately.lately.size(), maxCachedAdapters);
 }
 
 // What is long differs by deployment: one announces 90 and 522 tokens, another 205 and 955. With a limit
--- a/tests/serving/edge_limit_test.cpp
+++ b/tests/serving/edge_limit_test.cpp
@@ -38,7 +38,7 @@
     m_plain[0]->nameLimit(20);
     sendMany("/safe/x", {2'000});
     ASSERT_EQ(m_store.items.count("briarhead/orderer/p-1"), 1U);
-    m_client.trouble = store_trouble::Refuses;
+    m_client.fault = store_fault::RefusesCalls;
     runRounds(3'000);
     const std::size_t before = m_plain[0]->ran.size();
     const millis from = bootNow();
@@ -62,7 +62,7 @@
         return successor.lastAnswer.verdict == place_verdict::Granted;
     }));
     EXPECT_EQ(successor.lastAnswer.limitMilli, 50'000);
-    m_client.trouble = store_trouble::Silent; // its own claim of the record must not answer for it
+    m_client.fault = store_fault::Unresponsive; // its own claim of the record must not answer for it
     successor.lastAnswer = {};
     ASSERT_TRUE(runUntil([&] {
         successor.beatAsSuccessor("m-1");
--- a/tests/serving/edge_test.cpp
+++ b/tests/serving/edge_test.cpp
@@ -399,7 +399,7 @@
     start();
     runRounds(2'600); // a new daemon waits for the lease of one that it may not have seen
     ASSERT_EQ(statusOf(answerTo("/gen/x", "a1")), "200");
-    m_client.trouble = store_trouble::Silent;
+    m_client.fault = store_fault::Unresponsive;
     runRounds(2'600);
     const auto orders = [this] {
         return m_models[0]->orders.size() + m_models[1]->orders.size();
@@ -408,7 +408,7 @@
     EXPECT_NE(statusOf(answerTo("/gen/x", "a2")), "200");
     EXPECT_EQ(orders(), before);
     EXPECT_EQ(statusOf(answerTo("/gen/x", "a1")), "200");
-    m_client.trouble = store_trouble::None;
+    m_client.fault = store_fault::None;
     std::string last;
     for (int tries = 0; last != "200" && tries < 80; ++tries) {
         last = statusOf(answerTo("/gen/x", "a2"));
@@ -426,7 +426,7 @@
     start();
     runRounds(2'600);
     ASSERT_EQ(statusOf(answerTo("/gen/x", "a1")), "200");
-    m_client.trouble = store_trouble::Silent;
+    m_client.fault = store_fault::Unresponsive;
     runRounds(50);
     m_store.expire(m_store.lastLease);
     for (const auto &server : m_models) {
@@ -438,7 +438,7 @@
     };
     const std::size_t before = orders();
     const auto caller = ask("/gen/x", "a2");
-    m_client.trouble = store_trouble::OnlyLeases;
+    m_client.fault = store_fault::LeasesOnly;
     runRounds(2'000);
     EXPECT_EQ(orders(), before);
 }
@@ -468,7 +468,7 @@
 TEST_F(edge_test, WithoutTheStoreOrdersGoOnWhereServersCheckTokens)
 {
     start();
-    m_client.trouble = store_trouble::Silent;
+    m_client.fault = store_fault::Unresponsive;
     runRounds(2'600);
     EXPECT_EQ(statusOf(answerTo("/gen/x", "a2")), "200");
 }
--- a/tests/serving/fake_store.cpp
+++ b/tests/serving/fake_store.cpp
@@ -30,7 +30,7 @@
 
 void fake_store::expire(std::int64_t lease)
 {
-    open[lease] = false;
+    leaseIsOpen[lease] = false;
     std::vector<std::string> keys;
     for (const auto &[key, of] : leases) {
         if (of == lease && items.count(key) != 0) {
@@ -45,7 +45,7 @@
 void fake_store::compact()
 {
     history.clear();
-    historyFrom = revision;
+    oldestRevision = revision;
 }
 
 void fake_store_client::later(std::function<void()> call)
@@ -56,13 +56,13 @@
 
 bool fake_store_client::fails(const std::function<void(store_status)> &done, bool ofLease)
 {
-    if (trouble == store_trouble::Refuses) {
+    if (fault == store_fault::RefusesCalls) {
         later([done] {
             done(store_status::Refused);
         });
         return true;
     }
-    if (trouble == store_trouble::Silent || (trouble == store_trouble::OnlyLeases && !ofLease)) {
+    if (fault == store_fault::Unresponsive || (fault == store_fault::LeasesOnly && !ofLease)) {
         m_timers.push_back(m_shared.events.timer(silentTime, {}, [done] {
             done(store_status::Unknown);
         }));
@@ -93,11 +93,11 @@
 void fake_store_client::poll(
     const std::string &prefix, std::int64_t after, millis until, std::function<void(const store_read &)> done)
 {
-    if (trouble != store_trouble::None && trouble != store_trouble::LosesWrites) {
+    if (fault != store_fault::None && fault != store_fault::LosesWriteResponses) {
         done({store_status::Unknown, {}, 0});
         return;
     }
-    if (after < m_shared.historyFrom) {
+    if (after < m_shared.oldestRevision) {
         done({store_status::HistoryGone, {}, m_shared.revision});
         return;
     }
@@ -146,8 +146,8 @@
             }
         }
         for (const store_put &put : what.puts) {
-            if (put.lease != 0 && !m_shared.open[put.lease]) {
-                done(store_status::Missing, 0);
+            if (put.lease != 0 && !m_shared.leaseIsOpen[put.lease]) {
+                done(store_status::LeaseNotFound, 0);
                 return;
             }
         }
@@ -157,7 +157,7 @@
         for (const std::string &key : what.removes) {
             m_shared.remove(key);
         }
-        if (trouble == store_trouble::LosesWrites) {
+        if (fault == store_fault::LosesWriteResponses) {
             done(store_status::Unknown, 0);
         } else {
             done(store_status::Ok, m_shared.revision);
@@ -175,20 +175,20 @@
         return;
     }
     later([this, done] {
-        m_shared.open[++m_shared.lastLease] = true;
-        m_shared.keptAt[m_shared.lastLease] = bootNow();
+        m_shared.leaseIsOpen[++m_shared.lastLease] = true;
+        m_shared.renewedAt[m_shared.lastLease] = bootNow();
         done(store_status::Ok, m_shared.lastLease);
     });
 }
 
-void fake_store_client::keepLease(std::int64_t lease, std::function<void(store_status)> done)
+void fake_store_client::renewLease(std::int64_t lease, std::function<void(store_status)> done)
 {
     if (fails(done, true)) {
         return;
     }
     later([this, lease, done] {
-        m_shared.keptAt[lease] = bootNow();
-        done(m_shared.open[lease] ? store_status::Ok : store_status::Missing);
+        m_shared.renewedAt[lease] = bootNow();
+        done(m_shared.leaseIsOpen[lease] ? store_status::Ok : store_status::LeaseNotFound);
     });
 }
 
--- a/tests/serving/fake_store.h
+++ b/tests/serving/fake_store.h
@@ -10,13 +10,13 @@
 namespace briarhead {
 
 /// What goes wrong with a fake_store's calls.
-enum class store_trouble : std::uint8_t
+enum class store_fault : std::uint8_t
 {
     None,
-    Refuses, ///< nothing is done, and the caller is told so
-    Silent, ///< nothing is done, and no answer comes but a time-out
-    LosesWrites, ///< writes are done, and not answered
-    OnlyLeases, ///< leases are granted and kept; all else is Silent
+    RefusesCalls, ///< nothing is done, and the caller is told so
+    Unresponsive, ///< nothing is done, and no answer comes but a time-out
+    LosesWriteResponses, ///< writes are done, and not answered
+    LeasesOnly, ///< leases are granted and kept; all else is Unresponsive
 };
 
 /// The platform's store in memory, for tests of the tasks around it.
@@ -39,11 +39,11 @@
     std::map<std::string, stored_item> items;
     std::map<std::string, std::int64_t> leases; ///< by key
     std::vector<stored_item> history;
-    std::int64_t historyFrom = 0;
+    std::int64_t oldestRevision = 0;
     std::int64_t revision = 0;
     std::int64_t lastLease = 0;
-    std::map<std::int64_t, bool> open; ///< leases
-    std::map<std::int64_t, millis> keptAt; ///< when a lease was granted or kept last
+    std::map<std::int64_t, bool> leaseIsOpen; ///< leases
+    std::map<std::int64_t, millis> renewedAt; ///< when a lease was granted or kept last
     std::uint64_t calls = 0;
     std::uint64_t watches = 0;
     std::uint64_t lists = 0; ///< answered
@@ -57,14 +57,14 @@
         : m_shared(shared)
     {
     }
-    store_trouble trouble = store_trouble::None;
+    store_fault fault = store_fault::None;
 
     void list(const std::string &prefix, std::function<void(const store_read &)> done) override;
     void watch(const std::string &prefix, std::int64_t after, millis wait,
         std::function<void(const store_read &)> done) override;
     void change(const store_change &what, std::function<void(store_status, std::int64_t)> done) override;
     void grantLease(millis ttl, std::function<void(store_status, std::int64_t)> done) override;
-    void keepLease(std::int64_t lease, std::function<void(store_status)> done) override;
+    void renewLease(std::int64_t lease, std::function<void(store_status)> done) override;
 
 private:
     void later(std::function<void()> call);
--- a/tests/serving/order_right_test.cpp
+++ b/tests/serving/lease_validity_test.cpp
@@ -1,4 +1,4 @@
-#include "serving/order_right.h"
+#include "serving/lease_validity.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -64,19 +64,19 @@
     explicit world(const mishap &mishapNow)
         : what(mishapNow)
     {
-        granted(proof, {0}, leaseLength);
+        onLeaseGranted(proof, {0}, leaseLength);
     }
 
     const mishap &what;
     history seen;
-    lease_proof proof;
+    lease_validity proof;
     std::int64_t leaseEnds = leaseLength.count;
     std::int64_t recordsGone = -1;
     std::int64_t nextKeep = keepEvery;
     std::int64_t nextBeat = beatEvery;
     pending_renewal renewal;
     std::int64_t readingAsked = -1;
-    std::optional<heard_right> heard;
+    std::optional<reported_ownership> heard;
     std::int64_t successorFrom = -1;
     bool holderKnows = false;
 
@@ -94,12 +94,12 @@
             return;
         }
         if (renewal.fine) {
-            renewed(proof, {renewal.asked});
+            onLeaseRenewed(proof, {renewal.asked});
         } else {
-            doubted(proof, {now});
+            markUncertain(proof, {now});
         }
         renewal.asked = -1;
-        if (proof.doubted && readingAsked < 0) {
+        if (proof.uncertain && readingAsked < 0) {
             readingAsked = now;
         }
     }
@@ -109,10 +109,10 @@
             return;
         }
         if (cut) {
-            doubted(proof, {now});
+            markUncertain(proof, {now});
         } else {
             holderKnows = holderKnows || recordsGone >= 0;
-            confirmed(proof, {readingAsked});
+            onRecordsRead(proof, {readingAsked});
         }
         readingAsked = -1;
     }
@@ -136,15 +136,15 @@
         endRenewal(now);
         endReading(now, cut);
         renew(now, cut);
-        const std::int64_t until = provenUntil(proof).count;
-        if (!holderKnows && now + leastOrderTime.count <= until) {
+        const std::int64_t until = validUntil(proof).count;
+        if (!holderKnows && now + minOrderTime.count <= until) {
             // Given up and reset at the proof's end: what arrives, arrives before.
             seen.lastOfHolder = std::max(seen.lastOfHolder, std::min(now + what.orderTakes, until - 1));
         }
         if (now >= nextBeat) {
             nextBeat = now + beatEvery;
             if (!(cut && what.peersCut) && !holderKnows) { // later beats don't name the server
-                heard = heard_right{{now}, {std::max(now, until)}};
+                heard = reported_ownership{{now}, {std::max(now, until)}};
             }
         }
     }
@@ -228,37 +228,37 @@
 TEST(order_right, WhoIsNotHeardIsWaitedForAWholeLease)
 {
     EXPECT_EQ(firstOrderAt({{5'000}, std::nullopt}, leaseLength), millis{7'500});
-    EXPECT_EQ(firstOrderAt({{5'000}, heard_right{{4'900}, {7'000}}}, leaseLength), millis{7'500});
-    EXPECT_EQ(firstOrderAt({{5'000}, heard_right{{2'500}, {4'800}}}, leaseLength), millis{5'000});
-    EXPECT_EQ(firstOrderAt({{5'000}, heard_right{{10}, {2'000}}}, leaseLength), millis{7'500});
+    EXPECT_EQ(firstOrderAt({{5'000}, reported_ownership{{4'900}, {7'000}}}, leaseLength), millis{7'500});
+    EXPECT_EQ(firstOrderAt({{5'000}, reported_ownership{{2'500}, {4'800}}}, leaseLength), millis{5'000});
+    EXPECT_EQ(firstOrderAt({{5'000}, reported_ownership{{10}, {2'000}}}, leaseLength), millis{7'500});
 }
 
 // A daemon stood still while the store turned it away and removed its records: no call of its failed.
 TEST(order_right, ARenewalAfterAGapProvesNothingBeforeAReading)
 {
-    lease_proof proof;
-    granted(proof, {0}, leaseLength);
-    renewed(proof, {2'400});
-    EXPECT_EQ(provenUntil(proof), leaseLength - proofMargin);
-    confirmed(proof, {2'420});
-    EXPECT_EQ(provenUntil(proof), millis{2'400} + leaseLength - proofMargin);
+    lease_validity proof;
+    onLeaseGranted(proof, {0}, leaseLength);
+    onLeaseRenewed(proof, {2'400});
+    EXPECT_EQ(validUntil(proof), leaseLength - validityMargin);
+    onRecordsRead(proof, {2'420});
+    EXPECT_EQ(validUntil(proof), millis{2'400} + leaseLength - validityMargin);
 }
 
 // The store turned a daemon away for a moment and removed its records; the lease is there still. The daemon's
 // next renewal succeeds, and would prove records that another daemon has claimed.
 TEST(order_right, ARenewalAfterAFailedCallProvesNothingBeforeAReading)
 {
-    lease_proof proof;
-    granted(proof, {0}, leaseLength);
-    renewed(proof, {800});
-    const millis before = provenUntil(proof);
-    doubted(proof, {1'500});
-    renewed(proof, {1'600});
-    EXPECT_EQ(provenUntil(proof), before);
-    confirmed(proof, {1'400}); // sent before the failure
-    EXPECT_EQ(provenUntil(proof), before);
-    confirmed(proof, {1'610});
-    EXPECT_EQ(provenUntil(proof), millis{1'600} + leaseLength - proofMargin);
+    lease_validity proof;
+    onLeaseGranted(proof, {0}, leaseLength);
+    onLeaseRenewed(proof, {800});
+    const millis before = validUntil(proof);
+    markUncertain(proof, {1'500});
+    onLeaseRenewed(proof, {1'600});
+    EXPECT_EQ(validUntil(proof), before);
+    onRecordsRead(proof, {1'400}); // sent before the failure
+    EXPECT_EQ(validUntil(proof), before);
+    onRecordsRead(proof, {1'610});
+    EXPECT_EQ(validUntil(proof), millis{1'600} + leaseLength - validityMargin);
 }
 
 }
--- a/tests/serving/load_crowd_test.cpp
+++ b/tests/serving/load_contention_test.cpp
@@ -1,4 +1,4 @@
-#include "serving/place_desk.h"
+#include "serving/slot_scheduler.h"
 
 #include <gtest/gtest.h>
 
@@ -65,11 +65,11 @@
         for (int i = 0; i < serverCount; ++i) {
             server_ledger &ledger = m_desks[static_cast<std::size_t>(i)].ledger;
             ledger.server = "i-" + std::to_string(i);
-            ledger.places = places;
+            ledger.slots = places;
             ledger.weightsMb = 1'000;
             ledger.models = {"base"};
-            ledger.proved = true;
-            m_desks[static_cast<std::size_t>(i)].queue.slots = 64;
+            ledger.confirmed = true;
+            m_desks[static_cast<std::size_t>(i)].queue.maxRunning = 64;
             m_desks[static_cast<std::size_t>(i)].queue.memoryTokens = 120'000;
         }
     }
@@ -89,11 +89,11 @@
                 beat();
             }
             for (std::size_t i = 0; i < m_desks.size(); ++i) {
-                place_desk &desk = m_desks[i];
-                followPace(desk, m_views[i], m_now);
+                slot_scheduler &desk = m_desks[i];
+                updateLoadTimes(desk, m_views[i], m_now);
                 endAnswers(desk);
                 order(desk);
-                count(desk, answersDue(desk, m_now), seen);
+                count(desk, dueResponses(desk, m_now), seen);
             }
         }
         return seen;
@@ -119,7 +119,7 @@
 
     void ask(tally &seen)
     {
-        place_desk &desk = m_desks[m_random() % m_desks.size()];
+        slot_scheduler &desk = m_desks[m_random() % m_desks.size()];
         place_ask ask;
         ask.id = "r" + std::to_string(++m_asked);
         ask.server = desk.ledger.server;
@@ -130,14 +130,14 @@
         ask.waitMs = patience.count;
         ask.deadlineMs = 5'000;
         ask.targetMs = target.count;
-        const place_answer answer = askDesk(desk, "entry", ask, m_now);
+        const place_answer answer = handleSlotRequest(desk, "entry", ask, m_now);
         seen.refused += answer.verdict == place_verdict::Refused ? 1 : 0;
     }
 
-    void order(place_desk &desk)
+    void order(slot_scheduler &desk)
     {
         const std::vector<model_spec> models{{"base", 100, {}, 1}};
-        order_limits limits;
+        order_constraints limits;
         limits.models = &models;
         const auto due = orderDue(desk, limits, m_now);
         if (!due) {
@@ -145,20 +145,20 @@
         }
         const std::string key = desk.ledger.server + '/' + due->adapter;
         if (due->kind == order_kind::Unload) {
-            takeAnswer(desk.ledger, *due, order_answer::Holds, m_now);
+            onOrderResponse(desk.ledger, *due, order_answer::Holds, m_now);
             return;
         }
-        const adapter_place *place = findPlace(desk.ledger, "base", due->adapter);
+        const adapter_slot *place = findSlot(desk.ledger, "base", due->adapter);
         if (place == nullptr) {
             m_store.left[key] = aloneMs;
         }
         const bool in = place != nullptr && m_store.isIn(key);
-        takeAnswer(desk.ledger, *due, in ? order_answer::Holds : order_answer::Accepted, m_now);
+        onOrderResponse(desk.ledger, *due, in ? order_answer::Holds : order_answer::Accepted, m_now);
     }
 
-    void count(const place_desk &desk, const std::vector<desk_answer> &answers, tally &seen)
+    void count(const slot_scheduler &desk, const std::vector<addressed_response> &answers, tally &seen)
     {
-        for (const desk_answer &each : answers) {
+        for (const addressed_response &each : answers) {
             const bool granted = each.answer.verdict == place_verdict::Granted;
             seen.served += granted ? 1 : 0;
             seen.refused += granted ? 0 : 1;
@@ -168,18 +168,18 @@
         }
     }
 
-    void endAnswers(place_desk &desk)
+    void endAnswers(slot_scheduler &desk)
     {
         std::erase_if(m_ends, [&](const auto &each) {
             const bool over = each.first <= m_now && each.second.server == desk.ledger.server;
             if (over) {
-                takeNote(desk, each.second, m_now);
+                onRequestEvent(desk, each.second, m_now);
             }
             return over;
         });
     }
 
-    std::vector<place_desk> m_desks;
+    std::vector<slot_scheduler> m_desks;
     std::vector<load_pace> m_views; ///< of the orderer of each server
     weight_store m_store;
     std::vector<std::pair<millis, place_note>> m_ends;
--- a/tests/serving/server_ledger_test.cpp
+++ b/tests/serving/server_ledger_test.cpp
@@ -14,9 +14,9 @@
 const std::vector<model_spec> models{{"base", 65'000, {720}, 12}};
 const std::string base = "base";
 
-order_limits limitsNow()
+order_constraints limitsNow()
 {
-    order_limits limits;
+    order_constraints limits;
     limits.models = &models;
     return limits;
 }
@@ -24,7 +24,7 @@
 server_ledger emptyLedger(int places)
 {
     server_ledger ledger;
-    ledger.places = places;
+    ledger.slots = places;
     ledger.weightsMb = 66'500;
     return ledger;
 }
@@ -41,9 +41,9 @@
     return report;
 }
 
-std::vector<adapter_want> want(const std::vector<std::string> &names)
+std::vector<wanted_adapter> want(const std::vector<std::string> &names)
 {
-    std::vector<adapter_want> wants;
+    std::vector<wanted_adapter> wants;
     wants.reserve(names.size());
     for (const std::string &name : names) {
         wants.push_back({base, name});
@@ -119,8 +119,8 @@
         if (reports.size() > 4) {
             reports.pop_front();
         }
-        if (!ledger.proved && now >= ledger.notBefore) {
-            takeReport(ledger, *rc::gen::elementOf(reports), now);
+        if (!ledger.confirmed && now >= ledger.notBefore) {
+            applyReport(ledger, *rc::gen::elementOf(reports), now);
         }
         if (*rc::gen::inRange(0, 3) == 0) {
             server.finishLoad();
@@ -135,14 +135,14 @@
             switch (*rc::gen::inRange(0, 5)) {
             case 0: // carried out, the answer lost
                 server.carryOut(*order);
-                takeAnswer(ledger, *order, order_answer::Unknown, now);
+                onOrderResponse(ledger, *order, order_answer::Unknown, now);
                 break;
             case 1: // not answered, carried out later or never
                 late.push_back(*order);
-                takeAnswer(ledger, *order, order_answer::Unknown, now);
+                onOrderResponse(ledger, *order, order_answer::Unknown, now);
                 break;
             default:
-                takeAnswer(ledger, *order, server.carryOut(*order), now);
+                onOrderResponse(ledger, *order, server.carryOut(*order), now);
                 break;
             }
         }
@@ -155,18 +155,18 @@
 TEST(ServerLedger, AnUnansweredLoadHoldsItsPlaceUntilALaterOrderIsAccepted)
 {
     server_ledger ledger = emptyLedger(2);
-    takeReport(ledger, reportWith(0, {"a1"}), {1'000});
+    applyReport(ledger, reportWith(0, {"a1"}), {1'000});
     const auto lost = nextOrder(ledger, want({"a2"}), limitsNow(), {1'000});
     ASSERT_TRUE(lost);
-    takeAnswer(ledger, *lost, order_answer::Unknown, {1'600});
+    onOrderResponse(ledger, *lost, order_answer::Unknown, {1'600});
     EXPECT_FALSE(nextOrder(ledger, want({"a3"}), limitsNow(), {1'700})) << "no order before a report";
-    takeReport(ledger, reportWith(0, {"a1"}), {2'500});
-    EXPECT_EQ(takenPlaces(ledger), 2);
+    applyReport(ledger, reportWith(0, {"a1"}), {2'500});
+    EXPECT_EQ(occupiedSlots(ledger), 2);
     const auto next = nextOrder(ledger, want({"a3"}), limitsNow(), {2'600});
     ASSERT_TRUE(next);
     EXPECT_EQ(next->kind, order_kind::Unload) << "the free place may be the lost load's";
-    takeAnswer(ledger, *next, order_answer::Holds, {2'610});
-    EXPECT_EQ(takenPlaces(ledger), 0) << "the server's sequence has moved on: the lost load is void";
+    onOrderResponse(ledger, *next, order_answer::Holds, {2'610});
+    EXPECT_EQ(occupiedSlots(ledger), 0) << "the server's sequence has moved on: the lost load is void";
 }
 
 // A user would see the first seconds of every adapter fail: requests for an adapter on its way in are
@@ -174,21 +174,21 @@
 TEST(ServerLedger, AnAcceptedLoadIsInOnlyWhenTheSameLoadHolds)
 {
     server_ledger ledger = emptyLedger(2);
-    takeReport(ledger, reportWith(4, {}), {1'000});
+    applyReport(ledger, reportWith(4, {}), {1'000});
     const auto load = nextOrder(ledger, want({"a1"}), limitsNow(), {1'000});
     ASSERT_TRUE(load);
-    takeAnswer(ledger, *load, order_answer::Accepted, {1'003});
-    EXPECT_EQ(findPlace(ledger, base, "a1")->state, place_state::Loading);
+    onOrderResponse(ledger, *load, order_answer::Accepted, {1'003});
+    EXPECT_EQ(findSlot(ledger, base, "a1")->state, slot_state::Loading);
     EXPECT_FALSE(nextOrder(ledger, {}, limitsNow(), {1'100}));
     const auto early = nextOrder(ledger, {}, limitsNow(), {1'245});
     ASSERT_TRUE(early);
     EXPECT_EQ(early->expected, 5);
-    takeAnswer(ledger, *early, order_answer::Accepted, {1'247});
+    onOrderResponse(ledger, *early, order_answer::Accepted, {1'247});
     const auto again = nextOrder(ledger, {}, limitsNow(), {1'280});
     ASSERT_TRUE(again);
     EXPECT_EQ(again->expected, 5) << "the server doesn't count a load that is on its way already";
-    takeAnswer(ledger, *again, order_answer::Holds, {1'282});
-    EXPECT_EQ(findPlace(ledger, base, "a1")->state, place_state::Resident);
+    onOrderResponse(ledger, *again, order_answer::Holds, {1'282});
+    EXPECT_EQ(findSlot(ledger, base, "a1")->state, slot_state::Resident);
 }
 
 // Many daemons load at once and the weight store slows down: a user would see waits grow when each ledger
@@ -197,25 +197,25 @@
 TEST(ServerLedger, ExpectsLoadsToTakeAsLongAsTheyDid)
 {
     server_ledger ledger = emptyLedger(4);
-    takeReport(ledger, reportWith(0, {}), {1'000});
+    applyReport(ledger, reportWith(0, {}), {1'000});
     load_pace pace;
     pace.crowd = 400;
-    ledger.crowd = pace.crowd;
+    ledger.concurrentLoads = pace.crowd;
     millis now{1'000};
     for (int i = 0; i < 30; ++i) {
         const auto load = nextOrder(ledger, want({"a" + std::to_string(i)}), limitsNow(), now);
         ASSERT_TRUE(load);
         if (load->kind == order_kind::Unload) {
-            takeAnswer(ledger, *load, order_answer::Holds, now);
+            onOrderResponse(ledger, *load, order_answer::Holds, now);
             continue;
         }
-        takeAnswer(ledger, *load, order_answer::Accepted, now);
+        onOrderResponse(ledger, *load, order_answer::Accepted, now);
         now = now + millis{800};
         const auto ask = nextOrder(ledger, {}, limitsNow(), now);
         ASSERT_TRUE(ask);
-        takeAnswer(ledger, *ask, order_answer::Holds, now);
-        for (const load_seen &seen : std::exchange(ledger.loadsSeen, {})) {
-            noteLoad(pace, seen.took, seen.crowd, now);
+        onOrderResponse(ledger, *ask, order_answer::Holds, now);
+        for (const measured_load &seen : std::exchange(ledger.measuredLoads, {})) {
+            noteLoad(pace, seen.duration, seen.concurrentLoads, now);
         }
     }
     EXPECT_GT(loadMsNow(pace), 700);
@@ -226,10 +226,10 @@
 TEST(ServerLedger, NeverUnloadsWhatIsUsedOrWaitedFor)
 {
     server_ledger ledger = emptyLedger(2);
-    takeReport(ledger, reportWith(0, {"a1", "a2"}), {1'000});
+    applyReport(ledger, reportWith(0, {"a1", "a2"}), {1'000});
     beginUse(ledger, base, "a1", {1'000});
-    order_limits limits = limitsNow();
-    limits.waitedFor = [](const std::string &, const std::string &adapter) {
+    order_constraints limits = limitsNow();
+    limits.isWaitedFor = [](const std::string &, const std::string &adapter) {
         return adapter == "a2";
     };
     EXPECT_FALSE(nextOrder(ledger, want({"a3"}), limits, {1'001}));
@@ -243,7 +243,7 @@
 TEST(ServerLedger, TheLeastUsedAdapterGoesFirst)
 {
     server_ledger ledger = emptyLedger(2);
-    takeReport(ledger, reportWith(0, {"a1", "a2"}), {1'000});
+    applyReport(ledger, reportWith(0, {"a1", "a2"}), {1'000});
     for (int i = 0; i < 3; ++i) {
         beginUse(ledger, base, "a1", {1'000});
         endUse(ledger, base, "a1");
@@ -259,17 +259,17 @@
 TEST(ServerLedger, ReplacesAnAdapterOfAnOlderVersion)
 {
     server_ledger ledger = emptyLedger(2);
-    takeReport(ledger, reportWith(0, {"a1"}), {1'000});
-    order_limits limits = limitsNow();
-    limits.newest = [](const std::string &, const std::string &) {
+    applyReport(ledger, reportWith(0, {"a1"}), {1'000});
+    order_constraints limits = limitsNow();
+    limits.newestVersion = [](const std::string &, const std::string &) {
         return std::int64_t{7};
     };
     const auto order = nextOrder(ledger, {}, limits, {1'000});
     ASSERT_TRUE(order);
     EXPECT_EQ(order->kind, order_kind::Load);
     EXPECT_EQ(order->version, 7);
-    takeAnswer(ledger, *order, order_answer::Accepted, {1'003});
-    EXPECT_NE(findPlace(ledger, base, "a1")->state, place_state::Resident) << "the old one must not be used";
+    onOrderResponse(ledger, *order, order_answer::Accepted, {1'003});
+    EXPECT_NE(findSlot(ledger, base, "a1")->state, slot_state::Resident) << "the old one must not be used";
 }
 
 // A server crashed and came back empty. A user would see a twelfth of the service gone for good.
@@ -277,8 +277,8 @@
 {
     server_ledger ledger = emptyLedger(2);
     server_report report;
-    takeReport(ledger, report, {1'000});
-    order_limits limits = limitsNow();
+    applyReport(ledger, report, {1'000});
+    order_constraints limits = limitsNow();
     limits.mayLoadModel = false;
     EXPECT_FALSE(nextOrder(ledger, want({"a1"}), limits, {1'000}));
     limits.mayLoadModel = true;
@@ -286,11 +286,11 @@
     ASSERT_TRUE(order);
     EXPECT_EQ(order->model, base);
     EXPECT_TRUE(order->adapter.empty());
-    takeAnswer(ledger, *order, order_answer::Accepted, {1'003});
+    onOrderResponse(ledger, *order, order_answer::Accepted, {1'003});
     EXPECT_FALSE(nextOrder(ledger, want({"a1"}), limits, {1'200})) << "no adapter before its model";
     report.sequence = 1;
     report.models.push_back({base, 1, {}});
-    takeReport(ledger, report, {1'900});
+    applyReport(ledger, report, {1'900});
     const auto adapter = nextOrder(ledger, want({"a1"}), limits, {1'900});
     ASSERT_TRUE(adapter);
     EXPECT_EQ(adapter->adapter, "a1");
@@ -299,21 +299,21 @@
 TEST(ServerLedger, AnOutdatedReportChangesNothing)
 {
     server_ledger ledger = emptyLedger(2);
-    takeReport(ledger, reportWith(0, {}), {1'000});
+    applyReport(ledger, reportWith(0, {}), {1'000});
     const auto load = nextOrder(ledger, want({"a1"}), limitsNow(), {1'000});
     ASSERT_TRUE(load);
-    takeAnswer(ledger, *load, order_answer::Accepted, {1'003});
-    takeReport(ledger, reportWith(0, {}), {1'050});
-    EXPECT_NE(findPlace(ledger, base, "a1"), nullptr);
-    takeReport(ledger, reportWith(0, {}), {1'003 + reportLagMost.count});
-    EXPECT_EQ(findPlace(ledger, base, "a1"), nullptr) << "by then it is the server that knows better";
+    onOrderResponse(ledger, *load, order_answer::Accepted, {1'003});
+    applyReport(ledger, reportWith(0, {}), {1'050});
+    EXPECT_NE(findSlot(ledger, base, "a1"), nullptr);
+    applyReport(ledger, reportWith(0, {}), {1'003 + maxReportLag.count});
+    EXPECT_EQ(findSlot(ledger, base, "a1"), nullptr) << "by then it is the server that knows better";
 }
 
 TEST(ServerLedger, TheSumOfWeightsStaysUnderTheServersMemory)
 {
     server_ledger ledger = emptyLedger(5);
     ledger.weightsMb = 65'020; // room for one adapter
-    takeReport(ledger, reportWith(0, {"a1"}), {1'000});
+    applyReport(ledger, reportWith(0, {"a1"}), {1'000});
     const auto order = nextOrder(ledger, want({"a2"}), limitsNow(), {1'000});
     ASSERT_TRUE(order);
     EXPECT_EQ(order->kind, order_kind::Unload);
@@ -325,23 +325,23 @@
 TEST(server_ledger, ALoadOfAnEarlierStartKeepsItsPlaceUntilItCantCome)
 {
     server_ledger ledger = emptyLedger(2);
-    takeReport(ledger, reportWith(7, {"a1"}), {100});
+    applyReport(ledger, reportWith(7, {"a1"}), {100});
     const auto order = nextOrder(ledger, want({"a2"}), limitsNow(), {110});
     ASSERT_TRUE(order);
-    takeAnswer(ledger, *order, order_answer::Unknown, {700});
-    startAgain(ledger, {1'000});
+    onOrderResponse(ledger, *order, order_answer::Unknown, {700});
+    resetAfterRestart(ledger, {1'000});
     EXPECT_EQ(ledger.sequence, 0);
-    EXPECT_FALSE(ledger.proved);
+    EXPECT_FALSE(ledger.confirmed);
     EXPECT_TRUE(ledger.adapters.empty());
-    takeReport(ledger, reportWith(0, {}), {1'100});
-    EXPECT_EQ(takenPlaces(ledger), 1);
+    applyReport(ledger, reportWith(0, {}), {1'100});
+    EXPECT_EQ(occupiedSlots(ledger), 1);
     const auto next = nextOrder(ledger, want({"a3", "a4"}), limitsNow(), {1'110});
     ASSERT_TRUE(next);
     EXPECT_EQ(next->expected, 0);
-    takeAnswer(ledger, *next, order_answer::Accepted, {1'120});
-    EXPECT_EQ(takenPlaces(ledger), 2) << "an order with a lower number does not rule the late one out";
+    onOrderResponse(ledger, *next, order_answer::Accepted, {1'120});
+    EXPECT_EQ(occupiedSlots(ledger), 2) << "an order with a lower number does not rule the late one out";
     EXPECT_FALSE(nextOrder(ledger, want({"a4"}), limitsNow(), {1'130}));
-    EXPECT_TRUE(nextOrder(ledger, want({"a4"}), limitsNow(), millis{1'000} + lateOrderLife));
+    EXPECT_TRUE(nextOrder(ledger, want({"a4"}), limitsNow(), millis{1'000} + maxOrderDelay));
 }
 
 }
--- a/tests/serving/server_limit_test.cpp
+++ b/tests/serving/server_limit_test.cpp
@@ -1,7 +1,7 @@
 #include "protocol/codec.h"
 #include "serving/limit_watch.h"
-#include "serving/place_desk.h"
 #include "serving/server_limit.h"
+#include "serving/slot_scheduler.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -43,12 +43,12 @@
     return ask;
 }
 
-place_desk plainDesk(double perSecond, millis now)
+slot_scheduler plainDesk(double perSecond, millis now)
 {
-    place_desk desk;
+    slot_scheduler desk;
     desk.plain = true;
     desk.ledger.server = "s";
-    desk.queue.slots = 1'000'000;
+    desk.queue.maxRunning = 1'000'000;
     nameLimit(desk.limit, perSecond, now, now);
     return desk;
 }
@@ -172,7 +172,7 @@
 // 1,200 daemons with a caller each asked for a server that takes two requests a second: each sent its own.
 TEST(ServerLimit, SmallerThanOneRequestADaemonItIsSharedAllTheSame)
 {
-    place_desk desk = plainDesk(2, begin);
+    slot_scheduler desk = plainDesk(2, begin);
     std::vector<millis> sent;
     std::size_t refused = 0;
     constexpr int daemons = 1'200;
@@ -180,19 +180,20 @@
         const millis now = begin + millis{at};
         for (int i = 0; i < daemons / 50; ++i) { // each daemon once a second
             const std::string id = std::to_string(at) + '.' + std::to_string(i);
-            const place_answer answer = askDesk(desk, "n" + std::to_string(i), askOf(id, {300}), now);
+            const place_answer answer =
+                handleSlotRequest(desk, "n" + std::to_string(i), askOf(id, {300}), now);
             if (answer.verdict == place_verdict::Refused) {
                 ++refused;
                 EXPECT_EQ(answer.why, refusal::Limited);
                 EXPECT_EQ(answer.limitMilli, 2'000);
-                EXPECT_GE(answer.comeBackMs, shortestComeBack.count);
+                EXPECT_GE(answer.comeBackMs, minRetryAfter.count);
                 EXPECT_LE(answer.comeBackMs, 1'000) << "a further turn is half a second away";
             }
         }
-        for (const desk_answer &each : answersDue(desk, now)) {
+        for (const addressed_response &each : dueResponses(desk, now)) {
             if (each.answer.verdict == place_verdict::Granted) {
                 sent.push_back(now);
-                takeNote(desk, {each.answer.id, "s", place_event::Ended}, now);
+                onRequestEvent(desk, {each.answer.id, "s", place_event::Ended}, now);
             }
         }
     }
@@ -221,30 +222,30 @@
 // A turn of a request that never reached the server was lost, and at a low limit a caller with it.
 TEST(ServerLimit, ATurnOfWhatWasNotSentIsUsableAgainOnce)
 {
-    place_desk desk = plainDesk(1, begin);
+    slot_scheduler desk = plainDesk(1, begin);
     const millis now = begin + millis{1'000};
-    EXPECT_EQ(askDesk(desk, "n", askOf("a", {300}), now).verdict, place_verdict::Queued);
-    EXPECT_EQ(answersDue(desk, now).size(), 1U);
-    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), now).verdict, place_verdict::Refused);
-    takeNote(desk, {"a", "s", place_event::Unsent}, now);
-    takeNote(desk, {"a", "s", place_event::Unsent}, now);
-    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), now).verdict, place_verdict::Queued);
-    EXPECT_EQ(answersDue(desk, now).size(), 1U);
-    EXPECT_EQ(askDesk(desk, "n", askOf("c", {300}), now).verdict, place_verdict::Refused);
+    EXPECT_EQ(handleSlotRequest(desk, "n", askOf("a", {300}), now).verdict, place_verdict::Queued);
+    EXPECT_EQ(dueResponses(desk, now).size(), 1U);
+    EXPECT_EQ(handleSlotRequest(desk, "n", askOf("b", {300}), now).verdict, place_verdict::Refused);
+    onRequestEvent(desk, {"a", "s", place_event::Unsent}, now);
+    onRequestEvent(desk, {"a", "s", place_event::Unsent}, now);
+    EXPECT_EQ(handleSlotRequest(desk, "n", askOf("b", {300}), now).verdict, place_verdict::Queued);
+    EXPECT_EQ(dueResponses(desk, now).size(), 1U);
+    EXPECT_EQ(handleSlotRequest(desk, "n", askOf("c", {300}), now).verdict, place_verdict::Refused);
 }
 
 // A refusal that came from the queue didn't name the limit, and the daemon that got it took it for ended.
 TEST(ServerLimit, EachAnswerOfItsHolderNamesIt)
 {
-    place_desk desk = plainDesk(1, begin);
-    EXPECT_EQ(askDesk(desk, "n", askOf("a", {1'000}), begin).limitMilli, 1'000); // queued
-    EXPECT_EQ(askDesk(desk, "n", askOf("b", {300}), begin).limitMilli, 1'000); // refused
-    const auto late = answersDue(desk, begin + millis{5'000});
+    slot_scheduler desk = plainDesk(1, begin);
+    EXPECT_EQ(handleSlotRequest(desk, "n", askOf("a", {1'000}), begin).limitMilli, 1'000); // queued
+    EXPECT_EQ(handleSlotRequest(desk, "n", askOf("b", {300}), begin).limitMilli, 1'000); // refused
+    const auto late = dueResponses(desk, begin + millis{5'000});
     ASSERT_EQ(late.size(), 1U);
     EXPECT_EQ(late[0].answer.why, refusal::TooBusy);
     EXPECT_EQ(late[0].answer.limitMilli, 1'000);
-    EXPECT_EQ(askDesk(desk, "n", askOf("c", {300}), begin + millis{5'000}).limitMilli, 1'000);
-    const auto granted = answersDue(desk, begin + millis{5'000});
+    EXPECT_EQ(handleSlotRequest(desk, "n", askOf("c", {300}), begin + millis{5'000}).limitMilli, 1'000);
+    const auto granted = dueResponses(desk, begin + millis{5'000});
     ASSERT_EQ(granted.size(), 1U);
     EXPECT_EQ(granted[0].answer.verdict, place_verdict::Granted);
     EXPECT_EQ(granted[0].answer.limitMilli, 1'000);
@@ -253,16 +254,16 @@
 // An age from the future, as a corrupted or foreign message may give it, kept a limit from ever ending.
 TEST(ServerLimit, AnAbsurdAgeInAnAskDoesNotKeepItForEver)
 {
-    place_desk desk;
+    slot_scheduler desk;
     desk.plain = true;
-    desk.queue.slots = 10;
+    desk.queue.maxRunning = 10;
     for (const std::int64_t age : {std::numeric_limits<std::int64_t>::min(), std::int64_t{-60'000},
              std::numeric_limits<std::int64_t>::max()}) {
         desk.limit = {};
         place_ask ask = askOf("a", {300});
         ask.limitMilli = 500;
         ask.limitAgeMs = age;
-        askDesk(desk, "n", ask, begin);
+        handleSlotRequest(desk, "n", ask, begin);
         ASSERT_TRUE(desk.limit.perSecond) << age;
         endLimit(desk.limit, begin + millis{10}, begin + millis{20});
         EXPECT_FALSE(desk.limit.perSecond) << age;
@@ -273,13 +274,13 @@
 // asks.
 TEST(ServerLimit, AnAskTellsANewHolder)
 {
-    place_desk desk;
+    slot_scheduler desk;
     desk.plain = true;
-    desk.queue.slots = 10;
+    desk.queue.maxRunning = 10;
     place_ask ask = askOf("a", {300});
     ask.limitMilli = 500;
     ask.limitAgeMs = 2'000;
-    const place_answer answer = askDesk(desk, "n", ask, begin);
+    const place_answer answer = handleSlotRequest(desk, "n", ask, begin);
     EXPECT_EQ(answer.why, refusal::Limited);
     EXPECT_EQ(answer.limitMilli, 500);
 }
--- a/tests/serving/store_standin.cpp
+++ b/tests/serving/store_standin.cpp
@@ -51,7 +51,7 @@
         return 200;
     case store_status::Conflict:
         return 412;
-    case store_status::Missing:
+    case store_status::LeaseNotFound:
         return 404;
     case store_status::HistoryGone:
         return 410;
@@ -119,7 +119,7 @@
             answer(*reply, status, {{"lease", lease}, {"ttlMs", 3'000}});
         });
     } else if (target.starts_with("/v1/kv-keep/")) {
-        client.keepLease(std::stoll(target.substr(target.rfind('/') + 1)), [reply](store_status status) {
+        client.renewLease(std::stoll(target.substr(target.rfind('/') + 1)), [reply](store_status status) {
             answer(*reply, status, {{"ttlMs", 3'000}});
         });
     } else {
--- a/tests/serving/store_task_test.cpp
+++ b/tests/serving/store_task_test.cpp
@@ -108,7 +108,7 @@
     follower one(store, "n1", "z");
     std::vector<std::string> gone;
     one.messages.on<view_changed>([&](const view_changed &change) {
-        gone.insert(gone.end(), change.goneServers.begin(), change.goneServers.end());
+        gone.insert(gone.end(), change.removedServers.begin(), change.removedServers.end());
     });
     ASSERT_TRUE(until([&] {
         return one.task.view().servers.count("i-1") == 1;
@@ -147,9 +147,9 @@
     }));
     EXPECT_EQ(one.task.view().servers.size(), 1U);
     EXPECT_TRUE(one.task.view().versions.empty());
-    one.task.claim("i-1");
+    one.task.claimServer("i-1");
     EXPECT_TRUE(until([&] {
-        return one.task.holdsRecord("i-1");
+        return one.task.ownsServer("i-1");
     }));
     store.put("servers/i-1", bytes);
     EXPECT_TRUE(until([&] {
@@ -203,13 +203,13 @@
     ASSERT_TRUE(until([&] {
         return one.task.view().servers.size() == 2;
     }));
-    one.client.trouble = store_trouble::Silent;
+    one.client.fault = store_fault::Unresponsive;
     ASSERT_TRUE(until([&] {
         return !one.task.view().reachable;
     }));
     store.remove("servers/i-1");
     store.remove("servers/i-2");
-    one.client.trouble = store_trouble::None;
+    one.client.fault = store_fault::None;
     const auto seen = store.lists;
     ASSERT_TRUE(until([&] {
         return one.task.view().reachable && store.lists > seen;
@@ -236,14 +236,15 @@
     ASSERT_TRUE(until([&] {
         return one.task.view().daemons.size() == 2 && two.task.view().daemons.size() == 2;
     }));
-    one.task.claim("i-1");
-    two.task.claim("i-1");
+    one.task.claimServer("i-1");
+    two.task.claimServer("i-1");
     ASSERT_TRUE(until([&] {
-        return one.task.view().orderers.count("i-1") == 1 && two.task.view().orderers.count("i-1") == 1;
+        return one.task.view().serverOwners.count("i-1") == 1
+            && two.task.view().serverOwners.count("i-1") == 1;
     }));
-    const orderer_entry seen = one.task.view().orderers.at("i-1");
-    EXPECT_EQ(seen.record.node, two.task.view().orderers.at("i-1").record.node);
-    EXPECT_EQ(seen.revision, two.task.view().orderers.at("i-1").revision);
+    const ownership_entry seen = one.task.view().serverOwners.at("i-1");
+    EXPECT_EQ(seen.record.node, two.task.view().serverOwners.at("i-1").record.node);
+    EXPECT_EQ(seen.revision, two.task.view().serverOwners.at("i-1").revision);
     EXPECT_EQ(store.items.count("briarhead/orderer/i-1"), 1U);
 }
 
@@ -255,10 +256,10 @@
     ASSERT_TRUE(until([&] {
         return one.task.view().daemons.size() == 1;
     }));
-    one.client.trouble = store_trouble::LosesWrites;
-    one.task.claim("i-1");
+    one.client.fault = store_fault::LosesWriteResponses;
+    one.task.claimServer("i-1");
     EXPECT_TRUE(until([&] {
-        const auto &orderers = one.task.view().orderers;
+        const auto &orderers = one.task.view().serverOwners;
         return orderers.count("i-1") == 1 && orderers.at("i-1").record.node == "n1";
     }));
 }
@@ -269,13 +270,13 @@
     ASSERT_TRUE(until([&] {
         return one.task.view().daemons.size() == 1;
     }));
-    one.task.claim("i-1");
+    one.task.claimServer("i-1");
     ASSERT_TRUE(until([&] {
-        return one.task.view().orderers.count("i-1") == 1;
+        return one.task.view().serverOwners.count("i-1") == 1;
     }));
     store.expire(1);
     EXPECT_TRUE(until([&] {
-        return one.task.view().orderers.count("i-1") == 0 && one.task.view().daemons.count("n1") == 1;
+        return one.task.view().serverOwners.count("i-1") == 0 && one.task.view().daemons.count("n1") == 1;
     })) << "it registers again, and claims anew under another token";
 }
 
@@ -292,18 +293,18 @@
     void add(fake_store &store, const std::string &node, bool bootstrap = false)
     {
         auto made = std::make_unique<follower>(store, node, "z", bootstrap);
-        made->task.setFleet({[this, node](const std::vector<std::string> &nodes, const store_news &news) {
-                                 itemsSent += news.items.size() * nodes.size();
-                                 for (const std::string &to : nodes) {
-                                     if (!datagramsLost && members.count(to) != 0) {
-                                         members.at(to)->task.onNews(node, news);
+        made->task.setPeerCalls({[this, node](const std::vector<std::string> &nodes, const store_news &news) {
+                                     itemsSent += news.items.size() * nodes.size();
+                                     for (const std::string &to : nodes) {
+                                         if (!datagramsLost && members.count(to) != 0) {
+                                             members.at(to)->task.onStoreUpdate(node, news);
+                                         }
                                      }
-                                 }
-                             },
+                                 },
             [this](const std::string &from, std::int64_t after,
                 const std::function<void(std::optional<store_news>)> &done) {
                 if (!fetchHangs) {
-                    done(members.at(from)->task.newsAfter(after));
+                    done(members.at(from)->task.updatesAfter(after));
                 }
             }});
         members.emplace(node, std::move(made));
@@ -458,7 +459,7 @@
     ASSERT_TRUE(until([&] {
         return one.version() == 29;
     }));
-    const store_news news = one.task.newsAfter(before);
+    const store_news news = one.task.updatesAfter(before);
     EXPECT_EQ(news.items.size(), 1U);
     EXPECT_EQ(news.items.back().revision, store.revision);
 }
--- a/tests/soak/server_words_test.cpp
+++ b/tests/soak/server_words_test.cpp
@@ -43,7 +43,7 @@
 {
     sendEvery({40});
     runFor({1'000});
-    m_storeServer.client.trouble = store_trouble::Silent;
+    m_storeServer.client.fault = store_fault::Unresponsive;
     runFor({300});
     backend_standin &server = *serversOfKind()[0];
     server.leaving = true;
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -139,8 +139,8 @@
             askReady(daemon);
         }
     }
-    for (const auto &[lease, kept] : m_store.keptAt) {
-        if (m_store.open[lease] && now - kept > leaseTime) {
+    for (const auto &[lease, kept] : m_store.renewedAt) {
+        if (m_store.leaseIsOpen[lease] && now - kept > shortLeaseTtl) {
             m_store.expire(lease);
         }
     }
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -141,18 +141,18 @@
 
 void soak_run::applyToStore(const fault &what)
 {
-    static constexpr store_trouble troubles[] = {
-        store_trouble::Refuses, store_trouble::Silent, store_trouble::LosesWrites};
+    static constexpr store_fault troubles[] = {
+        store_fault::RefusesCalls, store_fault::Unresponsive, store_fault::LosesWriteResponses};
     m_storeDisturbed = std::max(m_storeDisturbed, bootNow() + what.lasts);
     if (what.kind == fault_kind::ForgetHistory) {
         m_store.compact();
         return;
     }
     ++m_storeTroubles;
-    m_storeServer.client.trouble = troubles[what.variant % std::size(troubles)];
+    m_storeServer.client.fault = troubles[what.variant % std::size(troubles)];
     after(what.lasts, [this] {
         if (--m_storeTroubles == 0) {
-            m_storeServer.client.trouble = store_trouble::None;
+            m_storeServer.client.fault = store_fault::None;
         }
     });
 }
@@ -233,7 +233,7 @@
 void soak_run::heal()
 {
     m_healed = true;
-    m_storeServer.client.trouble = store_trouble::None;
+    m_storeServer.client.fault = store_fault::None;
     for (const auto &link : m_storeLinks) {
         link->setFault(link_fault::None);
     }
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -20,7 +20,7 @@
 
 using mood = backend_standin::mood;
 
-constexpr millis leaseTime{3'000};
+constexpr millis shortLeaseTtl{3'000};
 constexpr millis lookEvery{20};
 constexpr millis deadline{3'000};
 /// Beyond its deadline a request of an undisturbed daemon is overdue; wide, since the machine may be loaded.
