--- a/packages/serving/lease_validity.cpp
+++ b/packages/serving/lease_validity.cpp
@@ -4,46 +4,46 @@
 
 namespace briarhead {
 
-void onLeaseGranted(lease_validity &proof, millis asked, millis length)
+void onLeaseGranted(lease_validity &validity, millis sentAt, millis length)
 {
-    proof = {length, asked, asked, false, {}};
+    validity = {length, sentAt, sentAt, false, {}};
 }
 
-void onLeaseRenewed(lease_validity &proof, millis asked, millis gapMost)
+void onLeaseRenewed(lease_validity &validity, millis sentAt, millis maxGap)
 {
-    if (asked - proof.lastRenewal > gapMost) {
-        markUncertain(proof, asked);
+    if (sentAt - validity.lastRenewal > maxGap) {
+        markUncertain(validity, sentAt);
     }
-    proof.lastRenewal = std::max(proof.lastRenewal, asked);
-    if (!proof.uncertain) {
-        proof.validFrom = proof.lastRenewal;
+    validity.lastRenewal = std::max(validity.lastRenewal, sentAt);
+    if (!validity.uncertain) {
+        validity.validFrom = validity.lastRenewal;
     }
 }
 
-void markUncertain(lease_validity &proof, millis at)
+void markUncertain(lease_validity &validity, millis failedAt)
 {
-    proof.uncertain = true;
-    proof.lastFailure = std::max(proof.lastFailure, at);
+    validity.uncertain = true;
+    validity.lastFailure = std::max(validity.lastFailure, failedAt);
 }
 
-void onRecordsRead(lease_validity &proof, millis asked)
+void onRecordsRead(lease_validity &validity, millis sentAt)
 {
-    if (proof.uncertain && asked >= proof.lastFailure) {
-        proof.uncertain = false;
-        proof.validFrom = proof.lastRenewal;
+    if (validity.uncertain && sentAt >= validity.lastFailure) {
+        validity.uncertain = false;
+        validity.validFrom = validity.lastRenewal;
     }
 }
 
-millis validUntil(const lease_validity &proof)
+millis validUntil(const lease_validity &validity)
 {
-    return proof.validFrom + proof.length - validityMargin;
+    return validity.validFrom + validity.length - validityMargin;
 }
 
-millis firstOrderAt(const removed_ownership &left, millis leaseLength)
+millis firstOrderAt(const removed_ownership &removed, millis leaseLength)
 {
-    const bool lapsed = left.holder && left.seen >= left.holder->until
-        && left.seen <= left.holder->until + validityMargin + maxExpiryLag;
-    return lapsed ? left.seen : left.seen + leaseLength;
+    const bool expired = removed.owner && removed.seenAt >= removed.owner->validUntil
+        && removed.seenAt <= removed.owner->validUntil + validityMargin + maxExpiryLag;
+    return expired ? removed.seenAt : removed.seenAt + leaseLength;
 }
 
 }
--- a/packages/serving/quota_store.cpp
+++ b/packages/serving/quota_store.cpp
@@ -17,7 +17,7 @@
     }
     const orderer_record &record = found->second.record;
     const bool own = store.isOwn(record) && store.isUnderCurrentLease(record);
-    return home_record{record.node, found->second.revision, own, found->second.settled};
+    return home_record{record.node, found->second.revision, own, found->second.predecessorExpired};
 }
 
 }
--- a/packages/serving/server_ledger.cpp
+++ b/packages/serving/server_ledger.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-bool remembers(const server_ledger &ledger, const std::string &key)
+bool isCached(const server_ledger &ledger, const std::string &key)
 {
     return std::find(ledger.cachedAdapters.begin(), ledger.cachedAdapters.end(), key)
         != ledger.cachedAdapters.end();
 }
 
-void remember(server_ledger &ledger, const std::string &key)
+void markCached(server_ledger &ledger, const std::string &key)
 {
     std::erase(ledger.cachedAdapters, key);
     ledger.cachedAdapters.push_back(key);
@@ -22,35 +22,35 @@
     }
 }
 
-void measureLoad(server_ledger &ledger, const adapter_slot &place, millis now)
+void recordLoadTime(server_ledger &ledger, const adapter_slot &slot, millis now)
 {
-    const millis took = now - place.stateSince;
-    if (place.cached) {
-        ledger.cachedLoadMs += loadTimeWeight * (static_cast<double>(took.count) - ledger.cachedLoadMs);
-    } else if (place.orderedHere) {
-        ledger.measuredLoads.push_back({took, (place.concurrentLoads + ledger.concurrentLoads) / 2});
+    const millis duration = now - slot.stateSince;
+    if (slot.cached) {
+        ledger.cachedLoadMs += loadTimeWeight * (static_cast<double>(duration.count) - ledger.cachedLoadMs);
+    } else if (slot.orderedHere) {
+        ledger.measuredLoads.push_back({duration, (slot.concurrentLoads + ledger.concurrentLoads) / 2});
     }
 }
 
-adapter_slot &addPlace(server_ledger &ledger, const server_order &order, millis now)
+adapter_slot &addSlot(server_ledger &ledger, const server_order &order, millis now)
 {
-    adapter_slot place;
-    place.model = order.model;
-    place.adapter = order.adapter;
-    place.version = order.version;
-    place.stateSince = now;
-    place.useScoreAt = now;
-    place.cached = remembers(ledger, adapterKey(order.model, order.adapter));
-    place.orderedHere = true;
-    place.concurrentLoads = ledger.concurrentLoads;
-    ledger.adapters.push_back(place);
+    adapter_slot slot;
+    slot.model = order.model;
+    slot.adapter = order.adapter;
+    slot.version = order.version;
+    slot.stateSince = now;
+    slot.useScoreAt = now;
+    slot.cached = isCached(ledger, adapterKey(order.model, order.adapter));
+    slot.orderedHere = true;
+    slot.concurrentLoads = ledger.concurrentLoads;
+    ledger.adapters.push_back(slot);
     return ledger.adapters.back();
 }
 
-void removePlace(server_ledger &ledger, const std::string &model, const std::string &adapter)
+void removeSlot(server_ledger &ledger, const std::string &model, const std::string &adapter)
 {
-    std::erase_if(ledger.adapters, [&](const adapter_slot &place) {
-        return place.model == model && place.adapter == adapter;
+    std::erase_if(ledger.adapters, [&](const adapter_slot &slot) {
+        return slot.model == model && slot.adapter == adapter;
     });
 }
 
@@ -60,8 +60,8 @@
     for (const model_spec &spec : models) {
         const bool held = holdsModel(ledger, spec.name) || ledger.loadingModel == spec.name;
         sum += held ? spec.weightsMb : 0;
-        for (const adapter_slot &place : ledger.adapters) {
-            sum += place.model == spec.name ? spec.adapterMb : 0;
+        for (const adapter_slot &slot : ledger.adapters) {
+            sum += slot.model == spec.name ? spec.adapterMb : 0;
         }
     }
     return sum;
@@ -77,7 +77,8 @@
     return nullptr;
 }
 
-/// A server that holds no base model serves nothing: the first one that fits goes in.
+/// A server without a base model serves nothing: loads the model of the most urgent request, else the first
+/// one.
 std::optional<server_order> modelOrder(
     const server_ledger &ledger, const std::vector<wanted_adapter> &wants, const order_constraints &limits)
 {
@@ -93,47 +94,49 @@
     return server_order{order_kind::Load, spec->name, "", 0, ledger.sequence, "", 0};
 }
 
-/// Asks whether an adapter on its way is in: the same load again, which then holds already.
-std::optional<server_order> confirmOrder(server_ledger &ledger, millis now)
+/// Confirms a load in progress by repeating the order: the server answers that the adapter is loaded, or
+/// still loading.
+std::optional<server_order> confirmLoadOrder(server_ledger &ledger, millis now)
 {
-    for (adapter_slot &place : ledger.adapters) {
-        if (place.state == slot_state::Loading && place.confirmAt <= now) {
+    for (adapter_slot &slot : ledger.adapters) {
+        if (slot.state == slot_state::Loading && slot.confirmAt <= now) {
             return server_order{
-                order_kind::Load, place.model, place.adapter, place.version, ledger.sequence, "", 0};
+                order_kind::Load, slot.model, slot.adapter, slot.version, ledger.sequence, "", 0};
         }
     }
     return std::nullopt;
 }
 
-/// A resident adapter of an older version is replaced in place; the server lets its runs end first.
-std::optional<server_order> replaceOrder(const server_ledger &ledger, const order_constraints &limits)
+/// Replaces a resident adapter of an older version in its slot; the server first finishes the requests using
+/// it.
+std::optional<server_order> replaceVersionOrder(const server_ledger &ledger, const order_constraints &limits)
 {
-    for (const adapter_slot &place : ledger.adapters) {
-        const std::int64_t newest =
-            limits.newestVersion ? limits.newestVersion(place.model, place.adapter) : 0;
-        if (place.state == slot_state::Resident && newest > place.version) {
-            return server_order{order_kind::Load, place.model, place.adapter, newest, ledger.sequence, "", 0};
+    for (const adapter_slot &slot : ledger.adapters) {
+        const std::int64_t newest = limits.newestVersion ? limits.newestVersion(slot.model, slot.adapter) : 0;
+        if (slot.state == slot_state::Resident && newest > slot.version) {
+            return server_order{order_kind::Load, slot.model, slot.adapter, newest, ledger.sequence, "", 0};
         }
     }
     return std::nullopt;
 }
 
-/// The least used of the adapters that nothing uses or waits for.
-const adapter_slot *victim(const server_ledger &ledger, const order_constraints &limits, millis now)
+/// The least used adapter that has no users and that nothing waits for; null if there is none.
+const adapter_slot *evictionCandidate(
+    const server_ledger &ledger, const order_constraints &limits, millis now)
 {
-    const adapter_slot *coldest = nullptr;
-    for (const adapter_slot &place : ledger.adapters) {
-        const bool idle = place.state == slot_state::Resident && place.users == 0
-            && !(limits.isWaitedFor && limits.isWaitedFor(place.model, place.adapter));
-        if (idle && (coldest == nullptr || currentUseScore(place, now) < currentUseScore(*coldest, now))) {
-            coldest = &place;
+    const adapter_slot *leastUsed = nullptr;
+    for (const adapter_slot &slot : ledger.adapters) {
+        const bool idle = slot.state == slot_state::Resident && slot.users == 0
+            && !(limits.isWaitedFor && limits.isWaitedFor(slot.model, slot.adapter));
+        if (idle && (leastUsed == nullptr || currentUseScore(slot, now) < currentUseScore(*leastUsed, now))) {
+            leastUsed = &slot;
         }
     }
-    return coldest;
+    return leastUsed;
 }
 
-std::optional<server_order> wantedOrder(server_ledger &ledger, const std::vector<wanted_adapter> &wants,
-    const order_constraints &limits, millis now)
+std::optional<server_order> wantedAdapterOrder(server_ledger &ledger,
+    const std::vector<wanted_adapter> &wants, const order_constraints &limits, millis now)
 {
     for (const wanted_adapter &want : wants) {
         const model_spec *spec = specOf(limits, want.model);
@@ -151,26 +154,26 @@
                 limits.newestVersion ? limits.newestVersion(want.model, want.adapter) : 0;
             return server_order{order_kind::Load, want.model, want.adapter, newest, ledger.sequence, "", 0};
         }
-        const adapter_slot *out = victim(ledger, limits, now);
-        if (out == nullptr) {
+        const adapter_slot *evicted = evictionCandidate(ledger, limits, now);
+        if (evicted == nullptr) {
             return std::nullopt;
         }
-        return server_order{order_kind::Unload, out->model, out->adapter, 0, ledger.sequence, "", 0};
+        return server_order{order_kind::Unload, evicted->model, evicted->adapter, 0, ledger.sequence, "", 0};
     }
     return std::nullopt;
 }
 
-/// Whether the order asks for an adapter that is on its way.
-bool repeatsLoad(const server_ledger &ledger, const server_order &order)
+/// Whether the order repeats a load in progress.
+bool isLoadInProgress(const server_ledger &ledger, const server_order &order)
 {
-    const adapter_slot *place = findSlot(ledger, order.model, order.adapter);
-    return order.kind == order_kind::Load && place != nullptr && place->state == slot_state::Loading;
+    const adapter_slot *slot = findSlot(ledger, order.model, order.adapter);
+    return order.kind == order_kind::Load && slot != nullptr && slot->state == slot_state::Loading;
 }
 
-void onLoadAnswer(server_ledger &ledger, const server_order &order, order_answer answer, millis now)
+void onLoadResponse(server_ledger &ledger, const server_order &order, order_answer response, millis now)
 {
     if (order.adapter.empty()) {
-        if (answer == order_answer::Accepted) {
+        if (response == order_answer::Accepted) {
             ledger.loadingModel = order.model;
             ledger.notBefore = now + conflictPause;
         } else if (!holdsModel(ledger, order.model)) {
@@ -178,27 +181,27 @@
         }
         return;
     }
-    adapter_slot *place = findSlot(ledger, order.model, order.adapter);
-    if (place == nullptr) {
-        place = &addPlace(ledger, order, now);
+    adapter_slot *slot = findSlot(ledger, order.model, order.adapter);
+    if (slot == nullptr) {
+        slot = &addSlot(ledger, order, now);
     }
-    place->version = order.version != 0 ? order.version : place->version;
-    if (answer == order_answer::Holds) {
-        if (place->state == slot_state::Loading && place->confirmAt.count != 0) {
-            measureLoad(ledger, *place, now);
+    slot->version = order.version != 0 ? order.version : slot->version;
+    if (response == order_answer::Holds) {
+        if (slot->state == slot_state::Loading && slot->confirmAt.count != 0) {
+            recordLoadTime(ledger, *slot, now);
         }
-        place->state = slot_state::Resident;
-        remember(ledger, adapterKey(order.model, order.adapter));
+        slot->state = slot_state::Resident;
+        markCached(ledger, adapterKey(order.model, order.adapter));
         return;
     }
-    if (place->state != slot_state::Loading || place->confirmAt.count == 0) {
-        place->state = slot_state::Loading;
-        place->stateSince = now;
-        const double quickest = place->cached ? initialCachedLoadMs : firstLoadMs;
-        place->confirmAt = now + millis{std::llround(quickest * confirmAfterFraction)};
+    if (slot->state != slot_state::Loading || slot->confirmAt.count == 0) {
+        slot->state = slot_state::Loading;
+        slot->stateSince = now;
+        const double quickest = slot->cached ? initialCachedLoadMs : firstLoadMs;
+        slot->confirmAt = now + millis{std::llround(quickest * confirmAfterFraction)};
     } else {
-        const auto elapsed = static_cast<double>((now - place->stateSince).count);
-        place->confirmAt =
+        const auto elapsed = static_cast<double>((now - slot->stateSince).count);
+        slot->confirmAt =
             now + std::max(minConfirmPause, millis{std::llround(elapsed * confirmPauseFraction)});
     }
 }
@@ -221,9 +224,9 @@
 const adapter_slot *findSlot(
     const server_ledger &ledger, const std::string &model, const std::string &adapter)
 {
-    for (const adapter_slot &place : ledger.adapters) {
-        if (place.model == model && place.adapter == adapter) {
-            return &place;
+    for (const adapter_slot &slot : ledger.adapters) {
+        if (slot.model == model && slot.adapter == adapter) {
+            return &slot;
         }
     }
     return nullptr;
@@ -236,11 +239,11 @@
     return names[static_cast<std::size_t>(value)];
 }
 
-double currentUseScore(const adapter_slot &place, millis now)
+double currentUseScore(const adapter_slot &slot, millis now)
 {
     const double halves =
-        static_cast<double>((now - place.useScoreAt).count) / static_cast<double>(useScoreHalfLife.count);
-    return place.useScore * std::exp2(-std::max(halves, 0.0));
+        static_cast<double>((now - slot.useScoreAt).count) / static_cast<double>(useScoreHalfLife.count);
+    return slot.useScore * std::exp2(-std::max(halves, 0.0));
 }
 
 adapter_slot *findSlot(server_ledger &ledger, const std::string &model, const std::string &adapter)
@@ -255,21 +258,21 @@
 
 int occupiedSlots(const server_ledger &ledger)
 {
-    int taken = static_cast<int>(ledger.adapters.size());
+    int occupied = static_cast<int>(ledger.adapters.size());
     for (const auto *pending : {&ledger.openOrder, &ledger.unansweredLoad}) {
         const bool load = *pending && (*pending)->kind == order_kind::Load && !(*pending)->adapter.empty();
         if (load && findSlot(ledger, (*pending)->model, (*pending)->adapter) == nullptr) {
-            ++taken;
+            ++occupied;
         }
     }
-    return taken;
+    return occupied;
 }
 
 int availableSlots(const server_ledger &ledger)
 {
     int count = ledger.slots - occupiedSlots(ledger);
-    for (const adapter_slot &place : ledger.adapters) {
-        count += place.state == slot_state::Resident && place.users == 0 ? 1 : 0;
+    for (const adapter_slot &slot : ledger.adapters) {
+        count += slot.state == slot_state::Resident && slot.users == 0 ? 1 : 0;
     }
     return std::max(count, 0);
 }
@@ -277,22 +280,22 @@
 int loadsInProgress(const server_ledger &ledger)
 {
     return static_cast<int>(
-        std::count_if(ledger.adapters.begin(), ledger.adapters.end(), [](const adapter_slot &place) {
-            return place.state == slot_state::Loading;
+        std::count_if(ledger.adapters.begin(), ledger.adapters.end(), [](const adapter_slot &slot) {
+            return slot.state == slot_state::Loading;
         }));
 }
 
 millis adapterWait(
     const server_ledger &ledger, const std::string &model, const std::string &adapter, millis now)
 {
-    const adapter_slot *place = findSlot(ledger, model, adapter);
-    if (adapter.empty() || (place != nullptr && place->state == slot_state::Resident)) {
+    const adapter_slot *slot = findSlot(ledger, model, adapter);
+    if (adapter.empty() || (slot != nullptr && slot->state == slot_state::Resident)) {
         return {};
     }
-    const bool known = place != nullptr ? place->cached : remembers(ledger, adapterKey(model, adapter));
-    const millis whole{std::llround(known ? ledger.cachedLoadMs : ledger.storeLoadMs)};
-    const bool coming = place != nullptr && place->state == slot_state::Loading;
-    return coming ? std::max(whole - (now - place->stateSince), millis{}) : whole;
+    const bool cached = slot != nullptr ? slot->cached : isCached(ledger, adapterKey(model, adapter));
+    const millis loadTime{std::llround(cached ? ledger.cachedLoadMs : ledger.storeLoadMs)};
+    const bool loading = slot != nullptr && slot->state == slot_state::Loading;
+    return loading ? std::max(loadTime - (now - slot->stateSince), millis{}) : loadTime;
 }
 
 void applyReport(server_ledger &ledger, const server_report &report, millis now)
@@ -306,27 +309,27 @@
     if (ledger.unansweredLoad && ledger.unansweredLoad->expected < report.sequence) {
         ledger.unansweredLoad.reset();
     }
-    std::vector<adapter_slot> places;
+    std::vector<adapter_slot> slots;
     const auto carryOver = [&](const std::string &model, const std::string &adapter, std::int64_t version,
                                slot_state state) {
-        const bool twice = std::any_of(places.begin(), places.end(), [&](const adapter_slot &place) {
-            return place.model == model && place.adapter == adapter;
+        const bool duplicate = std::any_of(slots.begin(), slots.end(), [&](const adapter_slot &slot) {
+            return slot.model == model && slot.adapter == adapter;
         });
-        if (twice) {
+        if (duplicate) {
             return;
         }
-        adapter_slot place;
-        if (const adapter_slot *old = findSlot(ledger, model, adapter)) {
-            place = *old;
+        adapter_slot slot;
+        if (const adapter_slot *previous = findSlot(ledger, model, adapter)) {
+            slot = *previous;
         }
-        place.model = model;
-        place.adapter = adapter;
-        place.version = version != 0 ? version : place.version;
-        place.state = state;
-        place.stateSince = now;
-        place.confirmAt = state == slot_state::Loading ? now + minConfirmPause : millis{};
-        places.push_back(place);
-        remember(ledger, adapterKey(model, adapter));
+        slot.model = model;
+        slot.adapter = adapter;
+        slot.version = version != 0 ? version : slot.version;
+        slot.state = state;
+        slot.stateSince = now;
+        slot.confirmAt = state == slot_state::Loading ? now + minConfirmPause : millis{};
+        slots.push_back(slot);
+        markCached(ledger, adapterKey(model, adapter));
     };
     ledger.models.clear();
     for (const held_model &model : report.models) {
@@ -335,15 +338,15 @@
             carryOver(model.name, adapter.name, adapter.version, slot_state::Resident);
         }
     }
-    for (const std::string &coming : report.coming) {
-        const std::size_t slash = coming.find('/');
-        const std::string rest = slash == std::string::npos ? "" : coming.substr(slash + 1);
+    for (const std::string &key : report.coming) {
+        const std::size_t slash = key.find('/');
+        const std::string rest = slash == std::string::npos ? "" : key.substr(slash + 1);
         const std::string name = rest.substr(0, rest.find('@'));
         if (!name.empty()) {
-            carryOver(coming.substr(0, slash), name, 0, slot_state::Loading);
+            carryOver(key.substr(0, slash), name, 0, slot_state::Loading);
         }
     }
-    ledger.adapters = std::move(places);
+    ledger.adapters = std::move(slots);
     if (!report.busy || holdsModel(ledger, ledger.loadingModel)) {
         ledger.loadingModel.clear();
     }
@@ -376,13 +379,13 @@
     }
     auto order = modelOrder(ledger, wants, limits);
     if (!order) {
-        order = confirmOrder(ledger, now);
+        order = confirmLoadOrder(ledger, now);
     }
     if (!order) {
-        order = replaceOrder(ledger, limits);
+        order = replaceVersionOrder(ledger, limits);
     }
     if (!order) {
-        order = wantedOrder(ledger, wants, limits, now);
+        order = wantedAdapterOrder(ledger, wants, limits, now);
     }
     if (order) {
         ledger.openOrder = order;
@@ -393,16 +396,15 @@
     return order;
 }
 
-void onOrderResponse(server_ledger &ledger, const server_order &order, order_answer answer, millis now)
+void onOrderResponse(server_ledger &ledger, const server_order &order, order_answer response, millis now)
 {
     ledger.openOrder.reset();
-    switch (answer) {
+    switch (response) {
     case order_answer::Accepted:
     case order_answer::Holds:
-        // The server counts the orders that it accepts; a load that holds already, or that is on its way
-        // already, is none.
-        if (!repeatsLoad(ledger, order)
-            && (answer == order_answer::Accepted || order.kind == order_kind::Unload)) {
+        // The server does not count a load of an adapter that it already holds or is already loading.
+        if (!isLoadInProgress(ledger, order)
+            && (response == order_answer::Accepted || order.kind == order_kind::Unload)) {
             ledger.sequence = order.expected + 1;
             ledger.acceptedAt = now;
             if (ledger.unansweredLoad && ledger.unansweredLoad->expected < ledger.sequence) {
@@ -410,11 +412,11 @@
             }
         }
         if (order.kind == order_kind::Load) {
-            onLoadAnswer(ledger, order, answer, now);
-        } else if (answer == order_answer::Holds) {
-            removePlace(ledger, order.model, order.adapter);
+            onLoadResponse(ledger, order, response, now);
+        } else if (response == order_answer::Holds) {
+            removeSlot(ledger, order.model, order.adapter);
         } else {
-            ledger.confirmed = false; // it waits for its runs; a report tells when it is out
+            ledger.confirmed = false; // it waits for its requests to end; a report shows when it is unloaded
             ledger.notBefore = now + conflictPause;
         }
         return;
@@ -427,8 +429,8 @@
         return;
     default:
         if (order.kind == order_kind::Unload) {
-            if (adapter_slot *place = findSlot(ledger, order.model, order.adapter)) {
-                place->state = slot_state::Resident;
+            if (adapter_slot *slot = findSlot(ledger, order.model, order.adapter)) {
+                slot->state = slot_state::Resident;
             }
         }
         ledger.confirmed = false;
@@ -439,26 +441,26 @@
 
 void beginUse(server_ledger &ledger, const std::string &model, const std::string &adapter, millis now)
 {
-    if (adapter_slot *place = findSlot(ledger, model, adapter)) {
-        ++place->users;
-        place->useScore = currentUseScore(*place, now) + 1;
-        place->useScoreAt = now;
+    if (adapter_slot *slot = findSlot(ledger, model, adapter)) {
+        ++slot->users;
+        slot->useScore = currentUseScore(*slot, now) + 1;
+        slot->useScoreAt = now;
     }
 }
 
 void endUse(server_ledger &ledger, const std::string &model, const std::string &adapter)
 {
-    adapter_slot *place = findSlot(ledger, model, adapter);
-    if (place != nullptr && place->users > 0) {
-        --place->users;
+    adapter_slot *slot = findSlot(ledger, model, adapter);
+    if (slot != nullptr && slot->users > 0) {
+        --slot->users;
     }
 }
 
 void onNotHeld(server_ledger &ledger, const std::string &model, const std::string &adapter, millis now)
 {
-    adapter_slot *place = findSlot(ledger, model, adapter);
-    if (place != nullptr && place->state == slot_state::Resident) {
-        // It may be on its way out or replaced behind our back: only a report tells.
+    adapter_slot *slot = findSlot(ledger, model, adapter);
+    if (slot != nullptr && slot->state == slot_state::Resident) {
+        // It may have been evicted or replaced without this daemon's orders; only a report shows it.
         ledger.confirmed = false;
         ledger.notBefore = now + conflictPause;
     }
--- a/packages/serving/server_owner_orders.cpp
+++ b/packages/serving/server_owner_orders.cpp
@@ -5,18 +5,18 @@
 #include <algorithm>
 #include <cmath>
 
-// What is sent to a server by the daemon that gives its orders: questions for its report, and orders.
+// The calls that a server's owner makes to it: report requests and orders.
 namespace briarhead {
 
 namespace {
 
-/// An order is answered in some ms; without an answer for so long it counts as unknown, and a report tells
-/// what became of it. Nothing else is ordered there meanwhile.
+/// Orders are answered within a few ms. After this time the outcome counts as unknown, and a report is
+/// requested to learn it; no other order is sent to the server meanwhile.
 constexpr millis orderTimeout{150};
 constexpr millis reportTimeout{700};
-constexpr millis reportPause{250};
-/// Loads of base models are paced so that all daemons together stay under the weight store's rate, also if
-/// all begin at once.
+constexpr millis reportRetryPause{250};
+/// Base model loads are spaced so that all daemons together stay below the weight store's rate, even if all
+/// of them start at once.
 constexpr double modelLoadMargin = 1.3;
 constexpr double msPerSecond = 1'000;
 
@@ -32,11 +32,11 @@
 {
     const double daemons = static_cast<double>(std::max<std::size_t>(m_store.view().daemons.size(), 1));
     const double rate = std::max(engine.loadsPerSecond, 0.1);
-    const millis pace{std::llround(modelLoadMargin * daemons / rate * msPerSecond)};
-    return m_lastModelLoad.count == 0 || bootNow() - m_lastModelLoad >= pace;
+    const millis minInterval{std::llround(modelLoadMargin * daemons / rate * msPerSecond)};
+    return m_lastModelLoad.count == 0 || bootNow() - m_lastModelLoad >= minInterval;
 }
 
-order_constraints server_owner_task::limitsFor(const engine_spec &engine) const
+order_constraints server_owner_task::constraintsFor(const engine_spec &engine) const
 {
     order_constraints limits;
     limits.models = &engine.models;
@@ -47,173 +47,177 @@
     return limits;
 }
 
-/// How many adapters are on their way, to all servers: of those in other cells it hears nothing, and takes
-/// them for like the others.
-void server_owner_task::countLoads()
+/// Estimates the adapter loads in progress on all servers. Servers in other heartbeat groups are unknown
+/// here; they are assumed to have as many on average as the known ones.
+void server_owner_task::estimateConcurrentLoads()
 {
     const millis now = bootNow();
-    std::erase_if(m_heardLoads, [&](const auto &each) {
-        return now - each.second.at > beatFresh || m_servers.count(each.first) != 0;
+    std::erase_if(m_observedLoads, [&](const auto &each) {
+        return now - each.second.receivedAt > beatFresh || m_servers.count(each.first) != 0;
     });
     int loads = 0;
-    for (const auto &[id, heard] : m_heardLoads) {
-        loads += heard.count;
+    for (const auto &[id, observed] : m_observedLoads) {
+        loads += observed.count;
     }
-    for (const auto &[id, one] : m_servers) {
-        loads += loadsInProgress(one.desk.ledger);
+    for (const auto &[id, state] : m_servers) {
+        loads += loadsInProgress(state.scheduler.ledger);
     }
-    const std::size_t counted = m_heardLoads.size() + m_servers.size();
-    const auto all = std::max(m_store.view().serverOwners.size(), counted);
-    m_pace.crowd = counted == 0
+    const std::size_t knownServers = m_observedLoads.size() + m_servers.size();
+    const auto allServers = std::max(m_store.view().serverOwners.size(), knownServers);
+    m_pace.crowd = knownServers == 0
         ? 0
-        : static_cast<double>(loads) * static_cast<double>(all) / static_cast<double>(counted);
+        : static_cast<double>(loads) * static_cast<double>(allServers) / static_cast<double>(knownServers);
 }
 
-/// Guards against: a daemon that is cut off from the store orders on while its successor begins, on a server
-/// that doesn't check tokens. It shows as two daemons' loads in one server's places, and as a crash of the
-/// server for one too many. Holds because no order is sent, and none stays unanswered, past the time up to
-/// which the store's lease is proved, and the successor begins after that (see order_right.h).
-bool server_owner_task::mayOrder(const std::string &id, const server_state &one) const
+/// Whether this daemon may send an order to the server now.
+///
+/// On servers that check no fencing tokens, a daemon that has lost the store must not keep sending orders
+/// while its successor begins: both would load into the same slots, and one load too many crashes the server.
+/// So no order is sent or left open past the time until which the store's lease is certain; the successor
+/// begins after that (see lease_validity.h).
+bool server_owner_task::mayOrder(const std::string &id, const server_state &state) const
 {
     const millis now = bootNow();
-    if (one.fenced || now < one.mayOrderFrom || now < m_pausedUntil) {
+    if (state.fenced || now < state.ordersAllowedFrom || now < m_pausedUntil) {
         return false;
     }
     if (m_settings.serversCheckTokens) {
-        return !m_alone;
+        return !m_isolated;
     }
-    return m_store.ownsServer(id) && now >= one.rivalUntil
+    return m_store.ownsServer(id) && now >= state.otherOwnerUntil
         && now + minOrderTime <= m_store.ownershipValidUntil();
 }
 
-/// What the answer to a call of this daemon's own says of the server.
-void server_owner_task::hearWords(const backend_server &server, const call_result &result)
+/// Records the server notices in the response to one of this daemon's own calls.
+void server_owner_task::recordNotices(const backend_server &server, const call_result &result)
 {
     if (result.how == send_end::Whole) {
         m_words.hear("", server.id, startOf(server), m_codec.readCallAnswer(result.head));
     }
 }
 
-void server_owner_task::askReport(const std::string &id, server_state &one, const backend_server &server)
+void server_owner_task::requestReport(
+    const std::string &id, server_state &state, const backend_server &server)
 {
-    if (turnsLeft(one.desk.limit, bootNow()) == 0) {
+    if (turnsLeft(state.scheduler.limit, bootNow()) == 0) {
         return;
     }
-    takeTurn(one.desk.limit);
-    one.reporting = true;
+    takeTurn(state.scheduler.limit);
+    state.reportRequested = true;
     ++m_counters.reports;
-    const auto finish = [this, id, born = one.born, asked = server](const call_result &result) {
+    const auto finish = [this, id, born = state.born, target = server](const call_result &result) {
         const auto found = m_servers.find(id);
         if (found == m_servers.end() || found->second.born != born) {
             return;
         }
-        server_state &state = found->second;
-        state.reporting = false;
-        hearWords(asked, result);
+        server_state &current = found->second;
+        current.reportRequested = false;
+        recordNotices(target, result);
         if (const auto limit = m_codec.readCallAnswer(result.head).limit) {
-            nameLimit(state.desk.limit, *limit, bootNow(), bootNow());
+            nameLimit(current.scheduler.limit, *limit, bootNow(), bootNow());
         }
         error why;
         const auto report =
             result.how == send_end::Whole ? m_codec.readReport(result.body, why) : std::nullopt;
         const millis now = bootNow();
         if (!report) {
-            state.desk.ledger.notBefore = now + reportPause;
+            current.scheduler.ledger.notBefore = now + reportRetryPause;
             return;
         }
         if (report->born != 0 && report->born < born) {
-            state.desk.ledger.notBefore = now + reportPause; // another server's, or late
+            current.scheduler.ledger.notBefore =
+                now + reportRetryPause; // of another server or an earlier incarnation
             return;
         }
         if (report->born > born) {
-            startAgain(id, report->born); // the store tells later
+            onServerRestarted(id, report->born); // the store reports the restart later
         }
-        const std::int64_t before = state.desk.ledger.sequence;
-        applyReport(state.desk, *report, now);
-        // Guards against: a load of weights, seconds long, is asked after at the speed of the net. It showed
-        // as a hundred reports a second of each server that loads. A report says all there is to know; the
-        // next one is due when something can have changed.
-        if (!mayOrder(id, state) || !state.desk.ledger.loadingModel.empty()) {
-            state.desk.ledger.notBefore = now + reportPause;
+        const std::int64_t expectedSequence = current.scheduler.ledger.sequence;
+        applyReport(current.scheduler, *report, now);
+        // A report tells all there is to know until something can have changed. Without this pause the report
+        // was requested again at once while a base model loads, for seconds: a hundred reports a second from
+        // each loading server.
+        if (!mayOrder(id, current) || !current.scheduler.ledger.loadingModel.empty()) {
+            current.scheduler.ledger.notBefore = now + reportRetryPause;
         }
         m_log.ordinary("server.report")
             .add("server", id)
             .add("sequence", report->sequence)
-            .add("expected", before)
+            .add("expected", expectedSequence)
             .add("models", static_cast<std::int64_t>(report->models.size()))
-            .add("adapters", static_cast<std::int64_t>(state.desk.ledger.adapters.size()));
-        pump(id);
+            .add("adapters", static_cast<std::int64_t>(current.scheduler.ledger.adapters.size()));
+        processServer(id);
     };
     callServer(m_loop, m_pool, server.address, m_codec.writeReportCall(server), reportTimeout, finish);
 }
 
-void server_owner_task::sendOrder(const std::string &id, server_state &one, const backend_server &server)
+void server_owner_task::sendOrder(const std::string &id, server_state &state, const backend_server &server)
 {
-    const engine_spec *engine = engineOfServer(server);
+    const engine_spec *engine = findEngine(server);
     if (engine == nullptr) {
         return;
     }
-    auto order = orderDue(one.desk, limitsFor(*engine), bootNow());
+    auto order = orderDue(state.scheduler, constraintsFor(*engine), bootNow());
     if (!order) {
         return;
     }
     order->holder = m_settings.node;
-    order->fence = one.fence;
-    one.desk.ledger.openOrder = order;
-    one.lastOrder = bootNow();
-    const millis atMost = m_settings.serversCheckTokens
+    order->fence = state.fence;
+    state.scheduler.ledger.openOrder = order;
+    state.lastOrderAt = bootNow();
+    const millis timeout = m_settings.serversCheckTokens
         ? orderTimeout
-        : std::min(orderTimeout, m_store.ownershipValidUntil() - one.lastOrder);
+        : std::min(orderTimeout, m_store.ownershipValidUntil() - state.lastOrderAt);
     ++m_counters.orders;
     if (order->adapter.empty() && order->kind == order_kind::Load) {
         m_lastModelLoad = bootNow();
     }
-    const auto finish = [this, id, born = one.born, fence = one.fence, sent = *order, asked = server](
+    const auto finish = [this, id, born = state.born, fence = state.fence, sent = *order, target = server](
                             const call_result &result) {
-        hearWords(asked, result);
+        recordNotices(target, result);
         switch (result.how) {
         case send_end::Whole:
-            onOrderEnd(id, born, fence, sent, m_codec.readOrderAnswer(result.status));
+            onOrderDone(id, born, fence, sent, m_codec.readOrderAnswer(result.status));
             return;
         case send_end::Unsent:
-            onOrderEnd(id, born, fence, sent, order_answer::Refused);
+            onOrderDone(id, born, fence, sent, order_answer::Refused);
             return;
         case send_end::Broken:
-            onOrderEnd(id, born, fence, sent, order_answer::Unknown);
+            onOrderDone(id, born, fence, sent, order_answer::Unknown);
             return;
         }
     };
-    callServer(m_loop, m_pool, server.address, m_codec.writeOrder(*order, server), atMost, finish);
+    callServer(m_loop, m_pool, server.address, m_codec.writeOrder(*order, server), timeout, finish);
 }
 
-void server_owner_task::onOrderEnd(const std::string &id, std::int64_t born, std::uint64_t fence,
-    const server_order &order, order_answer answer)
+void server_owner_task::onOrderDone(const std::string &id, std::int64_t born, std::uint64_t fence,
+    const server_order &order, order_answer response)
 {
     const auto found = m_servers.find(id);
     if (found == m_servers.end() || found->second.fence != fence || found->second.born != born) {
         return;
     }
-    server_state &one = found->second;
-    const bool fine = answer == order_answer::Holds || answer == order_answer::Accepted;
-    (fine ? m_log.ordinary("order.answered") : m_log.important("order.answered"))
+    server_state &state = found->second;
+    const bool succeeded = response == order_answer::Holds || response == order_answer::Accepted;
+    (succeeded ? m_log.ordinary("order.answered") : m_log.important("order.answered"))
         .add("server", id)
         .add("order", order.kind == order_kind::Load ? "load" : "unload")
         .add("adapter", adapterKey(order.model, order.adapter))
         .add("version", order.version)
         .add("expected", order.expected)
         .add("fence", fence)
-        .add("outcome", nameOf(answer));
-    m_counters.ordersUnknown += answer == order_answer::Unknown ? 1 : 0;
-    m_counters.loads += answer == order_answer::Accepted && order.kind == order_kind::Load ? 1 : 0;
-    m_counters.unloads += fine && order.kind == order_kind::Unload ? 1 : 0;
-    onOrderResponse(one.desk.ledger, order, answer, bootNow());
-    if (answer == order_answer::Fenced) {
-        // Someone ordered under a higher token. If the record still names this daemon, a new claim raises
-        // its token above; if not, the view drops the server.
-        one.fenced = true;
+        .add("outcome", nameOf(response));
+    m_counters.ordersUnknown += response == order_answer::Unknown ? 1 : 0;
+    m_counters.loads += response == order_answer::Accepted && order.kind == order_kind::Load ? 1 : 0;
+    m_counters.unloads += succeeded && order.kind == order_kind::Unload ? 1 : 0;
+    onOrderResponse(state.scheduler.ledger, order, response, bootNow());
+    if (response == order_answer::Fenced) {
+        // Another daemon has sent an order with a higher fencing token. If the record still names this
+        // daemon, a new claim gives it a higher token; if not, the next view change ends the ownership.
+        state.fenced = true;
         m_store.claimServer(id);
     }
-    pump(id);
+    processServer(id);
 }
 
 }
--- a/packages/serving/server_owner_task.cpp
+++ b/packages/serving/server_owner_task.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// How often waiting prompts and loads on their way are looked at, besides after each event.
-constexpr millis pumpEvery{20};
-constexpr millis claimEvery{300};
-/// Without a beat for so long the daemon stood still, or nearly; the news of the time reach it within the
-/// pause after it.
-constexpr millis stillMost{1'000};
-constexpr millis stillPause{700};
+/// How often waiting prompts and loads in progress are processed, besides after each event.
+constexpr millis processInterval{20};
+constexpr millis claimInterval{300};
+/// After a longer gap between its own heartbeats this process was suspended, or nearly so. It then sends no
+/// orders for suspensionPause, within which the updates of that time reach it.
+constexpr millis maxHeartbeatGap{1'000};
+constexpr millis suspensionPause{700};
 
 }
 
 server_owner_task::server_owner_task(loop &eventLoop, bus &messages, store_task &store, word_task &words,
     backend_pool &pool, const request_codec &codec, const node_settings &settings, decision_log &log,
-    answer_call onAnswer)
+    response_callback onResponse)
     : m_loop(eventLoop)
     , m_store(store)
     , m_words(words)
@@ -29,81 +29,82 @@
     , m_codec(codec)
     , m_settings(settings)
     , m_log(log)
-    , m_answer(std::move(onAnswer))
+    , m_onResponse(std::move(onResponse))
     , m_limits(words.limits())
 {
-    messages.on<server_closed>([this](const server_closed &news) {
-        pump(news.server);
+    messages.on<server_closed>([this](const server_closed &event) {
+        processServer(event.server);
     });
     messages.on<view_changed>([this](const view_changed &change) {
-        followView(change);
+        onViewChanged(change);
     });
-    m_timer = m_loop.timer(pumpEvery, pumpEvery, [this] {
-        pumpAll();
+    m_processTimer = m_loop.timer(processInterval, processInterval, [this] {
+        processAllServers();
     });
-    m_claimTimer = m_loop.timer(claimEvery, claimEvery, [this] {
-        claimOrphans();
-        replaceSilent();
+    m_claimTimer = m_loop.timer(claimInterval, claimInterval, [this] {
+        claimUnownedServers();
+        replaceUnresponsiveOwners();
     });
 }
 
-const backend_server *server_owner_task::serverOf(const std::string &id) const
+const backend_server *server_owner_task::findServer(const std::string &id) const
 {
     const auto found = m_store.view().servers.find(id);
     return found == m_store.view().servers.end() ? nullptr : &found->second;
 }
 
-const engine_spec *server_owner_task::engineOfServer(const backend_server &server) const
+const engine_spec *server_owner_task::findEngine(const backend_server &server) const
 {
     const auto &config = m_store.view().config;
     return config ? engineOf(*config, server.service) : nullptr;
 }
 
-void server_owner_task::answerAll(const std::vector<addressed_response> &answers)
+void server_owner_task::sendResponses(const std::vector<addressed_response> &responses)
 {
-    for (const addressed_response &each : answers) {
-        answer(each.entry, each.answer);
+    for (const addressed_response &each : responses) {
+        sendResponse(each.entry, each.response);
     }
 }
 
-void server_owner_task::answer(const std::string &entry, const place_answer &answer)
+void server_owner_task::sendResponse(const std::string &entry, const place_answer &response)
 {
-    m_counters.granted += answer.verdict == place_verdict::Granted ? 1 : 0;
-    m_counters.refused += answer.verdict == place_verdict::Refused ? 1 : 0;
-    m_answer(entry, answer);
+    m_counters.granted += response.verdict == place_verdict::Granted ? 1 : 0;
+    m_counters.refused += response.verdict == place_verdict::Refused ? 1 : 0;
+    m_onResponse(entry, response);
 }
 
-void server_owner_task::handle(const std::string &entry, const place_ask &ask)
+void server_owner_task::handle(const std::string &entry, const place_ask &request)
 {
-    const auto found = m_servers.find(ask.server);
-    const backend_server *server = serverOf(ask.server);
+    const auto found = m_servers.find(request.server);
+    const backend_server *server = findServer(request.server);
     if (found == m_servers.end() || server == nullptr) {
-        if (server != nullptr && ask.limitMilli >= 0) {
-            hearTold(m_limits, ask.server, fromMilli(ask.limitMilli), heardBefore(ask.limitAgeMs, bootNow()),
-                bootNow());
+        if (server != nullptr && request.limitMilli >= 0) {
+            hearTold(m_limits, request.server, fromMilli(request.limitMilli),
+                heardBefore(request.limitAgeMs, bootNow()), bootNow());
         }
-        answer(entry, refusedResponse(ask.id, ask.server, refusal::NotOrderer, {}));
+        sendResponse(entry, refusedResponse(request.id, request.server, refusal::NotOrderer, {}));
         return;
     }
     const server_access access = m_words.accessOf(*server, entry);
     if (isClosed(access)) {
-        const bool leaves = access == server_access::Leaving;
-        const millis back = leaves ? millis{} : m_words.pauseLeft(*server, entry);
-        answer(entry,
-            refusedResponse(ask.id, ask.server, leaves ? refusal::ServerLeaving : refusal::Paused, back));
+        const bool leaving = access == server_access::Leaving;
+        const millis retryAfter = leaving ? millis{} : m_words.pauseLeft(*server, entry);
+        sendResponse(entry,
+            refusedResponse(
+                request.id, request.server, leaving ? refusal::ServerLeaving : refusal::Paused, retryAfter));
         m_words.tellLeaving(entry, *server);
         return;
     }
-    followLimit(ask.server, found->second);
-    const place_answer first = handleSlotRequest(found->second.desk, entry, ask, bootNow());
-    if (first.verdict != place_verdict::Queued) {
-        answer(entry, first);
+    updateLimitShare(request.server, found->second);
+    const place_answer response = handleSlotRequest(found->second.scheduler, entry, request, bootNow());
+    if (response.verdict != place_verdict::Queued) {
+        sendResponse(entry, response);
         return;
     }
-    pump(ask.server);
-    const auto still = m_servers.find(ask.server);
-    if (still != m_servers.end() && still->second.desk.queue.running.count(ask.id) == 0) {
-        answer(entry, first);
+    processServer(request.server);
+    const auto current = m_servers.find(request.server);
+    if (current != m_servers.end() && current->second.scheduler.queue.running.count(request.id) == 0) {
+        sendResponse(entry, response);
     }
 }
 
@@ -111,133 +112,135 @@
 {
     const auto found = m_servers.find(run.server);
     if (found != m_servers.end()) {
-        registerRunning(found->second.desk, entry, run, bootNow());
+        registerRunning(found->second.scheduler, entry, run, bootNow());
     }
 }
 
-void server_owner_task::handle(const std::string &, const limit_note &note)
+void server_owner_task::handle(const std::string &, const limit_note &report)
 {
-    const auto found = m_servers.find(note.server);
+    const auto found = m_servers.find(report.server);
     if (found == m_servers.end()) {
-        if (note.limitMilli >= 0 && serverOf(note.server) != nullptr) {
-            hearTold(m_limits, note.server, fromMilli(note.limitMilli), bootNow(), bootNow());
+        if (report.limitMilli >= 0 && findServer(report.server) != nullptr) {
+            hearTold(m_limits, report.server, fromMilli(report.limitMilli), bootNow(), bootNow());
         }
         return;
     }
-    onLimitNotice(found->second.desk, note, bootNow());
-    pump(note.server);
+    onLimitReport(found->second.scheduler, report, bootNow());
+    processServer(report.server);
 }
 
-/// Guards against: two daemons grant the turns of one server, since one of them is cut off and doesn't know
-/// that it was replaced. It shows as a server that gets nearly twice its limit. Holds because only whose
-/// lease stands grants the whole limit, and who knows of a successor none of it.
-void server_owner_task::followLimit(const std::string &id, server_state &one)
+/// Updates the share of the server's limit that this daemon grants: all of it only while its lease is valid,
+/// and nothing once it knows of a successor. Otherwise an isolated daemon that does not know that it was
+/// replaced would grant permits beside its successor, and the server would get nearly twice its limit.
+void server_owner_task::updateLimitShare(const std::string &id, server_state &state)
 {
-    if (one.desk.limit.perSecond != one.limitTold) {
-        one.limitTold = one.desk.limit.perSecond;
+    if (state.scheduler.limit.perSecond != state.loggedLimit) {
+        state.loggedLimit = state.scheduler.limit.perSecond;
         m_log.important("limit.kept")
             .add("server", id)
-            .add("per_second", one.limitTold.value_or(-1))
-            .add("fence", one.fence)
-            .add("share", one.desk.limit.share);
+            .add("per_second", state.loggedLimit.value_or(-1))
+            .add("fence", state.fence)
+            .add("share", state.scheduler.limit.share);
     }
-    if (!one.desk.limit.perSecond) {
+    if (!state.scheduler.limit.perSecond) {
         return;
     }
-    const bool stands = m_store.ownsServer(id) && m_store.isLeaseValid();
-    setShare(one.desk.limit, one.fenced ? 0 : stands ? 1 : unprovenShare, bootNow());
+    const bool ownershipValid = m_store.ownsServer(id) && m_store.isLeaseValid();
+    setShare(state.scheduler.limit, state.fenced ? 0 : ownershipValid ? 1 : unprovenShare, bootNow());
 }
 
-void server_owner_task::handle(const std::string &, const place_note &note)
+void server_owner_task::handle(const std::string &, const place_note &report)
 {
-    const auto found = m_servers.find(note.server);
+    const auto found = m_servers.find(report.server);
     if (found == m_servers.end()) {
         return;
     }
-    onRequestEvent(found->second.desk, note, bootNow());
-    pump(note.server);
+    onRequestEvent(found->second.scheduler, report, bootNow());
+    processServer(report.server);
 }
 
-void server_owner_task::pumpAll()
+void server_owner_task::processAllServers()
 {
-    countLoads();
+    estimateConcurrentLoads();
     std::vector<std::string> ids;
     ids.reserve(m_servers.size());
-    for (const auto &[id, one] : m_servers) {
+    for (const auto &[id, state] : m_servers) {
         ids.push_back(id);
     }
     for (const std::string &id : ids) {
-        pump(id);
+        processServer(id);
     }
 }
 
-void server_owner_task::pump(const std::string &id)
+void server_owner_task::processServer(const std::string &id)
 {
     const auto found = m_servers.find(id);
-    const backend_server *server = serverOf(id);
+    const backend_server *server = findServer(id);
     if (found == m_servers.end() || server == nullptr) {
         return;
     }
-    server_state &one = found->second;
+    server_state &state = found->second;
     const millis now = bootNow();
-    followLimit(id, one);
-    updateLoadTimes(one.desk, m_pace, now);
-    dropExpired(one.desk, now);
+    updateLimitShare(id, state);
+    updateLoadTimes(state.scheduler, m_pace, now);
+    releaseExpired(state.scheduler, now);
     const server_access access = m_words.accessOf(*server);
     if (access == server_access::Leaving) {
-        answerAll(refuseWaiting(one.desk, refusal::ServerLeaving));
+        sendResponses(refuseWaiting(state.scheduler, refusal::ServerLeaving));
         return;
     }
     if (m_words.anyPauses()) {
-        answerAll(refusePaused(one.desk, [this, server](const std::string &entry) {
+        sendResponses(refusePaused(state.scheduler, [this, server](const std::string &entry) {
             return m_words.pauseLeft(*server, entry);
         }));
     }
-    one.desk.ledger.ordersPausedUntil = now + m_words.pauseLeft(*server, m_settings.node);
-    if (one.desk.plain) {
-        answerAll(dueResponses(one.desk, now));
+    state.scheduler.ledger.ordersPausedUntil = now + m_words.pauseLeft(*server, m_settings.node);
+    if (state.scheduler.plain) {
+        sendResponses(dueResponses(state.scheduler, now));
         return;
     }
-    const server_ledger &ledger = one.desk.ledger;
-    // Whether a load is done is asked by the order again; who may not order now learns it from a report.
-    const bool cantAsk = loadsInProgress(ledger) > 0 && !mayOrder(id, one);
-    const bool unsure = !ledger.confirmed || !ledger.loadingModel.empty() || cantAsk;
+    const server_ledger &ledger = state.scheduler.ledger;
+    // A load is confirmed by repeating its order; a daemon that may not send orders now needs a report
+    // instead.
+    const bool cannotConfirm = loadsInProgress(ledger) > 0 && !mayOrder(id, state);
+    const bool needsReport = !ledger.confirmed || !ledger.loadingModel.empty() || cannotConfirm;
     if (isClosed(access)) {
-        // It wants nothing from this daemon; others' requests for what it holds are let in all the same.
-        answerAll(dueResponses(one.desk, now));
+        // It accepts no calls of this daemon, but other daemons' requests for what it holds are still
+        // admitted.
+        sendResponses(dueResponses(state.scheduler, now));
         return;
     }
-    if (unsure && !one.reporting && !ledger.openOrder && now >= ledger.notBefore) {
-        askReport(id, one, *server);
-    } else if (mayOrder(id, one)) {
-        sendOrder(id, one, *server);
+    if (needsReport && !state.reportRequested && !ledger.openOrder && now >= ledger.notBefore) {
+        requestReport(id, state, *server);
+    } else if (mayOrder(id, state)) {
+        sendOrder(id, state, *server);
     }
-    answerAll(dueResponses(one.desk, now));
+    sendResponses(dueResponses(state.scheduler, now));
 }
 
 fleet_beat server_owner_task::heartbeat()
 {
     const millis now = bootNow();
-    if (m_lastBeat.count != 0 && now - m_lastBeat > stillMost) {
-        // Others may have replaced it meanwhile. The store's news say so within this time; an order before
-        // would be one more change of hands.
-        m_pausedUntil = now + stillPause;
-        m_log.important("orderer.stood_still").add("ms", now - m_lastBeat);
-    }
-    m_lastBeat = now;
-    fleet_beat out;
-    out.orderingMs = std::max<std::int64_t>((m_store.ownershipValidUntil() - bootNow()).count, 0);
-    out.loadsAtOnce = std::llround(toPassOn(m_pace, bootNow()));
-    for (const auto &[id, one] : m_servers) {
-        const bool orders = mayOrder(id, one) && !isClosed(m_words.accessOf(id));
-        server_beat server = serverHeartbeat(one.desk, orders, now);
-        server.fence = one.fence;
-        out.servers.push_back(std::move(server));
-        if (auto limit = limitHeartbeat(one.desk, now)) {
-            out.limits.push_back(std::move(*limit));
+    if (m_lastHeartbeatAt.count != 0 && now - m_lastHeartbeatAt > maxHeartbeatGap) {
+        // Another daemon may have replaced this one meanwhile. The store's updates show it within this pause;
+        // an order sent before would be one more change of the ordering daemon.
+        m_pausedUntil = now + suspensionPause;
+        m_log.important("orderer.stood_still").add("ms", now - m_lastHeartbeatAt);
+    }
+    m_lastHeartbeatAt = now;
+    fleet_beat heartbeat;
+    heartbeat.orderingMs = std::max<std::int64_t>((m_store.ownershipValidUntil() - bootNow()).count, 0);
+    heartbeat.loadsAtOnce = std::llround(toPassOn(m_pace, bootNow()));
+    for (const auto &[id, state] : m_servers) {
+        const bool sendsOrders = mayOrder(id, state) && !isClosed(m_words.accessOf(id));
+        server_beat entry = serverHeartbeat(state.scheduler, sendsOrders, now);
+        entry.fence = state.fence;
+        heartbeat.servers.push_back(std::move(entry));
+        if (auto limit = limitHeartbeat(state.scheduler, now)) {
+            heartbeat.limits.push_back(std::move(*limit));
         }
     }
-    return out;
+    return heartbeat;
 }
 
 const server_owner_counters &server_owner_task::counters() const
--- a/packages/serving/slot_queue.cpp
+++ b/packages/serving/slot_queue.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/// A word of an end may be lost; a grant is forgotten this long after its caller's deadline.
-constexpr millis expiryMargin{500};
-/// Measured speeds are mixed in at this share, from busy spans of at least the given length and tokens.
-constexpr double speedShare = 0.3;
-constexpr std::int64_t measuredSpanMs = 100;
-constexpr double slowestSpeed = 1.0;
-constexpr double fastestSpeed = 200.0;
-
-bool goesBefore(const waiting_prompt &a, const waiting_prompt &b)
+/// The report of a prompt's end may be lost; its slot is reclaimed this long after the caller's deadline.
+constexpr millis expiryGrace{500};
+/// Weight of a new measurement of the prefill speed, taken over a busy span of at least minMeasuredSpanMs.
+constexpr double speedWeight = 0.3;
+constexpr std::int64_t minMeasuredSpanMs = 100;
+constexpr double minTokensPerMs = 1.0;
+constexpr double maxTokensPerMs = 200.0;
+
+bool precedes(const waiting_prompt &a, const waiting_prompt &b)
 {
     return a.rank != b.rank ? a.rank < b.rank : a.arrived < b.arrived;
 }
@@ -23,27 +23,28 @@
 std::int64_t memoryInUse(const slot_queue &queue)
 {
     std::int64_t sum = 0;
-    for (const auto &[id, one] : queue.running) {
-        sum += one.prompt.promptTokens + one.prompt.outputTokens;
+    for (const auto &[id, run] : queue.running) {
+        sum += run.prompt.promptTokens + run.prompt.outputTokens;
     }
     return sum;
 }
 
-bool hasRoom(const slot_queue &queue, const waiting_prompt &prompt)
+bool hasCapacity(const slot_queue &queue, const waiting_prompt &prompt)
 {
     if (queue.running.empty()) {
         return true;
     }
     const std::int64_t reading = readingTokens(queue);
-    const auto window = static_cast<std::int64_t>(queue.tokensPerMs * maxReadAheadMs);
-    const bool reads = reading == 0 || reading + prompt.promptTokens <= window;
+    const auto maxReading = static_cast<std::int64_t>(queue.tokensPerMs * maxReadAheadMs);
+    const bool withinReadAhead = reading == 0 || reading + prompt.promptTokens <= maxReading;
     const auto memory =
         static_cast<std::int64_t>(maxMemoryFraction * static_cast<double>(queue.memoryTokens));
     const bool fits = memoryInUse(queue) + prompt.promptTokens + prompt.outputTokens <= memory;
-    return reads && fits && queue.running.size() < static_cast<std::size_t>(queue.maxRunning);
+    return withinReadAhead && fits && queue.running.size() < static_cast<std::size_t>(queue.maxRunning);
 }
 
-/// Index of the prompt whose turn it is: the first that can be on time, else the first.
+/// Index of the next prompt to admit: the first ready one that can meet its target, else the first ready one
+/// of the lowest rank.
 std::optional<std::size_t> nextPrompt(
     const slot_queue &queue, const std::function<bool(const waiting_prompt &)> &ready, millis now)
 {
@@ -63,14 +64,14 @@
     return first;
 }
 
-void measure(slot_queue &queue, std::int64_t tokens, millis now)
+void updateSpeed(slot_queue &queue, std::int64_t tokens, millis now)
 {
     queue.readTokens += tokens;
     const std::int64_t span = (now - queue.busySince).count;
-    if (queue.busySince.count != 0 && span >= measuredSpanMs) {
-        const double seen = static_cast<double>(queue.readTokens) / static_cast<double>(span);
-        queue.tokensPerMs =
-            std::clamp(queue.tokensPerMs * (1 - speedShare) + seen * speedShare, slowestSpeed, fastestSpeed);
+    if (queue.busySince.count != 0 && span >= minMeasuredSpanMs) {
+        const double measured = static_cast<double>(queue.readTokens) / static_cast<double>(span);
+        queue.tokensPerMs = std::clamp(
+            queue.tokensPerMs * (1 - speedWeight) + measured * speedWeight, minTokensPerMs, maxTokensPerMs);
         queue.busySince = now;
         queue.readTokens = 0;
     }
@@ -85,8 +86,8 @@
 std::int64_t readingTokens(const slot_queue &queue)
 {
     std::int64_t sum = 0;
-    for (const auto &[id, one] : queue.running) {
-        sum += one.reading ? one.prompt.promptTokens : 0;
+    for (const auto &[id, run] : queue.running) {
+        sum += run.reading ? run.prompt.promptTokens : 0;
     }
     return sum;
 }
@@ -108,8 +109,8 @@
 
 bool isWaiting(const slot_queue &queue, const std::string &id)
 {
-    return std::any_of(queue.waiting.begin(), queue.waiting.end(), [&id](const waiting_prompt &each) {
-        return each.id == id;
+    return std::any_of(queue.waiting.begin(), queue.waiting.end(), [&id](const waiting_prompt &prompt) {
+        return prompt.id == id;
     });
 }
 
@@ -129,41 +130,41 @@
     if (now + wait > prompt.startBy) {
         return {false, false, wait};
     }
-    const auto at = std::upper_bound(queue.waiting.begin(), queue.waiting.end(), prompt, goesBefore);
-    queue.waiting.insert(at, prompt);
+    const auto position = std::upper_bound(queue.waiting.begin(), queue.waiting.end(), prompt, precedes);
+    queue.waiting.insert(position, prompt);
     return {true, false, wait};
 }
 
 std::vector<waiting_prompt> admitReady(slot_queue &queue,
     const std::function<bool(const waiting_prompt &)> &ready, std::vector<waiting_prompt> &late, millis now,
-    std::size_t most)
+    std::size_t maxCount)
 {
     std::erase_if(queue.waiting, [&](const waiting_prompt &prompt) {
-        const bool over = prompt.startBy < now;
-        if (over) {
+        const bool expired = prompt.startBy < now;
+        if (expired) {
             late.push_back(prompt);
         }
-        return over;
+        return expired;
     });
-    std::vector<waiting_prompt> in;
-    while (in.size() < most) {
+    std::vector<waiting_prompt> admitted;
+    while (admitted.size() < maxCount) {
         const auto next = nextPrompt(queue, ready, now);
         if (!next) {
             break;
         }
         const waiting_prompt prompt = queue.waiting[*next];
-        if (!hasRoom(queue, prompt)) {
-            break; // a smaller one behind it must not starve the largest
+        if (!hasCapacity(queue, prompt)) {
+            break; // admitting smaller prompts behind it would starve large ones
         }
         if (queue.busySince.count == 0) {
             queue.busySince = now;
             queue.readTokens = 0;
         }
         queue.running.emplace(prompt.id, running_prompt{prompt, now, true});
-        in.push_back(prompt);
+        admitted.push_back(prompt);
         queue.waiting.erase(queue.waiting.begin() + static_cast<std::ptrdiff_t>(*next));
     }
-    return in;
+    return admitted;
 }
 
 void onFirstToken(slot_queue &queue, const std::string &id, millis now)
@@ -171,7 +172,7 @@
     const auto found = queue.running.find(id);
     if (found != queue.running.end() && found->second.reading) {
         found->second.reading = false;
-        measure(queue, found->second.prompt.promptTokens, now);
+        updateSpeed(queue, found->second.prompt.promptTokens, now);
     }
 }
 
@@ -184,26 +185,26 @@
     if (found == queue.running.end()) {
         return std::nullopt;
     }
-    running_prompt one = std::move(found->second);
+    running_prompt removed = std::move(found->second);
     queue.running.erase(found);
-    if (one.reading) {
-        measure(queue, 0, now);
+    if (removed.reading) {
+        updateSpeed(queue, 0, now);
     }
-    return one;
+    return removed;
 }
 
 std::vector<running_prompt> removeExpired(slot_queue &queue, millis now)
 {
     std::vector<std::string> ids;
-    for (const auto &[id, one] : queue.running) {
-        if (one.prompt.deadline + expiryMargin < now) {
+    for (const auto &[id, run] : queue.running) {
+        if (run.prompt.deadline + expiryGrace < now) {
             ids.push_back(id);
         }
     }
     std::vector<running_prompt> out;
     for (const std::string &id : ids) {
-        if (auto one = removePrompt(queue, id, now)) {
-            out.push_back(std::move(*one));
+        if (auto removed = removePrompt(queue, id, now)) {
+            out.push_back(std::move(*removed));
         }
     }
     return out;
--- a/packages/serving/slot_queue.h
+++ b/packages/serving/slot_queue.h
@@ -11,59 +11,59 @@
 #include <string>
 #include <vector>
 
-// Who may send a prompt to one server, and when. Prompts are read in pieces between the tokens of the
-// streams that run there, so each one that is sent early makes all of them stutter: only as much is let in
-// as keeps the server reading, and the rest waits here: the most urgent first, of a rank those that can still
-// be on time before those that can't, then by arrival.
+// Decides which prompt is sent to one server next, and when. A server prefills prompts in chunks between the
+// decode steps of its running streams, so every prompt sent too early delays the tokens of all of them. Only
+// as many prompts are admitted as keep the server prefilling; the rest wait here, in order of rank, then
+// those that can still meet their target before those that cannot, then by arrival.
 namespace briarhead {
 
 struct waiting_prompt
 {
     std::string id;
-    std::string entry; ///< node that asked
+    std::string entry; ///< node that requested the slot
     std::string model;
     std::string adapter;
     std::int64_t promptTokens = 0;
-    std::int64_t outputTokens = 0;
-    int rank = 0;
+    std::int64_t outputTokens = 0; ///< upper bound
+    int rank = 0; ///< lower ranks go first
     millis arrived;
-    millis startBy; ///< of no use to its caller later
+    millis startBy; ///< latest start that still serves the caller
     millis deadline;
-    millis targetAt; ///< its first event is on time until then
+    millis targetAt; ///< latest time of the first event that meets the latency target
 };
 
 struct running_prompt
 {
     waiting_prompt prompt;
     millis granted;
-    bool reading = true; ///< its first token has not come
+    bool reading = true; ///< in prefill: its first token has not been reported
 };
 
-/// Prompt reading tokensPerMs assumed of a server before one was measured, tokens a ms: below the slowest of
-/// the first deployments (19.1 / 1.3).
+/// Prefill speed assumed before any was measured; below that of the slowest servers of the first deployments
+/// (19.1 / 1.3).
 constexpr double initialTokensPerMs = 14.0;
-/// How much reading is let in ahead, in ms of the server's tokensPerMs. A stream's next event waits for two
-/// or three steps, each with at most this much reading in it, and is late after 400 ms.
+/// Limit on admitted prompts still in prefill, as prefill time. A stream's next event takes two or three
+/// steps, each with at most this much prefill in it, and is late after 400 ms.
 constexpr double maxReadAheadMs = 170.0;
-/// From the end of a prompt's reading to its first event at the caller: the step it ends in, and the way.
+/// From the end of prefill to the first event at the caller: the rest of the step, and the network.
 constexpr millis firstEventMargin{30};
-/// A share of the server's memory that stays free: output tokens are known only as an upper bound.
+/// Fraction of the server's KV memory that prompts may reserve.
 constexpr double maxMemoryFraction = 0.9;
 
 struct slot_queue
 {
-    std::vector<waiting_prompt> waiting;
-    std::map<std::string, running_prompt> running;
+    std::vector<waiting_prompt> waiting; ///< by rank, then arrival
+    std::map<std::string, running_prompt> running; ///< admitted, by request id
     int maxRunning = 1;
-    std::int64_t memoryTokens = 0;
-    double tokensPerMs = initialTokensPerMs; ///< tokens a ms, measured
-    millis busySince; ///< since when reading never stopped; 0: idle
-    std::int64_t readTokens = 0; ///< since busySince
+    std::int64_t memoryTokens = 0; ///< size of the server's KV memory
+    double tokensPerMs = initialTokensPerMs; ///< measured prefill speed
+    millis busySince; ///< start of uninterrupted prefill; 0: idle
+    std::int64_t readTokens = 0; ///< prefilled since busySince
 };
 
-/// Prompt tokens sent and not yet read.
+/// Prompt tokens admitted and still in prefill.
 std::int64_t readingTokens(const slot_queue &queue);
-/// The same, with what waits.
+/// Prompt tokens in prefill and waiting.
 std::int64_t backlogTokens(const slot_queue &queue);
 
 bool isWaiting(const slot_queue &queue, const std::string &id);
@@ -71,30 +71,31 @@
 struct enqueue_result
 {
     bool accepted = false;
-    bool repeated = false; ///< known already
-    millis wait; ///< until its turn, predicted
+    bool known = false; ///< already waiting or running
+    millis expectedWait; ///< until its admission
 };
 
-/// Whether a prompt that is let in at once can have its first event in time. Under a load that is too high
-/// for a while, a queue in order of arrival settles at the length at which everyone is served just too late.
-/// With those first whose target can still be met, most are on time, and the rest, who are late either way,
-/// get what is left. On the load model's day of high load on 60 servers, 11% are late for that reason in
-/// place of 31%, and the worth of all, less loads, is 0.70 of what is owed in place of 0.59.
+/// Whether a prompt admitted now can meet its latency target. Under overload a queue in order of arrival
+/// settles at the length at which every prompt is served just too late. With those first that can still meet
+/// their target, most do, and the rest, which are late either way, use the remaining capacity. On the load
+/// model's high-load day on 60 servers this lowers the late share from 31% to 11%, and raises the score net
+/// of loads from 0.59 to 0.70 of the maximum.
 bool canBeOnTime(const slot_queue &queue, const waiting_prompt &prompt, millis now);
 
-/// Takes a prompt into the queue unless its turn would come after `startBy`.
+/// Adds a prompt to the queue unless its expected admission is after its `startBy`.
 enqueue_result enqueue(slot_queue &queue, const waiting_prompt &prompt, millis now);
 
-/// Lets in what has its turn, at most `most`; `ready` says whether the server can run it now. Prompts whose
-/// time is over are put into `late`.
+/// Admits the prompts that are due and returns them, at most `maxCount`; `ready` tells whether the server can
+/// run a prompt now. Waiting prompts past their `startBy` are moved to `late`.
 std::vector<waiting_prompt> admitReady(slot_queue &queue,
     const std::function<bool(const waiting_prompt &)> &ready, std::vector<waiting_prompt> &late, millis now,
-    std::size_t most = std::numeric_limits<std::size_t>::max());
+    std::size_t maxCount = std::numeric_limits<std::size_t>::max());
 
+/// Ends a prompt's prefill; does nothing if it is not running.
 void onFirstToken(slot_queue &queue, const std::string &id, millis now);
-/// The prompt that ended or was withdrawn, if it was running.
+/// Removes a prompt that ended or was withdrawn. Returns it if it was running.
 std::optional<running_prompt> removePrompt(slot_queue &queue, const std::string &id, millis now);
-/// Ends those whose deadline has passed: the word of their end was lost.
+/// Removes and returns running prompts past their deadline, whose end was not reported: the message was lost.
 std::vector<running_prompt> removeExpired(slot_queue &queue, millis now);
 
 }
--- a/packages/serving/slot_scheduler.cpp
+++ b/packages/serving/slot_scheduler.cpp
@@ -14,11 +14,11 @@
 
 constexpr double msPerSecond = 1'000;
 
-/// Whether the server can run the prompt now: its model and adapter are there.
-bool isHeld(const slot_scheduler &desk, const waiting_prompt &prompt)
+/// Whether the server can run the prompt now: it holds its model and adapter.
+bool isReady(const slot_scheduler &scheduler, const waiting_prompt &prompt)
 {
-    const server_ledger &ledger = desk.ledger;
-    if (desk.plain) {
+    const server_ledger &ledger = scheduler.ledger;
+    if (scheduler.plain) {
         return true;
     }
     if (!holdsModel(ledger, prompt.model)) {
@@ -27,38 +27,40 @@
     if (prompt.adapter.empty()) {
         return true;
     }
-    const adapter_slot *place = findSlot(ledger, prompt.model, prompt.adapter);
-    return place != nullptr && place->state == slot_state::Resident;
+    const adapter_slot *slot = findSlot(ledger, prompt.model, prompt.adapter);
+    return slot != nullptr && slot->state == slot_state::Resident;
 }
 
-/// Guards against: more adapters are asked for than the weight store can deliver, as when all entries begin
-/// anew. Each load then takes longer than its callers wait, so it is there for nobody, and evicts what
-/// somebody has; it shows as loads at their limit and callers refused for seconds, though arrivals are as
-/// before. Holds because nothing is loaded any more than what will be there in time, so the weight store's
-/// crowd goes down until loads are useful again. In the test of that load 300 servers are asked for three
-/// times what the weight store delivers: 118 callers of 128 that it could serve are, and without the guard
-/// none.
-bool comesTooLate(const server_ledger &ledger, const waiting_prompt &prompt, millis now)
+/// Whether the prompt's adapter would be loaded too late for it. Such adapters are not loaded.
+///
+/// When more adapters are requested than the weight store can deliver, as after a restart of all entries,
+/// each load takes longer than its callers wait: it serves nobody, and evicts an adapter in use. Loads stay
+/// at their limit and callers are refused for seconds although arrivals are as before. Loading only what
+/// arrives in time reduces the number of concurrent loads until loads are useful again. With 300 servers and
+/// three times the load that the weight store can deliver, 118 of 128 callers that can be served are served;
+/// without this check none are.
+bool loadsTooLate(const server_ledger &ledger, const waiting_prompt &prompt, millis now)
 {
     const bool ordered = prompt.adapter.empty() || findSlot(ledger, prompt.model, prompt.adapter) != nullptr;
     const millis from = ordered ? now : std::max(now, ledger.ordersPausedUntil);
     return from + adapterWait(ledger, prompt.model, prompt.adapter, now) > prompt.startBy;
 }
 
-/// Prompts whose load has not begun and would end too late: they are not held until their time is over.
-std::vector<waiting_prompt> takeHopeless(slot_scheduler &desk, millis now)
+/// Removes and returns the prompts whose load has not begun and would end too late, so that they are refused
+/// at once rather than at the end of their wait.
+std::vector<waiting_prompt> removeUnservable(slot_scheduler &scheduler, millis now)
 {
-    std::vector<waiting_prompt> hopeless;
-    std::erase_if(desk.queue.waiting, [&](const waiting_prompt &prompt) {
-        const bool begun =
-            prompt.adapter.empty() || findSlot(desk.ledger, prompt.model, prompt.adapter) != nullptr;
-        const bool over = !begun && comesTooLate(desk.ledger, prompt, now);
-        if (over) {
-            hopeless.push_back(prompt);
+    std::vector<waiting_prompt> unservable;
+    std::erase_if(scheduler.queue.waiting, [&](const waiting_prompt &prompt) {
+        const bool loadBegun =
+            prompt.adapter.empty() || findSlot(scheduler.ledger, prompt.model, prompt.adapter) != nullptr;
+        const bool tooLate = !loadBegun && loadsTooLate(scheduler.ledger, prompt, now);
+        if (tooLate) {
+            unservable.push_back(prompt);
         }
-        return over;
+        return tooLate;
     });
-    return hopeless;
+    return unservable;
 }
 
 std::int64_t limitMilliOf(const limit_turns &limit)
@@ -68,246 +70,260 @@
 
 place_answer grant(const server_ledger &ledger, const waiting_prompt &prompt)
 {
-    const adapter_slot *place = findSlot(ledger, prompt.model, prompt.adapter);
+    const adapter_slot *slot = findSlot(ledger, prompt.model, prompt.adapter);
     return {prompt.id, ledger.server, place_verdict::Granted, refusal::None,
-        place == nullptr ? 0 : place->version, 0};
+        slot == nullptr ? 0 : slot->version, 0};
 }
 
 }
 
-place_answer refusedResponse(const std::string &id, const std::string &server, refusal why, millis comeBack)
+place_answer refusedResponse(
+    const std::string &id, const std::string &server, refusal reason, millis retryAfter)
 {
-    return {id, server, place_verdict::Refused, why, 0, std::max(comeBack, minRetryAfter).count};
+    return {id, server, place_verdict::Refused, reason, 0, std::max(retryAfter, minRetryAfter).count};
 }
 
 namespace {
 
-place_answer answerAsk(slot_scheduler &desk, const std::string &entry, const place_ask &ask, millis now)
+place_answer decideRequest(
+    slot_scheduler &scheduler, const std::string &entry, const place_ask &request, millis now)
 {
-    server_ledger &ledger = desk.ledger;
-    noteAnswer(desk.answers, ask.outputTokens);
+    server_ledger &ledger = scheduler.ledger;
+    noteAnswer(scheduler.outputLengths, request.outputTokens);
     if (ledger.confirmed && ledger.models.empty() && ledger.loadingModel.empty()) {
-        return refusedResponse(ask.id, ask.server, refusal::NotHeld, {});
+        return refusedResponse(request.id, request.server, refusal::NotHeld, {});
     }
-    if (const auto running = desk.queue.running.find(ask.id); running != desk.queue.running.end()) {
-        return grant(ledger, running->second.prompt); // the grant was lost
+    if (const auto running = scheduler.queue.running.find(request.id);
+        running != scheduler.queue.running.end()) {
+        return grant(ledger, running->second.prompt); // the first grant was lost
     }
-    if (ask.limitMilli >= 0) {
-        nameLimit(desk.limit, fromMilli(ask.limitMilli), heardBefore(ask.limitAgeMs, now), now);
+    if (request.limitMilli >= 0) {
+        nameLimit(scheduler.limit, fromMilli(request.limitMilli), heardBefore(request.limitAgeMs, now), now);
     }
-    const millis turn =
-        isWaiting(desk.queue, ask.id) ? millis{} : turnAfter(desk.limit, desk.queue.waiting.size(), now);
-    if (turn > millis{ask.waitMs}) {
-        return refusedResponse(ask.id, ask.server, refusal::Limited, turn - millis{ask.waitMs});
+    const millis permitWait = isWaiting(scheduler.queue, request.id)
+        ? millis{}
+        : turnAfter(scheduler.limit, scheduler.queue.waiting.size(), now);
+    if (permitWait > millis{request.waitMs}) {
+        return refusedResponse(
+            request.id, request.server, refusal::Limited, permitWait - millis{request.waitMs});
     }
-    const bool needsPlace = !ask.adapter.empty() && findSlot(ledger, ask.model, ask.adapter) == nullptr;
-    if (needsPlace && availableSlots(ledger) <= adaptersWaitingForSlot(desk, ask.model, ask.adapter)) {
-        return refusedResponse(ask.id, ask.server, refusal::NoPlace, slotRetryAfter);
+    const bool needsSlot =
+        !request.adapter.empty() && findSlot(ledger, request.model, request.adapter) == nullptr;
+    if (needsSlot
+        && availableSlots(ledger) <= adaptersWaitingForSlot(scheduler, request.model, request.adapter)) {
+        return refusedResponse(request.id, request.server, refusal::NoPlace, slotRetryAfter);
     }
-    const waiting_prompt prompt{ask.id, entry, ask.model, ask.adapter, ask.promptTokens, ask.outputTokens,
-        ask.rank, now, now + millis{ask.waitMs}, now + millis{ask.deadlineMs}, now + millis{ask.targetMs}};
-    if (comesTooLate(ledger, prompt, now)) {
-        const millis wait = adapterWait(ledger, ask.model, ask.adapter, now);
-        return refusedResponse(ask.id, ask.server, refusal::LoadTooSlow, wait - millis{ask.waitMs});
+    const waiting_prompt prompt{request.id, entry, request.model, request.adapter, request.promptTokens,
+        request.outputTokens, request.rank, now, now + millis{request.waitMs},
+        now + millis{request.deadlineMs}, now + millis{request.targetMs}};
+    if (loadsTooLate(ledger, prompt, now)) {
+        const millis wait = adapterWait(ledger, request.model, request.adapter, now);
+        return refusedResponse(
+            request.id, request.server, refusal::LoadTooSlow, wait - millis{request.waitMs});
     }
-    const enqueue_result admitted = enqueue(desk.queue, prompt, now);
-    if (!admitted.accepted) {
-        return refusedResponse(ask.id, ask.server, refusal::TooBusy, admitted.wait - millis{ask.waitMs});
+    const enqueue_result enqueued = enqueue(scheduler.queue, prompt, now);
+    if (!enqueued.accepted) {
+        return refusedResponse(
+            request.id, request.server, refusal::TooBusy, enqueued.expectedWait - millis{request.waitMs});
     }
-    return {ask.id, ask.server, place_verdict::Queued, refusal::None, 0, 0};
+    return {request.id, request.server, place_verdict::Queued, refusal::None, 0, 0};
 }
 
 }
 
 place_answer handleSlotRequest(
-    slot_scheduler &desk, const std::string &entry, const place_ask &ask, millis now)
+    slot_scheduler &scheduler, const std::string &entry, const place_ask &request, millis now)
 {
-    place_answer answer = answerAsk(desk, entry, ask, now);
-    answer.limitMilli = limitMilliOf(desk.limit);
-    return answer;
+    place_answer response = decideRequest(scheduler, entry, request, now);
+    response.limitMilli = limitMilliOf(scheduler.limit);
+    return response;
 }
 
-void registerRunning(slot_scheduler &desk, const std::string &entry, const place_running &run, millis now)
+void registerRunning(
+    slot_scheduler &scheduler, const std::string &entry, const place_running &run, millis now)
 {
-    if (desk.queue.running.count(run.id) != 0) {
+    if (scheduler.queue.running.count(run.id) != 0) {
         return;
     }
     const waiting_prompt prompt{run.id, entry, run.model, run.adapter, run.promptTokens, run.outputTokens, 0,
         now, now, now + millis{run.deadlineMs}, now};
-    desk.queue.running.emplace(run.id, running_prompt{prompt, now, run.reading});
-    beginUse(desk.ledger, run.model, run.adapter, now);
+    scheduler.queue.running.emplace(run.id, running_prompt{prompt, now, run.reading});
+    beginUse(scheduler.ledger, run.model, run.adapter, now);
 }
 
-void onRequestEvent(slot_scheduler &desk, const place_note &note, millis now)
+void onRequestEvent(slot_scheduler &scheduler, const place_note &report, millis now)
 {
-    if (note.event == place_event::FirstToken) {
-        onFirstToken(desk.queue, note.id, now);
+    if (report.event == place_event::FirstToken) {
+        onFirstToken(scheduler.queue, report.id, now);
         return;
     }
-    if (const auto run = removePrompt(desk.queue, note.id, now)) {
-        endUse(desk.ledger, run->prompt.model, run->prompt.adapter);
-        if (note.event == place_event::Unsent) {
-            returnTurn(desk.limit);
+    if (const auto run = removePrompt(scheduler.queue, report.id, now)) {
+        endUse(scheduler.ledger, run->prompt.model, run->prompt.adapter);
+        if (report.event == place_event::Unsent) {
+            returnTurn(scheduler.limit);
         }
-        if (note.event == place_event::NotHeld) {
-            onNotHeld(desk.ledger, run->prompt.model, run->prompt.adapter, now);
+        if (report.event == place_event::NotHeld) {
+            onNotHeld(scheduler.ledger, run->prompt.model, run->prompt.adapter, now);
         }
     }
 }
 
-void onLimitNotice(slot_scheduler &desk, const limit_note &note, millis now)
+void onLimitReport(slot_scheduler &scheduler, const limit_note &report, millis now)
 {
-    if (note.limitMilli >= 0) {
-        nameLimit(desk.limit, fromMilli(note.limitMilli), now, now);
+    if (report.limitMilli >= 0) {
+        nameLimit(scheduler.limit, fromMilli(report.limitMilli), now, now);
         return;
     }
-    const auto run = desk.queue.running.find(note.id);
-    if (run != desk.queue.running.end()) {
-        endLimit(desk.limit, run->second.granted, now);
+    const auto run = scheduler.queue.running.find(report.id);
+    if (run != scheduler.queue.running.end()) {
+        endLimit(scheduler.limit, run->second.granted, now);
     }
 }
 
-void dropExpired(slot_scheduler &desk, millis now)
+void releaseExpired(slot_scheduler &scheduler, millis now)
 {
-    for (const running_prompt &run : removeExpired(desk.queue, now)) {
-        endUse(desk.ledger, run.prompt.model, run.prompt.adapter);
+    for (const running_prompt &run : removeExpired(scheduler.queue, now)) {
+        endUse(scheduler.ledger, run.prompt.model, run.prompt.adapter);
     }
 }
 
-void applyReport(slot_scheduler &desk, const server_report &report, millis now)
+void applyReport(slot_scheduler &scheduler, const server_report &report, millis now)
 {
-    applyReport(desk.ledger, report, now);
-    for (adapter_slot &place : desk.ledger.adapters) {
-        place.users = 0;
-        for (const auto &[id, run] : desk.queue.running) {
-            place.users += run.prompt.model == place.model && run.prompt.adapter == place.adapter ? 1 : 0;
+    applyReport(scheduler.ledger, report, now);
+    for (adapter_slot &slot : scheduler.ledger.adapters) {
+        slot.users = 0;
+        for (const auto &[id, run] : scheduler.queue.running) {
+            slot.users += run.prompt.model == slot.model && run.prompt.adapter == slot.adapter ? 1 : 0;
         }
     }
 }
 
-std::vector<addressed_response> dueResponses(slot_scheduler &desk, millis now)
+std::vector<addressed_response> dueResponses(slot_scheduler &scheduler, millis now)
 {
-    std::vector<addressed_response> answers;
-    std::vector<waiting_prompt> late = takeHopeless(desk, now);
-    const auto ready = [&desk](const waiting_prompt &prompt) {
-        return isHeld(desk, prompt);
+    std::vector<addressed_response> responses;
+    std::vector<waiting_prompt> late = removeUnservable(scheduler, now);
+    const auto ready = [&scheduler](const waiting_prompt &prompt) {
+        return isReady(scheduler, prompt);
     };
     for (const waiting_prompt &prompt :
-        admitReady(desk.queue, ready, late, now, turnsLeft(desk.limit, now))) {
-        takeTurn(desk.limit);
-        beginUse(desk.ledger, prompt.model, prompt.adapter, now);
-        answers.push_back({prompt.entry, grant(desk.ledger, prompt)});
+        admitReady(scheduler.queue, ready, late, now, turnsLeft(scheduler.limit, now))) {
+        takeTurn(scheduler.limit);
+        beginUse(scheduler.ledger, prompt.model, prompt.adapter, now);
+        responses.push_back({prompt.entry, grant(scheduler.ledger, prompt)});
     }
     for (const waiting_prompt &prompt : late) {
-        answers.push_back(
-            {prompt.entry, refusedResponse(prompt.id, desk.ledger.server, refusal::TooBusy, minRetryAfter)});
+        responses.push_back({prompt.entry,
+            refusedResponse(prompt.id, scheduler.ledger.server, refusal::TooBusy, minRetryAfter)});
     }
-    for (addressed_response &each : answers) {
-        each.answer.limitMilli = limitMilliOf(desk.limit);
+    for (addressed_response &each : responses) {
+        each.response.limitMilli = limitMilliOf(scheduler.limit);
     }
-    return answers;
+    return responses;
 }
 
 std::vector<addressed_response> refusePaused(
-    slot_scheduler &desk, const std::function<millis(const std::string &entry)> &pauseLeft)
+    slot_scheduler &scheduler, const std::function<millis(const std::string &entry)> &pauseLeft)
 {
-    std::vector<addressed_response> answers;
-    std::erase_if(desk.queue.waiting, [&](const waiting_prompt &prompt) {
+    std::vector<addressed_response> responses;
+    std::erase_if(scheduler.queue.waiting, [&](const waiting_prompt &prompt) {
         const millis left = pauseLeft(prompt.entry);
         if (left > millis{}) {
-            answers.push_back(
-                {prompt.entry, refusedResponse(prompt.id, desk.ledger.server, refusal::Paused, left)});
+            responses.push_back(
+                {prompt.entry, refusedResponse(prompt.id, scheduler.ledger.server, refusal::Paused, left)});
         }
         return left > millis{};
     });
-    return answers;
+    return responses;
 }
 
-std::vector<addressed_response> refuseWaiting(slot_scheduler &desk, refusal why)
+std::vector<addressed_response> refuseWaiting(slot_scheduler &scheduler, refusal reason)
 {
-    std::vector<addressed_response> answers;
-    for (const waiting_prompt &prompt : std::exchange(desk.queue.waiting, {})) {
-        answers.push_back({prompt.entry, refusedResponse(prompt.id, desk.ledger.server, why, minRetryAfter)});
+    std::vector<addressed_response> responses;
+    for (const waiting_prompt &prompt : std::exchange(scheduler.queue.waiting, {})) {
+        responses.push_back(
+            {prompt.entry, refusedResponse(prompt.id, scheduler.ledger.server, reason, minRetryAfter)});
     }
-    return answers;
+    return responses;
 }
 
-void updateLoadTimes(slot_scheduler &desk, load_pace &pace, millis now)
+void updateLoadTimes(slot_scheduler &scheduler, load_pace &pace, millis now)
 {
-    for (const measured_load &load : std::exchange(desk.ledger.measuredLoads, {})) {
+    for (const measured_load &load : std::exchange(scheduler.ledger.measuredLoads, {})) {
         noteLoad(pace, load.duration, load.concurrentLoads, now);
     }
-    for (const adapter_slot &place : desk.ledger.adapters) {
-        if (place.state == slot_state::Loading && !place.cached && place.orderedHere) {
-            noteUnderWay(pace, now - place.stateSince, (place.concurrentLoads + pace.crowd) / 2, now);
+    for (const adapter_slot &slot : scheduler.ledger.adapters) {
+        if (slot.state == slot_state::Loading && !slot.cached && slot.orderedHere) {
+            noteUnderWay(pace, now - slot.stateSince, (slot.concurrentLoads + pace.crowd) / 2, now);
         }
     }
-    desk.ledger.concurrentLoads = pace.crowd;
-    desk.ledger.storeLoadMs = loadMsNow(pace);
+    scheduler.ledger.concurrentLoads = pace.crowd;
+    scheduler.ledger.storeLoadMs = loadMsNow(pace);
 }
 
-std::optional<server_order> orderDue(slot_scheduler &desk, order_constraints limits, millis now)
+std::optional<server_order> orderDue(slot_scheduler &scheduler, order_constraints limits, millis now)
 {
     std::vector<wanted_adapter> wants;
-    for (const waiting_prompt &prompt : desk.queue.waiting) {
-        if (!prompt.adapter.empty() && !comesTooLate(desk.ledger, prompt, now)) {
+    for (const waiting_prompt &prompt : scheduler.queue.waiting) {
+        if (!prompt.adapter.empty() && !loadsTooLate(scheduler.ledger, prompt, now)) {
             wants.push_back({prompt.model, prompt.adapter});
         }
     }
-    limits.isWaitedFor = [&desk](const std::string &model, const std::string &adapter) {
-        return std::any_of(
-            desk.queue.waiting.begin(), desk.queue.waiting.end(), [&](const waiting_prompt &prompt) {
+    limits.isWaitedFor = [&scheduler](const std::string &model, const std::string &adapter) {
+        return std::any_of(scheduler.queue.waiting.begin(), scheduler.queue.waiting.end(),
+            [&](const waiting_prompt &prompt) {
                 return prompt.model == model && prompt.adapter == adapter;
             });
     };
-    return nextOrder(desk.ledger, wants, limits, now);
+    return nextOrder(scheduler.ledger, wants, limits, now);
 }
 
-int adaptersWaitingForSlot(const slot_scheduler &desk, const std::string &model, const std::string &adapter)
+int adaptersWaitingForSlot(
+    const slot_scheduler &scheduler, const std::string &model, const std::string &adapter)
 {
     std::set<std::string> names;
-    for (const waiting_prompt &prompt : desk.queue.waiting) {
+    for (const waiting_prompt &prompt : scheduler.queue.waiting) {
         const bool other = prompt.model != model || prompt.adapter != adapter;
         if (other && !prompt.adapter.empty()
-            && findSlot(desk.ledger, prompt.model, prompt.adapter) == nullptr) {
+            && findSlot(scheduler.ledger, prompt.model, prompt.adapter) == nullptr) {
             names.insert(adapterKey(prompt.model, prompt.adapter));
         }
     }
     return static_cast<int>(names.size());
 }
 
-std::optional<limit_beat> limitHeartbeat(const slot_scheduler &desk, millis now)
+std::optional<limit_beat> limitHeartbeat(const slot_scheduler &scheduler, millis now)
 {
-    const bool endedLately = desk.limit.ended.count != 0 && now - desk.limit.ended < endTold;
-    if (!desk.limit.perSecond && !endedLately) {
+    const bool endedRecently = scheduler.limit.ended.count != 0 && now - scheduler.limit.ended < endTold;
+    if (!scheduler.limit.perSecond && !endedRecently) {
         return std::nullopt;
     }
-    return limit_beat{desk.ledger.server, limitMilliOf(desk.limit),
-        turnAfter(desk.limit, desk.queue.waiting.size(), now).count};
+    return limit_beat{scheduler.ledger.server, limitMilliOf(scheduler.limit),
+        turnAfter(scheduler.limit, scheduler.queue.waiting.size(), now).count};
 }
 
-server_beat serverHeartbeat(const slot_scheduler &desk, bool mayOrder, millis now)
+server_beat serverHeartbeat(const slot_scheduler &scheduler, bool mayOrder, millis now)
 {
-    server_beat beat;
-    beat.server = desk.ledger.server;
-    beat.held = !desk.ledger.models.empty();
-    for (const adapter_slot &place : desk.ledger.adapters) {
-        if (place.state != slot_state::Unloading) {
-            beat.adapters.push_back(
-                {adapterHash(adapterKey(place.model, place.adapter)), place.state == slot_state::Loading,
-                    static_cast<std::uint32_t>(std::llround(currentUseScore(place, now)))});
+    server_beat heartbeat;
+    heartbeat.server = scheduler.ledger.server;
+    heartbeat.held = !scheduler.ledger.models.empty();
+    for (const adapter_slot &slot : scheduler.ledger.adapters) {
+        if (slot.state != slot_state::Unloading) {
+            heartbeat.adapters.push_back(
+                {adapterHash(adapterKey(slot.model, slot.adapter)), slot.state == slot_state::Loading,
+                    static_cast<std::uint32_t>(std::llround(currentUseScore(slot, now)))});
         }
     }
-    // Less those that are spoken for; entries would else go on sending there what is refused.
-    const int open = availableSlots(desk.ledger) - adaptersWaitingForSlot(desk, "", "");
-    beat.openPlaces = mayOrder && desk.ledger.confirmed ? static_cast<std::uint32_t>(std::max(open, 0)) : 0;
-    beat.backlogTokens = backlogTokens(desk.queue);
-    beat.tokensPerSecond = std::llround(desk.queue.tokensPerMs * msPerSecond);
-    beat.running = static_cast<std::uint32_t>(desk.queue.running.size());
-    for (const auto &[id, run] : desk.queue.running) {
-        beat.longAnswers += isLongAnswer(desk.answers, run.prompt.outputTokens) ? 1 : 0;
+    // Without the slots that waiting prompts need: entries would keep sending requests that are refused.
+    const int available = availableSlots(scheduler.ledger) - adaptersWaitingForSlot(scheduler, "", "");
+    heartbeat.openPlaces =
+        mayOrder && scheduler.ledger.confirmed ? static_cast<std::uint32_t>(std::max(available, 0)) : 0;
+    heartbeat.backlogTokens = backlogTokens(scheduler.queue);
+    heartbeat.tokensPerSecond = std::llround(scheduler.queue.tokensPerMs * msPerSecond);
+    heartbeat.running = static_cast<std::uint32_t>(scheduler.queue.running.size());
+    for (const auto &[id, run] : scheduler.queue.running) {
+        heartbeat.longAnswers += isLongAnswer(scheduler.outputLengths, run.prompt.outputTokens) ? 1 : 0;
     }
-    return beat;
+    return heartbeat;
 }
 
 }
--- a/packages/serving/slot_scheduler.h
+++ b/packages/serving/slot_scheduler.h
@@ -11,67 +11,74 @@
 #include <string>
 #include <vector>
 
-// One server as the daemon runs it that gives its orders: its places, the prompts that wait for them, and the
-// turns within the limit that it names, which a plain server has too. What is refused, who waits and who is
-// let in is decided here, without network or clock, so that the same code serves callers and the load model
-// of the tests.
+// Schedules one server's slots on the daemon that owns the server: its adapter slots, the prompts that wait
+// for them, and the permits within the rate limit that the server announces, which plain servers may announce
+// too. The functions here decide which prompts are refused, queued and admitted. They use neither network nor
+// clock, so that the load model of the tests runs the same code as the daemon.
 namespace briarhead {
 
 struct slot_scheduler
 {
     server_ledger ledger;
     slot_queue queue;
-    answer_mix answers; ///< asked for here
+    answer_mix outputLengths; ///< of the prompts requested here
     limit_turns limit;
-    bool plain = false; ///< of a plain service: all that is kept of it is its limit
+    bool plain = false; ///< of a service without an engine: only its limit is scheduled
 };
 
-/// An answer and the entry it goes to.
+/// A response and the entry that it is sent to.
 struct addressed_response
 {
     std::string entry;
-    place_answer answer;
+    place_answer response;
 };
 
-/// The least that a refused caller is asked to wait.
+/// Shortest wait that a refused caller is given.
 constexpr millis minRetryAfter{150};
-/// While every place is used, one is free again after about this long: the rest of a short answer.
+/// Wait given while all slots are in use: the usual rest of a short response.
 constexpr millis slotRetryAfter{400};
 
-place_answer refusedResponse(const std::string &id, const std::string &server, refusal why, millis comeBack);
+/// A refusal of request `id`; `retryAfter` is raised to minRetryAfter.
+place_answer refusedResponse(
+    const std::string &id, const std::string &server, refusal reason, millis retryAfter);
 
-/// Answers an entry's question at once: granted before, refused, or queued. What is queued is let in by
-/// `dueResponses`.
+/// Responds to an entry's request: granted if it was granted before, otherwise refused or queued. Queued
+/// prompts are admitted by `dueResponses`.
 place_answer handleSlotRequest(
-    slot_scheduler &desk, const std::string &entry, const place_ask &ask, millis now);
-/// A request that the orderer before let in runs here.
-void registerRunning(slot_scheduler &desk, const std::string &entry, const place_running &run, millis now);
-void onRequestEvent(slot_scheduler &desk, const place_note &note, millis now);
-/// What an answer said of the server's limit.
-void onLimitNotice(slot_scheduler &desk, const limit_note &note, millis now);
-/// Gives up the places of requests whose time is long over.
-void dropExpired(slot_scheduler &desk, millis now);
-/// Takes in what the server tells of itself; uses of adapters survive it by their grants.
-void applyReport(slot_scheduler &desk, const server_report &report, millis now);
+    slot_scheduler &scheduler, const std::string &entry, const place_ask &request, millis now);
+/// Registers a request that the server's previous owner admitted.
+void registerRunning(
+    slot_scheduler &scheduler, const std::string &entry, const place_running &run, millis now);
+/// An entry reports the first token or the end of a request.
+void onRequestEvent(slot_scheduler &scheduler, const place_note &report, millis now);
+/// An entry reports the limit that a server's response named, or that a response named none.
+void onLimitReport(slot_scheduler &scheduler, const limit_note &report, millis now);
+/// Reclaims the slots of requests past their deadline whose end was not reported.
+void releaseExpired(slot_scheduler &scheduler, millis now);
+/// Applies the server's own report. The use counts of adapters are taken from the running prompts.
+void applyReport(slot_scheduler &scheduler, const server_report &report, millis now);
 
-/// Grants to prompts whose turn it is, and refusals of those whose time is over.
-std::vector<addressed_response> dueResponses(slot_scheduler &desk, millis now);
-/// Refuses what entries ask that the server wants nothing from for a while.
+/// Admits the prompts that are due. Returns their grants, and refusals of prompts that can't start in time.
+std::vector<addressed_response> dueResponses(slot_scheduler &scheduler, millis now);
+/// Refuses the waiting prompts of entries that the server has asked to pause; `pauseLeft` is 0 for the
+/// others.
 std::vector<addressed_response> refusePaused(
-    slot_scheduler &desk, const std::function<millis(const std::string &entry)> &pauseLeft);
-/// Refuses all that wait.
-std::vector<addressed_response> refuseWaiting(slot_scheduler &desk, refusal why);
+    slot_scheduler &scheduler, const std::function<millis(const std::string &entry)> &pauseLeft);
+/// Refuses all waiting prompts.
+std::vector<addressed_response> refuseWaiting(slot_scheduler &scheduler, refusal reason);
 
-/// Takes in what the desk's loads tell of the weight store, and tells the desk what a load takes now.
-void updateLoadTimes(slot_scheduler &desk, load_pace &pace, millis now);
+/// Feeds the measured load times into the estimate for the weight store, and the estimate back into the
+/// ledger.
+void updateLoadTimes(slot_scheduler &scheduler, load_pace &pace, millis now);
 
-/// The next order, for what waits; see `nextOrder`.
-std::optional<server_order> orderDue(slot_scheduler &desk, order_constraints limits, millis now);
-/// Adapters that prompts wait for and that have no place yet, other than the given one.
-int adaptersWaitingForSlot(const slot_scheduler &desk, const std::string &model, const std::string &adapter);
-/// What entries are told. `mayOrder`: nothing keeps the orderer from giving orders now.
-/// What entries are told of its limit, if it names one or lately did.
-std::optional<limit_beat> limitHeartbeat(const slot_scheduler &desk, millis now);
-server_beat serverHeartbeat(const slot_scheduler &desk, bool mayOrder, millis now);
+/// The next order that the waiting prompts need, if any; see `nextOrder`.
+std::optional<server_order> orderDue(slot_scheduler &scheduler, order_constraints limits, millis now);
+/// Number of adapters without a slot that prompts wait for, not counting the given one.
+int adaptersWaitingForSlot(
+    const slot_scheduler &scheduler, const std::string &model, const std::string &adapter);
+/// What heartbeats report of the server's limit; nothing if it has none and withdrew none recently.
+std::optional<limit_beat> limitHeartbeat(const slot_scheduler &scheduler, millis now);
+/// What heartbeats report of the server. `mayOrder`: its owner may send orders now.
+server_beat serverHeartbeat(const slot_scheduler &scheduler, bool mayOrder, millis now);
 
 }
--- a/packages/serving/store_apply.cpp
+++ b/packages/serving/store_apply.cpp
@@ -3,17 +3,17 @@
 #include "protocol/codec.h"
 #include "serving/store_keys.h"
 
-// How what the store tells is taken into this daemon's view.
+// Applies items of the store to this daemon's view.
 namespace briarhead {
 
 namespace {
 
-/// The latest changes that are kept for daemons that fetch the news after a revision.
-constexpr std::size_t recentChanges = 2'000;
-/// Keys of which it is remembered that a line told of them; those beyond are passed over in silence.
-constexpr std::size_t unreadableTold = 100;
-/// Servers whose entries lapsed while the store was away write them again within two seconds of its return.
-/// Until shortly before that they are still used; the bound on requests to a server that left is as long.
+/// Changes kept for daemons that fetch the updates after a revision.
+constexpr std::size_t maxRecentChanges = 2'000;
+/// Unreadable items are logged once for each of this many keys; further keys are not logged.
+constexpr std::size_t maxLoggedUnreadable = 100;
+/// Servers whose entries expired during a store outage write them again within 2 s of its end. They stay in
+/// use until shortly before that, which is also the limit on sending requests to a server that has left.
 constexpr millis missingGrace{1'700};
 
 bool isUnder(const std::string &key, const std::string &prefix)
@@ -23,25 +23,25 @@
 
 }
 
-void store_task::keepItem(const stored_item &item, bool news)
+void store_task::recordItem(const stored_item &item, bool isUpdate)
 {
     if (item.removed) {
         m_items.erase(item.key);
     } else {
         m_items[item.key] = item;
     }
-    if (!news) {
+    if (!isUpdate) {
         return;
     }
-    m_recent.push_back(item);
-    while (m_recent.size() > recentChanges) {
-        m_recentFrom = m_recent.front().revision;
-        m_recent.pop_front();
+    m_recentChanges.push_back(item);
+    while (m_recentChanges.size() > maxRecentChanges) {
+        m_recentChangesAfter = m_recentChanges.front().revision;
+        m_recentChanges.pop_front();
     }
 }
 
-/// What was known and is not in a whole reading has been removed meanwhile.
-void store_task::dropMissing(const std::set<std::string> &present, view_changed &change)
+/// Removes what is in the view but not in a full read.
+void store_task::removeMissing(const std::set<std::string> &present, view_changed &change)
 {
     std::vector<std::string> keys;
     for (const auto &[id, server] : m_view.servers) {
@@ -64,13 +64,13 @@
             stored_item gone;
             gone.key = key;
             gone.removed = true;
-            takeItem(gone, change);
+            applyItem(gone, change);
         }
     }
 }
 
-/// Callers' keys go no further than this: neither into what is kept, nor into what other daemons are told.
-stored_item store_task::withoutKeys(const stored_item &item) const
+/// Callers' API keys are hashed here, so that they are neither kept nor sent to other daemons.
+stored_item store_task::withHashedKeys(const stored_item &item) const
 {
     stored_item out = item;
     if (item.key == m_codec.configKey && !item.removed && m_codec.hashAccountKeys) {
@@ -79,26 +79,26 @@
     return out;
 }
 
-/// Whether the item tells something new, for this daemon and those it passes news on to.
-bool store_task::takeItem(const stored_item &item, view_changed &change)
+/// Applies one item. Returns false if it holds nothing new for this daemon or those it sends updates to.
+bool store_task::applyItem(const stored_item &item, view_changed &change)
 {
     const auto kept = m_items.find(item.key);
     if (kept != m_items.end() && item.revision != 0 && item.revision <= kept->second.revision) {
-        return false; // heard twice, or from a reading that is older than what came by news
+        return false; // a duplicate, or a read older than a reader's update
     }
     if (isUnder(item.key, m_codec.serverPrefix)) {
-        const bool news = takeServer(item, change);
-        keepItem(item, news);
-        return news;
+        const bool isUpdate = applyServer(item, change);
+        recordItem(item, isUpdate);
+        return isUpdate;
     }
-    keepItem(item, true);
+    recordItem(item, true);
     if (item.key == m_codec.configKey) {
-        takeConfig(item, change);
+        applyConfig(item, change);
     } else if (isUnder(item.key, m_codec.versionPrefix)) {
         error why;
         const auto version = item.removed ? std::nullopt : m_codec.readVersion(item.value, why);
         if (!version && !item.removed) {
-            tellUnreadable(item, why);
+            logUnreadable(item, why);
         }
         if (version) {
             auto &known = m_view.versions[adapterKey(version->model, version->adapter)];
@@ -111,12 +111,12 @@
             }
         }
     } else if (isUnder(item.key, detail::ownPrefix)) {
-        takeOwn(item, change);
+        applyProjectRecord(item, change);
     }
     return true;
 }
 
-void store_task::takeConfig(const stored_item &item, view_changed &change)
+void store_task::applyConfig(const stored_item &item, view_changed &change)
 {
     if (item.removed || item.revision <= m_configRevision) {
         return;
@@ -127,8 +127,8 @@
         m_log.important("config.unreadable").add("revision", item.revision).add("why", message(why));
         return;
     }
-    // A version in force never goes back within a process: what was served by a newer one would be
-    // answered by an older.
+    // A process never goes back to an older version: it would handle requests by an older configuration than
+    // those before them.
     if (m_view.config && config->version <= m_view.config->version) {
         m_log.important("config.older_ignored").add("version", config->version);
         return;
@@ -146,22 +146,23 @@
     }
 }
 
-/// Whether it says something that daemons go by. Each server writes its entry at every heartbeat, mostly with
-/// nothing else in it; passed on, that would be most of what a reader sends in a fleet of thousands.
-bool store_task::takeServer(const stored_item &item, view_changed &change)
+/// Applies a server's entry. Returns whether it changes anything that daemons use. Servers rewrite their
+/// entry at every heartbeat, mostly unchanged; forwarding these writes would be most of a reader's traffic in
+/// a fleet of thousands.
+bool store_task::applyServer(const stored_item &item, view_changed &change)
 {
     const std::string id = item.key.substr(m_codec.serverPrefix.size());
     const auto known = m_view.servers.find(id);
     if (item.removed) {
         if (known == m_view.servers.end()) {
-            return true; // not known here is no reason that others don't
+            return true; // other daemons may still know the server
         }
-        const bool lapsed =
-            !known->second.draining && m_regained.count != 0 && bootNow() - m_regained < missingGrace;
-        if (lapsed) {
-            m_missing.insert(id);
-            m_missingTimer = m_loop.timer(m_regained + missingGrace - bootNow(), {}, [this] {
-                dropLate();
+        const bool expiredInOutage = !known->second.draining && m_reconnectedAt.count != 0
+            && bootNow() - m_reconnectedAt < missingGrace;
+        if (expiredInOutage) {
+            m_missingServers.insert(id);
+            m_missingServersTimer = m_loop.timer(m_reconnectedAt + missingGrace - bootNow(), {}, [this] {
+                removeUnreturnedServers();
             });
             m_log.important("server.entry_lapsed").add("server", id);
             return true;
@@ -170,7 +171,7 @@
             change.crashedServers.push_back(id);
         }
         m_view.servers.erase(known);
-        m_missing.erase(id);
+        m_missingServers.erase(id);
         change.removedServers.push_back(id);
         m_log.important("server.gone").add("server", id).add("revision", item.revision);
         return true;
@@ -178,29 +179,29 @@
     error why;
     auto server = m_codec.readServer(id, item.value, why);
     if (!server) {
-        tellUnreadable(item, why);
+        logUnreadable(item, why);
         if (known != m_view.servers.end()) {
             m_view.servers.erase(known);
-            m_missing.erase(id);
+            m_missingServers.erase(id);
             change.removedServers.push_back(id);
         }
         return true;
     }
-    m_unreadable.erase(item.key);
-    const bool again = known != m_view.servers.end() && server->born != known->second.born;
-    if (again && server->born < known->second.born) {
-        return false; // of an earlier start: what it says is over
+    m_loggedUnreadable.erase(item.key);
+    const bool restarted = known != m_view.servers.end() && server->born != known->second.born;
+    if (restarted && server->born < known->second.born) {
+        return false; // written by an earlier incarnation
     }
-    if (again) {
+    if (restarted) {
         change.removedServers.push_back(id);
         if (!known->second.draining) {
             change.crashedServers.push_back(id);
         }
         m_log.important("server.started_again").add("server", id).add("revision", item.revision);
     }
-    const bool wasMissing = m_missing.erase(id) > 0;
+    const bool wasMissing = m_missingServers.erase(id) > 0;
     const bool isNew = known == m_view.servers.end();
-    const bool news = isNew || wasMissing || !sameForDaemons(known->second, *server);
+    const bool isUpdate = isNew || wasMissing || !sameForDaemons(known->second, *server);
     if (isNew || known->second.draining != server->draining) {
         m_log.important(server->draining ? "server.draining" : "server.ready")
             .add("server", id)
@@ -209,13 +210,13 @@
             .add("revision", item.revision);
     }
     m_view.servers[id] = std::move(*server);
-    return news;
+    return isUpdate;
 }
 
-/// One line for each key: whoever writes what can't be read may write it at every heartbeat.
-void store_task::tellUnreadable(const stored_item &item, const error &why)
+/// Logs each key once: its writer may repeat the unreadable item at every heartbeat.
+void store_task::logUnreadable(const stored_item &item, const error &why)
 {
-    if (m_unreadable.size() < unreadableTold && m_unreadable.insert(item.key).second) {
+    if (m_loggedUnreadable.size() < maxLoggedUnreadable && m_loggedUnreadable.insert(item.key).second) {
         m_log.important("item.unreadable")
             .add("key", item.key)
             .add("revision", item.revision)
@@ -223,39 +224,41 @@
     }
 }
 
-void store_task::dropLate()
+void store_task::removeUnreturnedServers()
 {
     view_changed change;
-    for (const std::string &id : m_missing) {
+    for (const std::string &id : m_missingServers) {
         m_view.servers.erase(id);
         change.removedServers.push_back(id);
         change.crashedServers.push_back(id);
-        m_log.important("server.gone").add("server", id).add("why", "its entry did not come back");
+        m_log.important("server.gone")
+            .add("server", id)
+            .add("why", "its entry expired during a store outage and was not rewritten");
     }
-    m_missing.clear();
+    m_missingServers.clear();
     publish(change);
 }
 
-void store_task::takeOwn(const stored_item &item, view_changed &change)
+void store_task::applyProjectRecord(const stored_item &item, view_changed &change)
 {
     if (isUnder(item.key, detail::daemonPrefix)) {
-        takeDaemon(item);
+        applyDaemon(item);
     } else if (isUnder(item.key, detail::ordererPrefix)) {
-        takeOrderer(item);
+        applyServerOwner(item);
     } else if (isUnder(item.key, detail::quotaPrefix)) {
-        takeQuotaHome(item);
+        applyQuotaHome(item);
     } else if (isUnder(item.key, detail::crashPrefix)) {
-        takeCrash(item, change);
+        applyCrash(item, change);
     }
 }
 
-void store_task::takeDaemon(const stored_item &item)
+void store_task::applyDaemon(const stored_item &item)
 {
     error why;
     const std::string node = item.key.substr(detail::daemonPrefix.size());
     auto record = item.removed ? std::nullopt : decodeDaemon(item.value, why);
     if (!item.removed && (!record || record->node != node)) {
-        tellUnreadable(item, why);
+        logUnreadable(item, why);
         record.reset();
     }
     if (record) {
@@ -267,61 +270,61 @@
         m_view.expiredDaemons.erase(node);
     } else if (const auto gone = m_view.daemons.find(node); gone != m_view.daemons.end()) {
         m_view.expiredDaemons[node] = gone->second;
-        m_lapsedAt[node] = bootNow();
+        m_expiredAt[node] = bootNow();
         m_view.daemons.erase(gone);
         m_log.important("peer.down").add("peer", node).add("revision", item.revision);
     }
 }
 
-void store_task::takeOrderer(const stored_item &item)
+void store_task::applyServerOwner(const stored_item &item)
 {
     error why;
     const std::string server = item.key.substr(detail::ordererPrefix.size());
     auto record = item.removed ? std::nullopt : decodeOrderer(item.value, why);
     if (!item.removed && !record) {
-        // Of another writer: to be replaced by whoever is proposed, at the revision it has.
-        tellUnreadable(item, why);
+        // Written by something else: the preferred owner replaces it, conditional on this revision.
+        logUnreadable(item, why);
         record = orderer_record{};
     }
     if (record) {
-        keepRight(m_view.serverOwners, server, {*record, item.revision, false});
+        recordOwnership(m_view.serverOwners, server, {*record, item.revision, false});
     } else {
         m_view.serverOwners.erase(server);
     }
 }
 
-void store_task::takeQuotaHome(const stored_item &item)
+void store_task::applyQuotaHome(const stored_item &item)
 {
     error why;
     const std::string shard = item.key.substr(detail::quotaPrefix.size());
     auto record = item.removed ? std::nullopt : decodeQuotaHome(item.value, why);
     if (!item.removed && !record) {
-        tellUnreadable(item, why); // of another writer, as with orderers
+        logUnreadable(item, why); // written by something else; replaced as in applyServerOwner
         record = quota_home_record{};
     }
     if (record) {
-        keepRight(m_view.quotaHomes, shard, {record->right, item.revision, record->settled});
+        recordOwnership(m_view.quotaHomes, shard, {record->right, item.revision, record->settled});
     } else {
         m_view.quotaHomes.erase(shard);
     }
 }
 
-void store_task::keepRight(ownership_map &rights, const std::string &name, const ownership_entry &entry)
+void store_task::recordOwnership(ownership_map &owners, const std::string &name, const ownership_entry &entry)
 {
-    ownership_entry &known = rights[name];
+    ownership_entry &known = owners[name];
     if (entry.revision >= known.revision) {
         known = entry;
     }
 }
 
-void store_task::takeCrash(const stored_item &item, view_changed &change)
+void store_task::applyCrash(const stored_item &item, view_changed &change)
 {
     error why;
     const std::string fingerprint = item.key.substr(detail::crashPrefix.size());
     auto record = item.removed ? std::nullopt : decodeCrash(item.value, why);
     if (!item.removed && !record) {
-        // Of another writer: it says nothing, and is replaced at the revision it has.
-        tellUnreadable(item, why);
+        // Written by something else: treated as empty, and replaced conditional on this revision.
+        logUnreadable(item, why);
         record = crash_record{};
     }
     if (record) {
--- a/packages/serving/store_task.cpp
+++ b/packages/serving/store_task.cpp
@@ -6,31 +6,31 @@
 #include <algorithm>
 #include <utility>
 
-// This daemon's own place in the store: its lease, its record, and the servers it claims.
+// What this daemon writes to the store: its lease, its record, its claims and crash records.
 namespace briarhead {
 
 namespace {
 
-/// A store that can't be written to is read all the same after this long.
-constexpr millis registerPatience{1'500};
-/// After a claim that the store did not take, none is made for so long.
+/// At bootstrap the first read waits this long for registration, then happens without it.
+constexpr millis registerTimeout{1'500};
+/// Pause after a claim that the store refused or did not answer.
 constexpr millis claimPause{800};
-/// How often the lease is looked at. A short one is renewed each time, a long one each third time; after a
-/// call that failed either is.
-constexpr millis keepEvery{800};
-constexpr std::int64_t longLeaseLooks = 3;
-/// Cuts from the store last up to a quarter of a minute; a daemon whose record is gone for longer is gone.
-/// Without this, 68 of 195 daemons that were cut off from the store for 12 s served 0.34 of their requests
-/// for models: orderers knew no address to answer to, and sent no beats there.
-constexpr millis lapsedLife{30'000};
-/// Without an answer for so long, and after two calls that failed, the store counts as away.
-constexpr millis awayAfter{1'500};
-
-/// A little less than the looks, which come late now and then.
+/// A short lease is renewed at each check, a long one at every third; after a failed call both are renewed at
+/// the next check.
+constexpr millis leaseCheckInterval{800};
+constexpr std::int64_t longLeaseChecks = 3;
+/// Store outages last up to 15 s; a daemon whose record has been missing for longer is gone. Without this
+/// time, 68 of 195 daemons that had lost the store for 12 s served 0.34 of their model requests: server
+/// owners had no address for their responses, and sent no heartbeats there.
+constexpr millis expiredDaemonLifetime{30'000};
+/// The store counts as unreachable after two failed calls in a row and this long without a response.
+constexpr millis unreachableAfter{1'500};
+
+/// Half a check less than a whole number of checks, since timers fire late now and then.
 millis renewalEvery(const node_settings &settings)
 {
-    const std::int64_t looks = settings.serversCheckTokens ? longLeaseLooks : 1;
-    return millis{looks * keepEvery.count - keepEvery.count / 2};
+    const std::int64_t checks = settings.serversCheckTokens ? longLeaseChecks : 1;
+    return millis{checks * leaseCheckInterval.count - leaseCheckInterval.count / 2};
 }
 
 }
@@ -69,18 +69,18 @@
     , m_settings(settings)
     , m_incarnation(incarnation)
     , m_log(log)
-    , m_renewEvery(renewalEvery(settings))
+    , m_renewInterval(renewalEvery(settings))
 {
     grantLease();
     if (m_settings.bootstrap) {
-        m_watchTimer = m_loop.timer(registerPatience, {}, [this] {
+        m_watchTimer = m_loop.timer(registerTimeout, {}, [this] {
             readAll();
         });
     } else {
         readAll();
     }
-    m_leaseTimer = m_loop.timer(keepEvery, keepEvery, [this] {
-        keepLease();
+    m_leaseTimer = m_loop.timer(leaseCheckInterval, leaseCheckInterval, [this] {
+        maintainLease();
     });
 }
 
@@ -96,13 +96,13 @@
 
 millis store_task::ownershipValidUntil() const
 {
-    return m_lease == 0 ? millis{} : briarhead::validUntil(m_proof);
+    return m_lease == 0 ? millis{} : briarhead::validUntil(m_ownershipValidity);
 }
 
 bool store_task::isLeaseValid() const
 {
-    return m_lease != 0 && !m_lastFailed
-        && bootNow() <= m_proof.lastRenewal + m_proof.length - validityMargin;
+    return m_lease != 0 && !m_lastCallFailed
+        && bootNow() <= m_ownershipValidity.lastRenewal + m_ownershipValidity.length - validityMargin;
 }
 
 bool store_task::isOwn(const orderer_record &record) const
@@ -122,7 +122,7 @@
         && isUnderCurrentLease(found->second.record);
 }
 
-bool store_task::holdsQuotaHome() const
+bool store_task::ownsQuotaHome() const
 {
     return std::any_of(m_view.quotaHomes.begin(), m_view.quotaHomes.end(), [this](const auto &each) {
         return isOwn(each.second.record);
@@ -131,45 +131,45 @@
 
 millis store_task::quotaHomesValidUntil() const
 {
-    return m_lease == 0 ? millis{} : briarhead::validUntil(m_quotaProof);
+    return m_lease == 0 ? millis{} : briarhead::validUntil(m_quotaHomeValidity);
 }
 
 std::optional<millis> store_task::configConfirmedAt() const
 {
-    return m_configKnownAt;
+    return m_configConfirmedAt;
 }
 
-void store_task::heard(bool answered, const char *call)
+void store_task::onCallDone(bool answered, const char *call)
 {
     const millis now = bootNow();
-    const bool again = std::exchange(m_lastFailed, !answered);
+    const bool failedBefore = std::exchange(m_lastCallFailed, !answered);
     if (!answered) {
-        m_failingSince = again ? m_failingSince : now;
-        markUncertain(m_proof, now);
-        markUncertain(m_quotaProof, now);
-        if (again && m_view.reachable && now - m_view.lastAnswer > awayAfter) {
+        m_failingSince = failedBefore ? m_failingSince : now;
+        markUncertain(m_ownershipValidity, now);
+        markUncertain(m_quotaHomeValidity, now);
+        if (failedBefore && m_view.reachable && now - m_view.lastResponseAt > unreachableAfter) {
             m_view.reachable = false;
-            m_log.important("store.lost").add("call", call).add("silent_ms", now - m_view.lastAnswer);
+            m_log.important("store.lost").add("call", call).add("silent_ms", now - m_view.lastResponseAt);
         }
         return;
     }
     if (!m_view.reachable) {
-        m_log.important("store.reached").add("call", call).add("silent_ms", now - m_view.lastAnswer);
-        m_regained = now;
+        m_log.important("store.reached").add("call", call).add("silent_ms", now - m_view.lastResponseAt);
+        m_reconnectedAt = now;
         m_view.reachable = true;
         if (m_revision != 0 && std::string_view(call) != "list") {
-            // The watch that was open may hang on a dead connection for seconds more.
+            // The open watch may stay stuck on a dead connection for seconds.
             m_loop.post([this] {
                 readAll();
             });
         }
     }
-    m_view.lastAnswer = now;
+    m_view.lastResponseAt = now;
 }
 
 void store_task::setPeerCalls(peer_calls calls)
 {
-    m_fleet = std::move(calls);
+    m_peerCalls = std::move(calls);
 }
 
 void store_task::publish(const view_changed &change)
@@ -177,11 +177,11 @@
     m_bus.post(change);
 }
 
-/// A machine that is gone for good is told of nothing any more.
-void store_task::dropLapsed()
+/// Stops sending messages to machines that have not come back.
+void store_task::forgetExpiredDaemons()
 {
-    std::erase_if(m_lapsedAt, [this](const auto &each) {
-        const bool over = bootNow() - each.second > lapsedLife;
+    std::erase_if(m_expiredAt, [this](const auto &each) {
+        const bool over = bootNow() - each.second > expiredDaemonLifetime;
         if (over) {
             m_view.expiredDaemons.erase(each.first);
         }
@@ -191,47 +191,47 @@
 
 void store_task::grantLease()
 {
-    if (m_leaseCalling || m_leaving) {
+    if (m_leaseCallInFlight || m_leaving) {
         return;
     }
-    m_leaseCalling = true;
-    const millis asked = bootNow();
-    const millis length = leaseTtlFor(m_settings);
-    m_store.grantLease(length, [this, asked, length](store_status status, std::int64_t lease) {
-        heard(status == store_status::Ok, "lease");
+    m_leaseCallInFlight = true;
+    const millis sentAt = bootNow();
+    const millis ttl = leaseTtlFor(m_settings);
+    m_store.grantLease(ttl, [this, sentAt, ttl](store_status status, std::int64_t lease) {
+        onCallDone(status == store_status::Ok, "lease");
         if (status != store_status::Ok || m_leaving) {
-            m_leaseCalling = false;
+            m_leaseCallInFlight = false;
             return;
         }
         m_lease = lease;
-        onLeaseGranted(m_proof, asked, length);
-        onLeaseGranted(m_quotaProof, asked, length);
+        onLeaseGranted(m_ownershipValidity, sentAt, ttl);
+        onLeaseGranted(m_quotaHomeValidity, sentAt, ttl);
         store_change change;
         const daemon_record record{m_settings.node, m_settings.peers.ip, m_settings.peers.port,
             m_settings.failureDomain, m_incarnation};
         change.puts.push_back({detail::daemonPrefix + m_settings.node, encode(record), lease});
         m_store.change(change, [this, record](store_status put, std::int64_t revision) {
-            m_leaseCalling = false;
-            heard(put == store_status::Ok, "register");
+            m_leaseCallInFlight = false;
+            onCallDone(put == store_status::Ok, "register");
             if (put != store_status::Ok) {
-                m_lease = 0; // tried again with a new lease; the old one runs out
+                m_lease = 0; // retried with a new lease; this one expires
                 return;
             }
             m_log.important("lease.granted").add("lease", m_lease).add("revision", revision);
-            // Done is done: waiting for the watch to tell it took a slow store's answer more.
+            // Applied here at once: waiting for the watch would take another response of a slow store.
             m_view.daemons[m_settings.node] = record;
             m_view.registeredAt = bootNow();
             publish({});
             if (m_view.firstReadAt.count == 0 && !m_reading) {
-                readOnceAllRegistered();
+                scheduleFirstRead();
             }
         });
     });
 }
 
-void store_task::keepLease()
+void store_task::maintainLease()
 {
-    dropLapsed();
+    forgetExpiredDaemons();
     if (m_leaving) {
         return;
     }
@@ -239,27 +239,30 @@
         grantLease();
         return;
     }
-    const millis asked = bootNow();
-    const bool due = m_lastFailed || asked - m_proof.lastRenewal >= m_renewEvery;
-    if (m_leaseCalling || !due) {
+    const millis sentAt = bootNow();
+    const bool due = m_lastCallFailed || sentAt - m_ownershipValidity.lastRenewal >= m_renewInterval;
+    if (m_leaseCallInFlight || !due) {
         return;
     }
-    m_leaseCalling = true;
-    m_store.renewLease(m_lease, [this, asked](store_status status) {
-        m_leaseCalling = false;
-        heard(status == store_status::Ok || status == store_status::LeaseNotFound, "keep");
+    m_leaseCallInFlight = true;
+    m_store.renewLease(m_lease, [this, sentAt](store_status status) {
+        m_leaseCallInFlight = false;
+        onCallDone(status == store_status::Ok || status == store_status::LeaseNotFound, "keep");
         if (status == store_status::Ok) {
-            onLeaseRenewed(m_proof, asked);
-            onLeaseRenewed(m_quotaProof, asked, m_renewEvery + maxRenewalGap);
-            if (m_quotaProof.uncertain && holdsQuotaHome()) {
-                proveQuotaHomes();
+            onLeaseRenewed(m_ownershipValidity, sentAt);
+            onLeaseRenewed(m_quotaHomeValidity, sentAt, m_renewInterval + maxRenewalGap);
+            if (m_quotaHomeValidity.uncertain && ownsQuotaHome()) {
+                confirmQuotaHomes();
             }
-            // Whether the records still stand; servers that check tokens tell themselves.
-            if (m_proof.uncertain && !m_reading && !m_settings.serversCheckTokens) {
+            // Checks that the records still exist. Servers that check fencing tokens detect a lost record
+            // themselves.
+            if (m_ownershipValidity.uncertain && !m_reading && !m_settings.serversCheckTokens) {
                 readAll();
             }
         } else if (status == store_status::LeaseNotFound) {
-            m_log.important("lease.lost").add("lease", m_lease).add("kept_ms", asked - m_proof.lastRenewal);
+            m_log.important("lease.lost")
+                .add("lease", m_lease)
+                .add("kept_ms", sentAt - m_ownershipValidity.lastRenewal);
             m_lease = 0;
             grantLease();
         }
@@ -268,92 +271,93 @@
 
 void store_task::claimServer(const std::string &server, bool replace)
 {
-    claimRight(detail::ordererPrefix, m_view.serverOwners, server, replace);
+    claimOwnership(detail::ordererPrefix, m_view.serverOwners, server, replace);
 }
 
 void store_task::claimQuotaHome(const std::string &shard, bool replace)
 {
-    claimRight(detail::quotaPrefix, m_view.quotaHomes, shard, replace);
+    claimOwnership(detail::quotaPrefix, m_view.quotaHomes, shard, replace);
 }
 
 bool store_task::isStoreUnreachableLocallyOnly() const
 {
-    return m_lastFailed && newsFresh() && m_newsAt > m_failingSince + readerWatchTimeout;
+    return m_lastCallFailed && hasFreshUpdate() && m_lastUpdateAt > m_failingSince + readerWatchTimeout;
 }
 
 void store_task::confirmPredecessorExpired(const std::string &shard)
 {
     const auto known = m_view.quotaHomes.find(shard);
     if (known != m_view.quotaHomes.end() && isOwn(known->second.record)) {
-        putRight(detail::quotaPrefix, m_view.quotaHomes, shard, true);
+        writeOwnership(detail::quotaPrefix, m_view.quotaHomes, shard, true);
     }
 }
 
-void store_task::claimRight(
-    const std::string &prefix, ownership_map &rights, const std::string &name, bool replace)
+void store_task::claimOwnership(
+    const std::string &prefix, ownership_map &owners, const std::string &name, bool replace)
 {
-    const auto known = rights.find(name);
-    const bool others = known != rights.end() && !known->second.record.node.empty()
+    const auto known = owners.find(name);
+    const bool ownedByPeer = known != owners.end() && !known->second.record.node.empty()
         && known->second.record.node != m_settings.node;
-    if (!others || replace) {
-        putRight(prefix, rights, name, false);
+    if (!ownedByPeer || replace) {
+        writeOwnership(prefix, owners, name, false);
     }
 }
 
-/// Writes this daemon's name in place of the record as it is known here. `rights` is a part of the view, as
-/// long as this task.
-void store_task::putRight(
-    const std::string &prefix, ownership_map &rights, const std::string &name, bool settled)
+/// Writes this daemon's name in place of the record in the view. `owners` is a map of m_view, so it outlives
+/// the call.
+void store_task::writeOwnership(
+    const std::string &prefix, ownership_map &owners, const std::string &name, bool predecessorExpired)
 {
     const std::string key = prefix + name;
-    if (m_lease == 0 || m_leaving || m_claiming.count(key) != 0 || bootNow() < m_claimAfter) {
+    if (m_lease == 0 || m_leaving || m_claimsInFlight.count(key) != 0 || bootNow() < m_claimPausedUntil) {
         return;
     }
-    const auto known = rights.find(name);
-    const std::int64_t revision = known == rights.end() ? 0 : known->second.revision;
+    const auto known = owners.find(name);
+    const std::int64_t revision = known == owners.end() ? 0 : known->second.revision;
     store_change change;
     change.expected.emplace_back(key, revision);
     const orderer_record record{m_settings.node, m_incarnation, m_lease};
-    const bool server = &rights == &m_view.serverOwners;
-    change.puts.push_back(
-        {key, server ? encode(record) : encode(quota_home_record{record, settled}), m_lease});
-    m_claiming.insert(key);
+    const bool isServerOwner = &owners == &m_view.serverOwners;
+    change.puts.push_back({key,
+        isServerOwner ? encode(record) : encode(quota_home_record{record, predecessorExpired}), m_lease});
+    m_claimsInFlight.insert(key);
     m_store.change(change,
-        [this, key, name, record, server, settled, &rights](store_status status, std::int64_t changed) {
-            m_claiming.erase(key);
-            heard(status == store_status::Ok || status == store_status::Conflict, "claim");
-            m_log.important(server ? "orderer.claim" : "quota.claim")
-                .add(server ? "server" : "shard", name)
+        [this, key, name, record, isServerOwner, predecessorExpired, &owners](
+            store_status status, std::int64_t changed) {
+            m_claimsInFlight.erase(key);
+            onCallDone(status == store_status::Ok || status == store_status::Conflict, "claim");
+            m_log.important(isServerOwner ? "orderer.claim" : "quota.claim")
+                .add(isServerOwner ? "server" : "shard", name)
                 .add("outcome", status == store_status::Ok ? "taken" : "not taken")
                 .add("fence", changed);
             if (status == store_status::LeaseNotFound) {
                 m_lease = 0;
             }
             if (status == store_status::Refused || status == store_status::Unknown) {
-                m_claimAfter = bootNow() + claimPause;
+                m_claimPausedUntil = bootNow() + claimPause;
             }
             if (status != store_status::Ok) {
-                return; // without an answer the watch tells how it ended
+                return; // the watch shows the outcome of an unanswered claim
             }
-            keepRight(rights, name, {record, changed, settled});
+            recordOwnership(owners, name, {record, changed, predecessorExpired});
             publish({});
         });
 }
 
-/// Reads the records of quota homes, after a call to the store that failed: they may have been removed.
-void store_task::proveQuotaHomes()
+/// Reads the quota home records after a failed call to the store, since they may have been removed.
+void store_task::confirmQuotaHomes()
 {
-    if (m_provingQuota) {
+    if (m_confirmingQuotaHomes) {
         return;
     }
-    m_provingQuota = true;
-    m_store.list(detail::quotaPrefix, [this, asked = bootNow()](const store_read &read) {
-        m_provingQuota = false;
-        heard(read.status == store_status::Ok, "quota homes");
+    m_confirmingQuotaHomes = true;
+    m_store.list(detail::quotaPrefix, [this, sentAt = bootNow()](const store_read &read) {
+        m_confirmingQuotaHomes = false;
+        onCallDone(read.status == store_status::Ok, "quota homes");
         if (read.status != store_status::Ok || m_leaving) {
             return;
         }
-        std::map<std::string, std::int64_t> present; // the rest is for the watch to tell, and to pass on
+        std::map<std::string, std::int64_t> present; // records of other daemons come by the watch
         for (const stored_item &item : read.items) {
             present[item.key] = item.revision;
         }
@@ -362,7 +366,7 @@
             const bool stands = found != present.end() && found->second == each.second.revision;
             return !stands && isOwn(each.second.record) && each.second.revision <= read.revision;
         });
-        onRecordsRead(m_quotaProof, asked);
+        onRecordsRead(m_quotaHomeValidity, sentAt);
         publish({});
     });
 }
@@ -372,7 +376,7 @@
 {
     store_change change;
     change.puts.push_back({detail::crashPrefix + fingerprint, encode(record), 0});
-    changeCrash(fingerprint, std::move(change), std::move(done));
+    changeCrashRecord(fingerprint, std::move(change), std::move(done));
 }
 
 void store_task::removeCrashRecord(const std::string &fingerprint)
@@ -382,15 +386,15 @@
     }
     store_change change;
     change.removes.push_back(detail::crashPrefix + fingerprint);
-    changeCrash(fingerprint, std::move(change), [](bool) {});
+    changeCrashRecord(fingerprint, std::move(change), [](bool) {});
 }
 
-/// One change at a time, made to the record as it is known here: what another daemon added meanwhile isn't
+/// One change at a time, conditional on the revision in the view, so that another daemon's change is not
 /// overwritten.
-void store_task::changeCrash(
+void store_task::changeCrashRecord(
     const std::string &fingerprint, store_change change, std::function<void(bool)> done)
 {
-    if (m_leaving || !m_changingCrash.insert(fingerprint).second) {
+    if (m_leaving || !m_crashChangesInFlight.insert(fingerprint).second) {
         m_loop.post([done = std::move(done)] {
             done(false);
         });
@@ -401,8 +405,8 @@
     change.expected.emplace_back(detail::crashPrefix + fingerprint, revision);
     const bool removes = !change.removes.empty();
     m_store.change(change, [this, fingerprint, removes, done](store_status status, std::int64_t changed) {
-        m_changingCrash.erase(fingerprint);
-        heard(status == store_status::Ok || status == store_status::Conflict, "crash");
+        m_crashChangesInFlight.erase(fingerprint);
+        onCallDone(status == store_status::Ok || status == store_status::Conflict, "crash");
         m_log.important(removes ? "crash.dropped" : "crash.kept")
             .add("fingerprint", fingerprint)
             .add("outcome", status == store_status::Ok ? "done" : "not done")
@@ -416,20 +420,20 @@
     m_leaving = true;
     store_change change;
     change.removes.push_back(detail::daemonPrefix + m_settings.node);
-    constexpr std::size_t maxEntries = 30; // of the store's 32 in one change
-    const auto giveUp = [&](const std::string &prefix, const ownership_map &rights) {
-        for (const auto &[name, entry] : rights) {
+    constexpr std::size_t maxEntries = 30; // the store accepts 32 in one change
+    const auto release = [&](const std::string &prefix, const ownership_map &owners) {
+        for (const auto &[name, entry] : owners) {
             if (isOwn(entry.record) && change.puts.size() + change.expected.size() < maxEntries) {
                 change.expected.emplace_back(prefix + name, entry.revision);
                 change.puts.push_back({prefix + name,
-                    &rights == &m_view.serverOwners ? encode(orderer_record{})
-                                                    : encode(quota_home_record{{}, entry.settled}),
+                    &owners == &m_view.serverOwners ? encode(orderer_record{})
+                                                    : encode(quota_home_record{{}, entry.predecessorExpired}),
                     0});
             }
         }
     };
-    giveUp(detail::quotaPrefix, m_view.quotaHomes);
-    giveUp(detail::ordererPrefix, m_view.serverOwners);
+    release(detail::quotaPrefix, m_view.quotaHomes);
+    release(detail::ordererPrefix, m_view.serverOwners);
     m_store.change(change, [this](store_status status, std::int64_t revision) {
         m_log.important("records.given_up")
             .add("outcome", status == store_status::Ok ? "done" : "not done")
--- a/packages/serving/store_task.h
+++ b/packages/serving/store_task.h
@@ -21,15 +21,15 @@
 
 namespace briarhead {
 
-/// A right that one daemon at a time has, under its lease.
+/// An ownership record in the store: one daemon at a time holds it, under its lease.
 struct ownership_entry
 {
     orderer_record record;
     std::int64_t revision = 0;
-    bool settled = false; ///< of a quota home: see quota_home_record
+    bool predecessorExpired = false; ///< quota homes only; see quota_home_record
 };
 
-using ownership_map = std::map<std::string, ownership_entry>; ///< by what the right is over
+using ownership_map = std::map<std::string, ownership_entry>; ///< by the name of what is owned
 
 struct stored_crash_record
 {
@@ -37,49 +37,49 @@
     std::int64_t revision = 0;
 };
 
-/// What this daemon knows from the store. Read by the other tasks, changed by store_task alone.
+/// This daemon's copy of the store's contents. The other tasks read it; only store_task changes it.
 struct store_view
 {
-    std::shared_ptr<const serving_config> config; ///< null before the first
+    std::shared_ptr<const serving_config> config; ///< null until the first one is read
     std::map<std::string, backend_server> servers; ///< by id
     std::map<std::string, std::int64_t> versions; ///< by MODEL/ADAPTER
-    daemon_map daemons; ///< this one is among them
-    /// Whose record went lately. Most of them are cut off from the store or end, not from the others, and
-    /// have callers: they are told and answered all the same.
+    daemon_map daemons; ///< registered daemons, including this one
+    /// Daemons whose record expired recently. Most of them have lost the store or are shutting down, but
+    /// still reach the other daemons and have callers, so messages to them are still sent.
     daemon_map expiredDaemons;
     ownership_map serverOwners; ///< by server id
-    ownership_map quotaHomes; ///< by number of a shard of client accounts, as text
-    std::map<std::string, stored_crash_record> crashes; ///< by fingerprint
-    millis registeredAt; ///< when this daemon's record was last put there
-    millis lastAnswer; ///< of the store
-    millis firstReadAt; ///< when all keys were read first
+    ownership_map quotaHomes; ///< by the decimal number of a shard of client accounts
+    std::map<std::string, stored_crash_record> crashes; ///< by request fingerprint
+    millis registeredAt; ///< when this daemon's record was last written
+    millis lastResponseAt; ///< when the store last answered a call
+    millis firstReadAt; ///< when all keys were first read; 0: not yet
     bool reachable = false;
 };
 
 std::vector<std::string> nodesOf(const daemon_map &daemons);
-/// A daemon that may be reached; null where nothing is known of it.
+/// The record of a daemon, registered or recently expired; null if it is unknown.
 const daemon_record *findPeer(const store_view &view, const std::string &node);
 
-/// On servers that check no tokens a dead daemon is replaced after its lease; the shortest that bears a lost
-/// renewal or two.
+/// TTL where servers check no fencing tokens: a dead daemon is replaced only when its lease expires, so the
+/// TTL is as short as one or two lost renewals allow.
 constexpr millis shortLeaseTtl{2'500};
-/// On those that check them it is replaced once it is silent (see peer_hearing.h), so its lease only has to
-/// end at all. At 195 daemons renewals every 800 ms were half of the price of all store calls, 0.024 of a
-/// quiet day's worth.
+/// TTL where servers check fencing tokens: a daemon is replaced as soon as it is unresponsive (see
+/// peer_hearing.h), so its lease only has to expire eventually. With 195 daemons, renewals every 800 ms made
+/// up half of the cost of all store calls, 0.024 of a low-traffic day's score.
 constexpr millis longLeaseTtl{6'000};
 millis leaseTtlFor(const node_settings &settings);
 
-/// Posted after each change of the view.
+/// Posted on the bus after each change of the view.
 struct view_changed
 {
     bool config = false;
-    std::vector<std::string>
-        removedServers; ///< also one that has started again under its id: it holds nothing
-    std::vector<std::string> crashedServers; ///< of these, those that had not said that they leave
-    std::vector<std::string> crashes; ///< fingerprints whose record is new or gone
+    std::vector<std::string> removedServers; ///< also those restarted under the same id: they hold nothing
+    std::vector<std::string> crashedServers; ///< those of removedServers that had not announced leaving
+    std::vector<std::string> crashes; ///< fingerprints whose record was written or removed
 };
 
-/// Follows the store with one watch over all its keys, and keeps this daemon's lease and record there.
+/// Follows the store with one watch over all keys, or through the store readers of the failure domain, and
+/// maintains this daemon's lease and records there.
 class store_task
 {
 public:
@@ -88,91 +88,97 @@
 
     const store_view &view() const;
     std::uint64_t incarnation() const;
-    /// How this daemon speaks to the others of its failure domain: `send` a datagram to a node, `fetch` the
-    /// news after a revision from one.
+    /// Calls to the other daemons of the failure domain: `send` sends an update as datagrams; `fetch`
+    /// requests the updates after a revision from one node and passes on nothing if it does not answer.
     struct peer_calls
     {
-        std::function<void(const std::vector<std::string> &nodes, const store_news &news)> send;
+        std::function<void(const std::vector<std::string> &nodes, const store_news &update)> send;
         std::function<void(
             const std::string &node, std::int64_t after, std::function<void(std::optional<store_news>)> done)>
             fetch;
     };
     void setPeerCalls(peer_calls calls);
-    void onStoreUpdate(const std::string &reader, const store_news &news);
-    /// The news after a revision, for a daemon that fetches them.
+    void onStoreUpdate(const std::string &reader, const store_news &update);
+    /// The updates after a revision, for a daemon that fetches them; a full snapshot if the revision is too
+    /// old.
     store_news updatesAfter(std::int64_t revision) const;
-    /// Until when this daemon can prove that its orderer records stand; see order_right.h.
+    /// Until when this daemon's ownership of its servers is certain; see lease_validity.h.
     millis ownershipValidUntil() const;
-    /// Whether this process put the record there, and whether that was under the lease in force, the one that
-    /// the proof is about.
+    /// Whether this process wrote the record.
     bool isOwn(const orderer_record &record) const;
+    /// Whether the record belongs to the current lease, the one that ownershipValidUntil() is about.
     bool isUnderCurrentLease(const orderer_record &record) const;
-    /// Whether the view has such a record of a server. Asked anew before each order: a lease that has been
-    /// lost and granted again proves nothing of records of before.
+    /// Whether the view holds a record of the server that is this process's and under its current lease. To
+    /// be checked before each order: after a lease was lost, a new one says nothing about earlier records.
     bool ownsServer(const std::string &server) const;
-    /// Whether the lease lives by this daemon's clock, and the store's latest answer came. Without a reading
-    /// this proves no record: another daemon may have replaced it a moment ago.
+    /// Whether the lease is unexpired by this daemon's clock and the latest call to the store succeeded. This
+    /// does not prove any record: another daemon may just have replaced it.
     bool isLeaseValid() const;
-    /// Whether this daemon follows the store itself.
+    /// Whether this daemon is one of its failure domain's readers, which watch the store for the others.
     bool isReader() const;
-    /// Claims the right to give a server's orders if nobody else has it, or also from one that has it. The
-    /// view tells how it ended.
+    /// Claims ownership of a server if no other daemon holds it, or with `replace` also from its present
+    /// owner. The view shows the outcome.
     void claimServer(const std::string &server, bool replace = false);
-    /// The same for the home of a shard of client accounts.
+    /// The same for the quota home of a shard of client accounts.
     void claimQuotaHome(const std::string &shard, bool replace = false);
-    /// Notes in this daemon's record that whoever was the home before gives nothing any more.
+    /// Records in this daemon's home record that all grants of the previous home have expired.
     void confirmPredecessorExpired(const std::string &shard);
-    /// Whether the store fails this daemon's calls while others reach it: a reader speaks of it.
+    /// Whether the store fails this daemon's calls while a reader still reports updates from it.
     bool isStoreUnreachableLocallyOnly() const;
-    /// Until when this daemon can prove that its records of quota homes stand. Unlike orders, what a home
-    /// gives is checked by nobody else, so that a doubt ends the proof until a reading has shown the records.
+    /// Until when this daemon's quota home records are certain. Unlike orders, which servers check, a home's
+    /// grants are checked by nobody else, so after a failed call the records count as uncertain until they
+    /// have been read again.
     millis quotaHomesValidUntil() const;
-    /// When this daemon last knew that its configuration is the newest; nothing: it never did.
+    /// When this daemon's configuration was last confirmed as the newest; nothing: never.
     std::optional<millis> configConfirmedAt() const;
-    /// Writes which servers ended under a request, in place of the record that the view has, or of none;
-    /// nothing is done if another daemon was faster. `done`, never from inside, says whether it stands.
+    /// Writes the servers that crashed under a request, replacing the record in the view. Nothing is written
+    /// if another daemon has changed it since. `done` receives whether it was written, never from inside the
+    /// call.
     void writeCrashRecord(
         const std::string &fingerprint, const crash_record &record, std::function<void(bool)> done);
     void removeCrashRecord(const std::string &fingerprint);
-    /// Gives up all of this daemon's records, for a shutdown.
+    /// Releases all of this daemon's records at shutdown.
     void releaseRecords();
 
 private:
     void readAll();
-    void readOnceAllRegistered();
-    void readAgain();
-    void takeAll(const store_read &read);
-    void follow();
-    void sendNews(std::int64_t from, const std::vector<stored_item> &items);
-    void fetchNews(const std::string &reader);
-    void keepItem(const stored_item &item, bool news);
-    std::vector<std::string> domainPeers() const;
-    bool newsFresh() const;
-    void watchOn();
-    void takeEvents(const store_read &read);
-    stored_item withoutKeys(const stored_item &item) const;
-    bool takeItem(const stored_item &item, view_changed &change);
-    void takeConfig(const stored_item &item, view_changed &change);
-    bool takeServer(const stored_item &item, view_changed &change);
-    void tellUnreadable(const stored_item &item, const error &why);
-    void takeOwn(const stored_item &item, view_changed &change);
-    void takeDaemon(const stored_item &item);
-    void takeOrderer(const stored_item &item);
-    void takeQuotaHome(const stored_item &item);
-    static void keepRight(ownership_map &rights, const std::string &name, const ownership_entry &entry);
-    void claimRight(const std::string &prefix, ownership_map &rights, const std::string &name, bool replace);
-    void putRight(const std::string &prefix, ownership_map &rights, const std::string &name, bool settled);
-    void proveQuotaHomes();
-    void takeCrash(const stored_item &item, view_changed &change);
-    void changeCrash(const std::string &fingerprint, store_change change, std::function<void(bool)> done);
-    void dropMissing(const std::set<std::string> &present, view_changed &change);
-    void dropLate();
-    void dropLapsed();
-    void heard(bool answered, const char *call);
-    void keepLease();
+    void scheduleFirstRead();
+    void retryRead();
+    void applyFullRead(const store_read &read);
+    void followStore();
+    void sendUpdate(std::int64_t from, const std::vector<stored_item> &items);
+    void fetchUpdate(const std::string &reader);
+    void recordItem(const stored_item &item, bool isUpdate);
+    std::vector<std::string> domainDaemons() const;
+    bool hasFreshUpdate() const;
+    void watchStore();
+    void applyEvents(const store_read &read);
+    stored_item withHashedKeys(const stored_item &item) const;
+    bool applyItem(const stored_item &item, view_changed &change);
+    void applyConfig(const stored_item &item, view_changed &change);
+    bool applyServer(const stored_item &item, view_changed &change);
+    void logUnreadable(const stored_item &item, const error &why);
+    void applyProjectRecord(const stored_item &item, view_changed &change);
+    void applyDaemon(const stored_item &item);
+    void applyServerOwner(const stored_item &item);
+    void applyQuotaHome(const stored_item &item);
+    static void recordOwnership(ownership_map &owners, const std::string &name, const ownership_entry &entry);
+    void claimOwnership(
+        const std::string &prefix, ownership_map &owners, const std::string &name, bool replace);
+    void writeOwnership(
+        const std::string &prefix, ownership_map &owners, const std::string &name, bool predecessorExpired);
+    void confirmQuotaHomes();
+    void applyCrash(const stored_item &item, view_changed &change);
+    void changeCrashRecord(
+        const std::string &fingerprint, store_change change, std::function<void(bool)> done);
+    void removeMissing(const std::set<std::string> &present, view_changed &change);
+    void removeUnreturnedServers();
+    void forgetExpiredDaemons();
+    void onCallDone(bool answered, const char *call);
+    void maintainLease();
     void grantLease();
     void publish(const view_changed &change);
-    bool holdsQuotaHome() const;
+    bool ownsQuotaHome() const;
 
     loop &m_loop;
     bus &m_bus;
@@ -181,40 +187,42 @@
     node_settings m_settings;
     std::uint64_t m_incarnation;
     decision_log &m_log;
-    millis m_renewEvery;
-    millis m_claimAfter;
-    int m_refusals = 0; ///< readings and watches that failed one after the other
-    bool m_lastFailed = false; ///< the latest call to the store
-    millis m_failingSince; ///< when the first of the latest calls that failed one after the other did
+    millis m_renewInterval;
+    millis m_claimPausedUntil;
+    int m_failedReads = 0; ///< consecutive failed reads and watches
+    bool m_lastCallFailed = false; ///< of all kinds of calls to the store
+    millis m_failingSince; ///< when the first of the latest consecutive failures occurred
     store_view m_view;
-    std::int64_t m_revision = 0; ///< followed up to here
+    std::int64_t m_revision = 0; ///< the view's revision
     std::int64_t m_configRevision = 0;
     std::int64_t m_lease = 0;
-    bool m_leaseCalling = false;
+    bool m_leaseCallInFlight = false;
     bool m_leaving = false;
-    peer_calls m_fleet;
-    std::map<std::string, stored_item> m_items; ///< all there are, for those that fetch them
-    std::deque<stored_item> m_recent; ///< the latest changes, oldest first
-    std::int64_t m_recentFrom = 0; ///< `m_recent` holds all changes after this revision
-    millis m_newsAt; ///< when a reader was last heard
+    peer_calls m_peerCalls;
+    std::map<std::string, stored_item>
+        m_items; ///< the store's items by key, for daemons that fetch a snapshot
+    std::deque<stored_item> m_recentChanges; ///< oldest first
+    std::int64_t m_recentChangesAfter = 0; ///< m_recentChanges is complete after this revision
+    millis m_lastUpdateAt; ///< when a reader's update was last applied
     bool m_fetching = false;
     std::uint64_t m_fetchRound = 0;
     std::shared_ptr<void> m_fetchTimer;
-    std::uint64_t m_watchRound = 0; ///< number of the watch that counts; others are outdated
-    lease_validity m_proof;
-    lease_validity m_quotaProof; ///< that the records of quota homes stand
-    bool m_provingQuota = false;
-    std::optional<millis> m_configKnownAt;
-    bool m_reading = false; ///< a reading of all keys is on its way
-    millis m_regained; ///< when the store answered again after an outage
-    std::set<std::string> m_missing; ///< servers whose entries lapsed during an outage
-    std::set<std::string> m_claiming;
-    std::set<std::string> m_changingCrash; ///< fingerprints whose record is being written
-    std::map<std::string, millis> m_lapsedAt; ///< by node
-    std::set<std::string> m_unreadable; ///< keys whose item was told of as unreadable
+    std::uint64_t m_watchRound = 0; ///< the current read or watch; responses to earlier ones are ignored
+    lease_validity m_ownershipValidity;
+    lease_validity m_quotaHomeValidity;
+    bool m_confirmingQuotaHomes = false;
+    std::optional<millis> m_configConfirmedAt;
+    bool m_reading = false; ///< a read of all keys is in progress
+    millis m_reconnectedAt; ///< when the store first answered after an outage
+    std::set<std::string>
+        m_missingServers; ///< whose entries expired during a store outage; kept for missingGrace
+    std::set<std::string> m_claimsInFlight; ///< keys
+    std::set<std::string> m_crashChangesInFlight; ///< fingerprints
+    std::map<std::string, millis> m_expiredAt; ///< when a daemon's record expired, by node
+    std::set<std::string> m_loggedUnreadable; ///< keys whose item was logged as unreadable
     std::shared_ptr<void> m_watchTimer;
     std::shared_ptr<void> m_leaseTimer;
-    std::shared_ptr<void> m_missingTimer;
+    std::shared_ptr<void> m_missingServersTimer;
 };
 
 }
--- a/packages/serving/store_timing.h
+++ b/packages/serving/store_timing.h
@@ -2,29 +2,31 @@
 
 #include "state/clock.h"
 
-// How often the store is looked at, and how long its readers may be silent. A configuration and a leaving
-// server are to be known everywhere two seconds after the store has them, and each call to the store has a
-// price. Stretched to twice as long where the bounds are four seconds, a failure domain whose readers had
-// died together knew a configuration after 4.2 s in place of 0.8, for a hundredth of a quiet day's worth.
+// How often the store is watched and read, and how long its readers may be silent. Every daemon is to know a
+// configuration or a leaving server within 2 s of the store, and every call to the store is charged. Doubling
+// these times where the bounds allow 4 s saved a hundredth of a low-traffic day's score, but a failure domain
+// whose readers had all died knew a configuration after 4.2 s instead of 0.8 s.
 namespace briarhead {
 
-/// A watch waits so long at the store. A store that went silent shows after this and the call's margin.
+/// How long a watch waits at the store. An unresponsive store is detected after this and the call's margin.
 constexpr millis watchTimeout{2'000};
-/// A reader whose failure domain listens to it tells so often at least that it reaches the store.
+/// How long a reader's watch waits while its failure domain depends on it: the reader confirms at least this
+/// often that it reaches the store.
 constexpr millis readerWatchTimeout{700};
-/// Without news for so long a daemon follows the store itself: a reader speaks every 1.3 s.
+/// A daemon without updates for this long watches the store itself; a reader sends one every 1.3 s at least.
 constexpr millis maxUpdateAge{1'600};
-/// Pause between two watches, so that changes that come close together cost one call: servers write their
-/// entries all the time, and each write would end a watch.
+/// Pause between two watches, so that changes in quick succession cost one call: servers write their entries
+/// all the time, and each write would end a watch.
 constexpr millis watchPause{500};
-/// From a reading of all keys until the readers' first news are due: as good as news for so long.
+/// How long a read of all keys counts as an update: until the readers' first updates are due.
 constexpr millis firstUpdateGrace{900};
 
-/// Until a store that failed so many times one after the other is read again: by the readers soon, so that it
-/// is back soon after its return, by the others each time after twice as long.
+/// Pauses between reads of a failing store. Readers always use the shortest, so that they return soon after
+/// the store does; other daemons double theirs after each failure.
 constexpr millis minReadPause{400};
 constexpr millis maxReadPause{3'200};
 
+/// The pause after `failures` earlier consecutive failures.
 millis readPauseAfter(int failures, bool reader);
 
 }
--- a/packages/serving/store_watch.cpp
+++ b/packages/serving/store_watch.cpp
@@ -5,25 +5,27 @@
 
 #include <algorithm>
 
-// How the store is read and followed, and how its readers pass news of it on to their failure domain.
+// Reads and watches the store, and exchanges updates between the readers and the other daemons of a failure
+// domain.
 namespace briarhead {
 
 namespace {
 
-/// Daemons of a failure domain that follow the store; the others hear it from them. Each call to the store
-/// costs up to a fifth of a request, and every daemon following it itself took a third of the income at 91
-/// daemons. Two, so that the death of one leaves no gap.
+/// Daemons of a failure domain that watch the store; they send updates to the others. A call to the store
+/// costs up to a fifth of what a request earns, and with 91 daemons all watching it took a third of the
+/// earnings. There are two, so that the loss of one leaves no gap.
 constexpr std::size_t readersPerDomain = 2;
-constexpr millis followCheck{100};
-/// When the whole system starts, its daemons start within 300 ms, and each registers within some 100 ms.
-constexpr millis allRegistered{500};
-/// A fetch within the failure domain takes some ms; after this another one is tried.
+constexpr millis followCheckInterval{100};
+/// In a cold start of the whole system all daemons start within 300 ms and register within some 100 ms.
+constexpr millis registrationTime{500};
+/// A fetch within the failure domain takes a few ms; after this time another one is tried.
 constexpr millis fetchTimeout{500};
-/// News that fit into a datagram that links of 10 Mbit/s carry without a queue.
-constexpr std::size_t newsBytes = 120'000; // before packing, which leaves about a tenth of a configuration
+/// Larger updates are fetched instead of sent: this much, once compressed, fits into a datagram that links of
+/// 10 Mbit/s carry without queueing.
+constexpr std::size_t maxUpdateBytes = 120'000; // uncompressed; a configuration compresses to about a tenth
 
-/// The last change of each key, in order of time. Configurations in quick succession are some tens of
-/// kilobytes each, and only the last one counts.
+/// The latest change of each key, in order of revision. Of several configurations in quick succession, each
+/// some tens of kilobytes, only the last one matters.
 std::vector<stored_item> latestOf(const std::vector<stored_item> &items)
 {
     std::map<std::string, std::int64_t> last;
@@ -45,80 +47,81 @@
 {
     const std::uint64_t round = ++m_watchRound;
     m_reading = true;
-    m_watchTimer.reset(); // its watch would outdate this reading
-    m_store.list("", [this, round, asked = bootNow()](const store_read &read) {
+    m_watchTimer.reset(); // a new watch would make this read outdated
+    m_store.list("", [this, round, sentAt = bootNow()](const store_read &read) {
         m_reading = false;
-        heard(read.status == store_status::Ok, "list");
+        onCallDone(read.status == store_status::Ok, "list");
         if (round != m_watchRound || m_leaving) {
             return;
         }
         if (read.status != store_status::Ok) {
-            readAgain();
+            retryRead();
             return;
         }
-        m_refusals = 0;
-        // A reading is as good as news for a moment: readers get their turn before a watch is paid for.
-        m_newsAt = bootNow() - maxUpdateAge + firstUpdateGrace;
-        if (read.revision >= m_revision) { // else news of later changes came while it was on its way
-            takeAll(read);
+        m_failedReads = 0;
+        // Counts as an update for a moment, so that the readers can send theirs before this daemon watches.
+        m_lastUpdateAt = bootNow() - maxUpdateAge + firstUpdateGrace;
+        if (read.revision >= m_revision) { // otherwise a reader's update was newer
+            applyFullRead(read);
         }
-        onRecordsRead(m_proof, asked);
-        onRecordsRead(m_quotaProof, asked);
-        m_configKnownAt = bootNow();
-        follow();
+        onRecordsRead(m_ownershipValidity, sentAt);
+        onRecordsRead(m_quotaHomeValidity, sentAt);
+        m_configConfirmedAt = bootNow();
+        followStore();
     });
 }
 
-/// At the system's first start: who reads before the others have registered takes itself for a reader of its
-/// failure domain, and so would each. At 195 daemons these needless watches were a quarter of a day's calls.
-void store_task::readOnceAllRegistered()
+/// Delays the first read in a cold start until the other daemons have registered. A daemon that reads earlier
+/// sees itself alone and acts as a reader of its failure domain. With 195 daemons the needless watches were a
+/// quarter of a day's calls.
+void store_task::scheduleFirstRead()
 {
-    m_watchTimer = m_loop.timer(allRegistered, {}, [this] {
+    m_watchTimer = m_loop.timer(registrationTime, {}, [this] {
         readAll();
     });
 }
 
-/// After a reading or a watch that failed. Guards against: a store that turns all away is asked by each
-/// daemon of the fleet several times a second, since the readers have no news to pass on. It shows as
-/// thousands of refused calls, each of which has its price, and as a crowd on the store's return. Holds
-/// because all but the readers wait twice as long each time, and take the readers' news once these have some.
-void store_task::readAgain()
+/// Reads again after a failed read or watch. All daemons but the readers double their pause each time and
+/// prefer a reader's update once there is one. Without this, a store that refuses all calls is called several
+/// times a second by every daemon: thousands of refused calls, each of which is charged, and a load spike
+/// when the store recovers.
+void store_task::retryRead()
 {
-    const millis pause = readPauseAfter(m_refusals++, isReader());
+    const millis pause = readPauseAfter(m_failedReads++, isReader());
     m_watchTimer = m_loop.timer(pause, {}, [this] {
-        if (m_revision != 0 && newsFresh()) {
-            m_refusals = 0;
-            follow();
+        if (m_revision != 0 && hasFreshUpdate()) {
+            m_failedReads = 0;
+            followStore();
         } else {
             readAll();
         }
     });
 }
 
-void store_task::takeAll(const store_read &read)
+void store_task::applyFullRead(const store_read &read)
 {
     view_changed change;
     std::set<std::string> present;
     for (const stored_item &item : read.items) {
         present.insert(item.key);
         if (item.key == m_codec.configKey) {
-            takeItem(withoutKeys(item), change);
+            applyItem(withHashedKeys(item), change);
         } else {
-            takeItem(item, change);
+            applyItem(item, change);
         }
     }
-    dropMissing(present, change);
+    removeMissing(present, change);
     m_revision = read.revision;
     if (m_view.firstReadAt.count == 0) {
         m_view.firstReadAt = bootNow();
     }
-    m_recent.clear();
-    m_recentFrom = m_revision;
-    sendNews(m_revision, {});
+    m_recentChanges.clear();
+    m_recentChangesAfter = m_revision;
+    sendUpdate(m_revision, {});
     publish(change);
 }
 
-std::vector<std::string> store_task::domainPeers() const
+std::vector<std::string> store_task::domainDaemons() const
 {
     std::vector<std::string> nodes;
     for (const auto &[node, record] : m_view.daemons) {
@@ -132,32 +135,32 @@
 bool store_task::isReader() const
 {
     const std::vector<std::string> readers =
-        rendezvousOrder(m_settings.failureDomain, domainPeers(), readersPerDomain);
+        rendezvousOrder(m_settings.failureDomain, domainDaemons(), readersPerDomain);
     const bool known = m_view.daemons.count(m_settings.node) != 0;
     return known && std::find(readers.begin(), readers.end(), m_settings.node) != readers.end();
 }
 
-bool store_task::newsFresh() const
+bool store_task::hasFreshUpdate() const
 {
-    return m_newsAt.count != 0 && bootNow() - m_newsAt < maxUpdateAge;
+    return m_lastUpdateAt.count != 0 && bootNow() - m_lastUpdateAt < maxUpdateAge;
 }
 
-void store_task::sendNews(std::int64_t from, const std::vector<stored_item> &items)
+void store_task::sendUpdate(std::int64_t from, const std::vector<stored_item> &items)
 {
-    if (!m_fleet.send || !isReader()) {
+    if (!m_peerCalls.send || !isReader()) {
         return;
     }
-    store_news news{from, m_revision, false, false, {}};
+    store_news update{from, m_revision, false, false, {}};
     std::size_t bytes = 0;
     for (const stored_item &item : items) {
         bytes += item.key.size() + item.value.size();
-        news.items.push_back({item.key, item.value, item.revision, item.removed});
+        update.items.push_back({item.key, item.value, item.revision, item.removed});
     }
-    if (bytes > newsBytes) {
-        news.items.clear();
-        news.fetch = true;
+    if (bytes > maxUpdateBytes) {
+        update.items.clear();
+        update.fetch = true;
     }
-    std::vector<std::string> others = domainPeers();
+    std::vector<std::string> others = domainDaemons();
     for (const auto &[node, record] : m_view.expiredDaemons) {
         if (record.failureDomain == m_settings.failureDomain) {
             others.push_back(node);
@@ -165,56 +168,56 @@
     }
     std::erase(others, m_settings.node);
     if (!others.empty()) {
-        m_fleet.send(others, news);
+        m_peerCalls.send(others, update);
     }
 }
 
 store_news store_task::updatesAfter(std::int64_t revision) const
 {
-    store_news news{revision, m_revision, false, revision < m_recentFrom, {}};
-    if (news.whole) {
+    store_news update{revision, m_revision, false, revision < m_recentChangesAfter, {}};
+    if (update.whole) {
         for (const auto &[key, item] : m_items) {
-            news.items.push_back({item.key, item.value, item.revision, false});
+            update.items.push_back({item.key, item.value, item.revision, false});
         }
-        return news;
+        return update;
     }
-    for (const stored_item &item : latestOf({m_recent.begin(), m_recent.end()})) {
+    for (const stored_item &item : latestOf({m_recentChanges.begin(), m_recentChanges.end()})) {
         if (item.revision > revision) {
-            news.items.push_back({item.key, item.value, item.revision, item.removed});
+            update.items.push_back({item.key, item.value, item.revision, item.removed});
         }
     }
-    return news;
+    return update;
 }
 
-void store_task::onStoreUpdate(const std::string &reader, const store_news &news)
+void store_task::onStoreUpdate(const std::string &reader, const store_news &update)
 {
-    if (m_leaving || m_revision == 0 || news.to < m_revision) {
-        return; // an outdated reader is no sign that the store was heard
+    if (m_leaving || m_revision == 0 || update.to < m_revision) {
+        return; // an outdated update does not show that the reader reaches the store
     }
-    if (news.to == m_revision) {
-        m_newsAt = bootNow();
-        m_configKnownAt = m_newsAt;
+    if (update.to == m_revision) {
+        m_lastUpdateAt = bootNow();
+        m_configConfirmedAt = m_lastUpdateAt;
         return;
     }
-    if (news.fetch || news.from > m_revision) {
-        fetchNews(reader);
+    if (update.fetch || update.from > m_revision) {
+        fetchUpdate(reader);
         return;
     }
     store_read read;
-    read.revision = news.to;
-    for (const news_item &item : news.items) {
+    read.revision = update.to;
+    for (const news_item &item : update.items) {
         if (item.revision > m_revision) {
             read.items.push_back({item.key, item.value, item.revision, item.removed});
         }
     }
-    m_newsAt = bootNow();
-    m_configKnownAt = m_newsAt;
-    takeEvents(read);
+    m_lastUpdateAt = bootNow();
+    m_configConfirmedAt = m_lastUpdateAt;
+    applyEvents(read);
 }
 
-void store_task::fetchNews(const std::string &reader)
+void store_task::fetchUpdate(const std::string &reader)
 {
-    if (m_fetching || !m_fleet.fetch) {
+    if (m_fetching || !m_peerCalls.fetch) {
         return;
     }
     m_fetching = true;
@@ -222,64 +225,63 @@
     m_fetchTimer = m_loop.timer(fetchTimeout, {}, [this] {
         m_fetching = false;
     });
-    m_fleet.fetch(reader, m_revision, [this, round](const std::optional<store_news> &news) {
+    m_peerCalls.fetch(reader, m_revision, [this, round](const std::optional<store_news> &update) {
         m_fetching = m_fetching && round != m_fetchRound;
-        if (!news || m_leaving || news->to <= m_revision) {
+        if (!update || m_leaving || update->to <= m_revision) {
             return;
         }
-        m_newsAt = bootNow();
-        m_configKnownAt = m_newsAt;
+        m_lastUpdateAt = bootNow();
+        m_configConfirmedAt = m_lastUpdateAt;
         store_read read;
         read.status = store_status::Ok;
-        read.revision = news->to;
-        for (const news_item &item : news->items) {
-            if (news->whole || item.revision > m_revision) {
+        read.revision = update->to;
+        for (const news_item &item : update->items) {
+            if (update->whole || item.revision > m_revision) {
                 read.items.push_back({item.key, item.value, item.revision, item.removed});
             }
         }
-        if (news->whole) {
-            takeAll(read);
+        if (update->whole) {
+            applyFullRead(read);
         } else {
-            takeEvents(read);
+            applyEvents(read);
         }
     });
 }
 
-// Guards against: a reader that speaks while what it has can't be fetched, over a connection that went
-// silent. It showed as a daemon that served an old configuration for seconds. Only news that were taken in
-// count as heard, so that such a daemon follows the store itself after maxUpdateAge.
-
-/// Follows the store itself, or listens to the readers of its failure domain while they speak.
-void store_task::follow()
+/// Watches the store itself, or relies on the readers of its failure domain while their updates are fresh.
+///
+/// Only applied updates count as fresh. A reader may announce updates that cannot be fetched from it because
+/// the connection hangs; a daemon that kept relying on it served an old configuration for seconds.
+void store_task::followStore()
 {
     if (m_leaving) {
         return;
     }
-    if (isReader() || !newsFresh()) {
-        watchOn();
+    if (isReader() || !hasFreshUpdate()) {
+        watchStore();
         return;
     }
-    m_watchTimer = m_loop.timer(followCheck, {}, [this] {
-        follow();
+    m_watchTimer = m_loop.timer(followCheckInterval, {}, [this] {
+        followStore();
     });
 }
 
-void store_task::watchOn()
+void store_task::watchStore()
 {
     const std::uint64_t round = ++m_watchRound;
-    const bool listenedTo = isReader() && domainPeers().size() > readersPerDomain;
-    const millis wait = listenedTo ? readerWatchTimeout : watchTimeout;
+    const bool hasListeners = isReader() && domainDaemons().size() > readersPerDomain;
+    const millis wait = hasListeners ? readerWatchTimeout : watchTimeout;
     m_store.watch("", m_revision, wait, [this, round](const store_read &read) {
-        heard(read.status == store_status::Ok || read.status == store_status::HistoryGone, "watch");
+        onCallDone(read.status == store_status::Ok || read.status == store_status::HistoryGone, "watch");
         if (round != m_watchRound || m_leaving) {
             return;
         }
         switch (read.status) {
         case store_status::Ok:
-            m_configKnownAt = bootNow();
-            takeEvents(read);
+            m_configConfirmedAt = bootNow();
+            applyEvents(read);
             m_watchTimer = m_loop.timer(watchPause, {}, [this] {
-                follow();
+                followStore();
             });
             return;
         case store_status::HistoryGone:
@@ -287,14 +289,14 @@
             readAll();
             return;
         default:
-            // The watch may have missed nothing, but a reading also tells what lapsed meanwhile.
-            readAgain();
+            // A read, unlike another watch, also shows what has expired meanwhile.
+            retryRead();
             return;
         }
     });
 }
 
-void store_task::takeEvents(const store_read &read)
+void store_task::applyEvents(const store_read &read)
 {
     view_changed change;
     const std::int64_t from = m_revision;
@@ -302,9 +304,9 @@
     std::vector<stored_item> latest = latestOf(read.items);
     for (stored_item &item : latest) {
         if (item.key == m_codec.configKey) {
-            item = withoutKeys(item);
+            item = withHashedKeys(item);
         }
-        if (takeItem(item, change)) {
+        if (applyItem(item, change)) {
             items.push_back(std::move(item));
         }
     }
@@ -312,7 +314,7 @@
     if (!items.empty()) {
         publish(change);
     }
-    sendNews(from, items); // without items: a sign that the store is heard
+    sendUpdate(from, items); // sent even when empty, as a sign that the store is reachable
 }
 
 }
--- a/tests/load_model/load_model.cpp
+++ b/tests/load_model/load_model.cpp
@@ -517,7 +517,7 @@
         return;
     }
     updateLoadTimes(server.desk, server.pace, now());
-    dropExpired(server.desk, now());
+    releaseExpired(server.desk, now());
     order_constraints limits;
     limits.models = &m_models;
     for (int i = 0; i < 4; ++i) {
@@ -528,7 +528,7 @@
         onOrderResponse(server.desk.ledger, *order, carryOut(server, *order), now());
     }
     for (const addressed_response &each : dueResponses(server.desk, now())) {
-        onAnswer(each.answer);
+        onAnswer(each.response);
     }
 }
 
--- a/tests/serving/decisions_test.cpp
+++ b/tests/serving/decisions_test.cpp
@@ -86,7 +86,7 @@
     EXPECT_EQ(taken, 6) << "750 ms at 14 tokens a ms, and the one whose turn comes right then";
     const enqueue_result refused = enqueue(queue, prompt("q", 2'000, start), start);
     EXPECT_FALSE(refused.accepted);
-    EXPECT_GT(refused.wait.count, 750);
+    EXPECT_GT(refused.expectedWait.count, 750);
 }
 
 TEST(PlaceQueue, TheMostUrgentGoesFirstThenWhoCameFirst)
