--- a/tests/serving/lease_validity_test.cpp
+++ b/tests/serving/lease_validity_test.cpp
@@ -12,220 +12,227 @@
 
 constexpr millis leaseLength{2'500};
 
-/// A span of the simulated world, from `from` to before `to`.
+/// A span of simulated time, from `from` to before `to`.
 struct window
 {
     std::int64_t from = 0;
     std::int64_t to = 0;
 
-    bool holds(std::int64_t at) const
+    bool contains(std::int64_t at) const
     {
         return at >= from && at < to;
     }
 };
 
-/// What happens to the holder of a server's record, and how late its successor learns of it. Times are ms.
-struct mishap
+/// What happens to a server's owner, and how late its successor learns of it. Times are in ms.
+struct failure_scenario
 {
-    window storeCut; ///< the holder can't reach the store
-    window frozen; ///< the holder stands still
-    bool peersCut = false; ///< its beats are lost while it is cut from the store
-    bool renewalsHang = false; ///< a call that is cut off ends after its time-out, not at once
-    std::int64_t revokedAfter = -1; ///< into the cut: its records go at once; -1: they lapse with the lease
-    bool leaseOutlivesRecords = false; ///< renewals succeed again after that
-    std::int64_t seenLate = 0; ///< until the successor sees that the records are gone
-    std::int64_t orderTakes = 1; ///< from an order's sending to its arrival, unless it is aborted before
+    window storeOutage; ///< the owner cannot reach the store
+    window suspended; ///< the owner is suspended
+    bool peersDisconnected = false; ///< the owner's heartbeats are lost during the outage
+    bool renewalsTimeOut = false; ///< calls in the outage end after their timeout, not at once
+    std::int64_t recordsRemovedAfterMs = -1; ///< into the outage; -1: they expire with the lease
+    bool leaseSurvivesRemoval = false; ///< renewals succeed after the removal
+    std::int64_t detectionDelayMs = 0; ///< until the successor sees the records removed
+    std::int64_t orderDelayMs = 1; ///< from sending to arrival, unless aborted before
 };
 
-/// The holder's orders and the successor's first one, as the server sees them.
-struct history
+/// Arrival times at the server, ms; -1: none.
+struct order_times
 {
-    std::int64_t lastOfHolder = -1;
-    std::int64_t firstOfSuccessor = -1;
+    std::int64_t lastOrderOfOwner = -1;
+    std::int64_t firstOrderOfSuccessor = -1;
 };
 
-constexpr std::int64_t keepEvery = 800;
-constexpr std::int64_t beatEvery = 150;
+constexpr std::int64_t renewalInterval = 800;
+constexpr std::int64_t heartbeatInterval = 150;
 constexpr std::int64_t callTime = 20;
 constexpr std::int64_t callTimeout = 900;
-constexpr std::int64_t beatWait = 500;
-constexpr std::int64_t worldEnds = 20'000;
+constexpr std::int64_t heartbeatDelay = 500;
+constexpr std::int64_t simulationEnd = 20'000;
 
 struct pending_renewal
 {
-    std::int64_t asked = -1; ///< -1: none is on its way
-    std::int64_t ends = 0;
-    bool fine = false;
+    std::int64_t sentAt = -1; ///< -1: none in progress
+    std::int64_t endsAt = 0;
+    bool succeeds = false;
 };
 
-/// The store, the holder and the successor, stepped through time.
-struct world
+/// The store, the owner and the successor, stepped through time.
+struct simulation
 {
-    explicit world(const mishap &mishapNow)
-        : what(mishapNow)
+    explicit simulation(const failure_scenario &scenarioNow)
+        : scenario(scenarioNow)
     {
-        onLeaseGranted(proof, {0}, leaseLength);
+        onLeaseGranted(validity, {0}, leaseLength);
     }
 
-    const mishap &what;
-    history seen;
-    lease_validity proof;
-    std::int64_t leaseEnds = leaseLength.count;
-    std::int64_t recordsGone = -1;
-    std::int64_t nextKeep = keepEvery;
-    std::int64_t nextBeat = beatEvery;
+    const failure_scenario &scenario;
+    order_times orders;
+    lease_validity validity;
+    std::int64_t leaseEnd = leaseLength.count;
+    std::int64_t recordsRemovedAt = -1;
+    std::int64_t nextRenewal = renewalInterval;
+    std::int64_t nextHeartbeat = heartbeatInterval;
     pending_renewal renewal;
-    std::int64_t readingAsked = -1;
-    std::optional<reported_ownership> heard;
-    std::int64_t successorFrom = -1;
-    bool holderKnows = false;
+    std::int64_t readSentAt = -1;
+    std::optional<reported_ownership> lastReported;
+    std::int64_t successorAllowedFrom = -1;
+    bool ownerKnows = false;
 
-    void stepStore(std::int64_t now, bool cut)
+    void stepStore(std::int64_t now, bool disconnected)
     {
-        const bool revoked = what.revokedAfter >= 0 && cut && now >= what.storeCut.from + what.revokedAfter;
-        if (recordsGone < 0 && (revoked || now >= leaseEnds)) {
-            recordsGone = now;
-            leaseEnds = what.leaseOutlivesRecords ? worldEnds : std::min(leaseEnds, now);
+        const bool removeRecords = scenario.recordsRemovedAfterMs >= 0 && disconnected
+            && now >= scenario.storeOutage.from + scenario.recordsRemovedAfterMs;
+        if (recordsRemovedAt < 0 && (removeRecords || now >= leaseEnd)) {
+            recordsRemovedAt = now;
+            leaseEnd = scenario.leaseSurvivesRemoval ? simulationEnd : std::min(leaseEnd, now);
         }
     }
     void endRenewal(std::int64_t now)
     {
-        if (renewal.asked < 0 || now < renewal.ends) {
+        if (renewal.sentAt < 0 || now < renewal.endsAt) {
             return;
         }
-        if (renewal.fine) {
-            onLeaseRenewed(proof, {renewal.asked});
+        if (renewal.succeeds) {
+            onLeaseRenewed(validity, {renewal.sentAt});
         } else {
-            markUncertain(proof, {now});
+            markUncertain(validity, {now});
         }
-        renewal.asked = -1;
-        if (proof.uncertain && readingAsked < 0) {
-            readingAsked = now;
+        renewal.sentAt = -1;
+        if (validity.uncertain && readSentAt < 0) {
+            readSentAt = now;
         }
     }
-    void endReading(std::int64_t now, bool cut)
+    void endReading(std::int64_t now, bool disconnected)
     {
-        if (readingAsked < 0 || now < readingAsked + callTime) {
+        if (readSentAt < 0 || now < readSentAt + callTime) {
             return;
         }
-        if (cut) {
-            markUncertain(proof, {now});
+        if (disconnected) {
+            markUncertain(validity, {now});
         } else {
-            holderKnows = holderKnows || recordsGone >= 0;
-            onRecordsRead(proof, {readingAsked});
+            ownerKnows = ownerKnows || recordsRemovedAt >= 0;
+            onRecordsRead(validity, {readSentAt});
         }
-        readingAsked = -1;
+        readSentAt = -1;
     }
-    void renew(std::int64_t now, bool cut)
+    void renew(std::int64_t now, bool disconnected)
     {
-        if (now < nextKeep || renewal.asked >= 0) {
+        if (now < nextRenewal || renewal.sentAt >= 0) {
             return;
         }
-        nextKeep = now + keepEvery;
-        const bool fine = !cut && now < leaseEnds;
-        if (fine) {
-            leaseEnds = std::max(leaseEnds, now + leaseLength.count);
+        nextRenewal = now + renewalInterval;
+        const bool succeeds = !disconnected && now < leaseEnd;
+        if (succeeds) {
+            leaseEnd = std::max(leaseEnd, now + leaseLength.count);
         }
-        renewal = {now, now + (cut && what.renewalsHang ? callTimeout : callTime), fine};
+        renewal = {now, now + (disconnected && scenario.renewalsTimeOut ? callTimeout : callTime), succeeds};
     }
-    void stepHolder(std::int64_t now, bool cut)
+    void stepOwner(std::int64_t now, bool disconnected)
     {
-        if (what.frozen.holds(now)) {
+        if (scenario.suspended.contains(now)) {
             return;
         }
         endRenewal(now);
-        endReading(now, cut);
-        renew(now, cut);
-        const std::int64_t until = validUntil(proof).count;
-        if (!holderKnows && now + minOrderTime.count <= until) {
-            // Given up and reset at the proof's end: what arrives, arrives before.
-            seen.lastOfHolder = std::max(seen.lastOfHolder, std::min(now + what.orderTakes, until - 1));
+        endReading(now, disconnected);
+        renew(now, disconnected);
+        const std::int64_t until = validUntil(validity).count;
+        if (!ownerKnows && now + minOrderTime.count <= until) {
+            // Open orders are aborted when the validity ends, so none arrives later.
+            orders.lastOrderOfOwner =
+                std::max(orders.lastOrderOfOwner, std::min(now + scenario.orderDelayMs, until - 1));
         }
-        if (now >= nextBeat) {
-            nextBeat = now + beatEvery;
-            if (!(cut && what.peersCut) && !holderKnows) { // later beats don't name the server
-                heard = reported_ownership{{now}, {std::max(now, until)}};
+        if (now >= nextHeartbeat) {
+            nextHeartbeat = now + heartbeatInterval;
+            if (!(disconnected && scenario.peersDisconnected)
+                && !ownerKnows) { // later heartbeats do not name the server
+                lastReported = reported_ownership{{now}, {std::max(now, until)}};
             }
         }
     }
     void stepSuccessor(std::int64_t now)
     {
-        if (recordsGone >= 0 && now >= recordsGone + what.seenLate && successorFrom < 0) {
-            successorFrom = std::max(firstOrderAt({{now}, heard}, leaseLength).count, now + beatWait);
+        if (recordsRemovedAt >= 0 && now >= recordsRemovedAt + scenario.detectionDelayMs
+            && successorAllowedFrom < 0) {
+            successorAllowedFrom =
+                std::max(firstOrderAt({{now}, lastReported}, leaseLength).count, now + heartbeatDelay);
         }
-        const bool rival = heard && now < heard->until.count;
-        if (successorFrom >= 0 && now >= successorFrom && !rival) {
-            seen.firstOfSuccessor = now;
+        const bool ownerMayOrder = lastReported && now < lastReported->validUntil.count;
+        if (successorAllowedFrom >= 0 && now >= successorAllowedFrom && !ownerMayOrder) {
+            orders.firstOrderOfSuccessor = now;
         }
     }
 };
 
-history play(const mishap &what)
+order_times simulate(const failure_scenario &scenario)
 {
-    world all(what);
-    for (std::int64_t now = 0; now < worldEnds && all.seen.firstOfSuccessor < 0; now += 10) {
-        const bool cut = what.storeCut.holds(now);
-        all.stepStore(now, cut);
-        all.stepHolder(now, cut);
+    simulation all(scenario);
+    for (std::int64_t now = 0; now < simulationEnd && all.orders.firstOrderOfSuccessor < 0; now += 10) {
+        const bool disconnected = scenario.storeOutage.contains(now);
+        all.stepStore(now, disconnected);
+        all.stepOwner(now, disconnected);
         all.stepSuccessor(now);
     }
-    return all.seen;
+    return all.orders;
 }
 
-mishap anyMishap()
+failure_scenario anyScenario()
 {
-    mishap what;
-    what.storeCut.from = *rc::gen::inRange<std::int64_t>(1'000, 6'000);
-    what.storeCut.to = what.storeCut.from + *rc::gen::inRange<std::int64_t>(1'000, 9'000);
-    what.frozen.from = *rc::gen::inRange<std::int64_t>(0, 8'000);
-    what.frozen.to = what.frozen.from + *rc::gen::element<std::int64_t>(0, 0, 300, 1'500, 4'000);
-    what.peersCut = *rc::gen::arbitrary<bool>();
-    what.renewalsHang = *rc::gen::arbitrary<bool>();
-    what.seenLate = *rc::gen::inRange<std::int64_t>(0, 1'200);
-    what.orderTakes = *rc::gen::inRange<std::int64_t>(1, 700);
-    const bool revokes = *rc::gen::arbitrary<bool>();
-    what.revokedAfter = revokes ? *rc::gen::inRange<std::int64_t>(0, 1'000) : -1;
-    what.leaseOutlivesRecords = revokes && *rc::gen::arbitrary<bool>();
-    if (revokes && what.peersCut) {
-        // Known gap, listed in docs/OPEN.md: a holder that wakes, renews its lease unheard and is then cut
-        // off from store and peers at once, if its records are removed just when the lease that was last
-        // heard of would have ended. Records that a store removes go when it begins to turn the holder away.
-        what.frozen = {};
-        what.revokedAfter = std::min<std::int64_t>(what.revokedAfter, 100);
+    failure_scenario scenario;
+    scenario.storeOutage.from = *rc::gen::inRange<std::int64_t>(1'000, 6'000);
+    scenario.storeOutage.to = scenario.storeOutage.from + *rc::gen::inRange<std::int64_t>(1'000, 9'000);
+    scenario.suspended.from = *rc::gen::inRange<std::int64_t>(0, 8'000);
+    scenario.suspended.to =
+        scenario.suspended.from + *rc::gen::element<std::int64_t>(0, 0, 300, 1'500, 4'000);
+    scenario.peersDisconnected = *rc::gen::arbitrary<bool>();
+    scenario.renewalsTimeOut = *rc::gen::arbitrary<bool>();
+    scenario.detectionDelayMs = *rc::gen::inRange<std::int64_t>(0, 1'200);
+    scenario.orderDelayMs = *rc::gen::inRange<std::int64_t>(1, 700);
+    const bool removesRecords = *rc::gen::arbitrary<bool>();
+    scenario.recordsRemovedAfterMs = removesRecords ? *rc::gen::inRange<std::int64_t>(0, 1'000) : -1;
+    scenario.leaseSurvivesRemoval = removesRecords && *rc::gen::arbitrary<bool>();
+    if (removesRecords && scenario.peersDisconnected) {
+        // Known gap, listed in docs/OPEN.md: an owner wakes, renews its lease without a heartbeat getting
+        // through, and at once loses both the store and its peers, while its records are removed just when
+        // the last reported lease would have ended. A store that removes records does so when it begins to
+        // refuse the owner's calls.
+        scenario.suspended = {};
+        scenario.recordsRemovedAfterMs = std::min<std::int64_t>(scenario.recordsRemovedAfterMs, 100);
     }
-    return what;
+    return scenario;
 }
 
 }
 
-// A holder is cut off from the store, frozen or robbed of its records, and its successor begins. On a server
-// that checks no tokens both would load into the same places, and one load too many crashes it.
-RC_GTEST_PROP(order_right, NoOrderOfTheHolderComesAfterTheSuccessorsFirst, ())
+// The owner loses the store, is suspended, or has its records removed, and a successor begins. On a server
+// that checks no fencing tokens both would load into the same slots, and one load too many crashes it.
+RC_GTEST_PROP(LeaseValidity, NoOrderOfTheOwnerArrivesAfterTheSuccessorsFirst, ())
 {
-    const mishap what = anyMishap();
-    const history seen = play(what);
-    if (seen.firstOfSuccessor >= 0) {
-        RC_ASSERT(seen.lastOfHolder < seen.firstOfSuccessor);
+    const failure_scenario scenario = anyScenario();
+    const order_times orders = simulate(scenario);
+    if (orders.firstOrderOfSuccessor >= 0) {
+        RC_ASSERT(orders.lastOrderOfOwner < orders.firstOrderOfSuccessor);
     }
 }
 
-// A holder dies. Its adapters' users wait until somebody orders the server again: no longer than its lease
-// and what the successor needs to see it, since the holder was heard until its death.
-TEST(order_right, AfterADeathNothingIsWaitedForBesidesTheLease)
+// The owner dies. Callers wait until a successor sends orders: no longer than the lease and the time to
+// detect its end, since the owner sent heartbeats until its death.
+TEST(LeaseValidity, SuccessorOfADeadOwnerWaitsOnlyForTheLease)
 {
-    mishap death;
-    death.storeCut = {4'000, worldEnds};
-    death.frozen = {4'000, worldEnds};
-    death.peersCut = true;
-    death.seenLate = 300;
-    const history seen = play(death);
-    EXPECT_GT(seen.firstOfSuccessor, 0);
-    EXPECT_LE(seen.firstOfSuccessor, 4'000 + leaseLength.count + 300 + beatWait);
+    failure_scenario death;
+    death.storeOutage = {4'000, simulationEnd};
+    death.suspended = {4'000, simulationEnd};
+    death.peersDisconnected = true;
+    death.detectionDelayMs = 300;
+    const order_times orders = simulate(death);
+    EXPECT_GT(orders.firstOrderOfSuccessor, 0);
+    EXPECT_LE(orders.firstOrderOfSuccessor, 4'000 + leaseLength.count + 300 + heartbeatDelay);
 }
 
-// The records of a holder that lives are removed while the store turns it away, and nobody hears it: it may
-// order until its lease would have ended, and the successor waits for that.
-TEST(order_right, WhoIsNotHeardIsWaitedForAWholeLease)
+// The store refuses a living owner's calls and removes its records, and its heartbeats are lost: it may send
+// orders until its lease would have ended, so the successor waits that long.
+TEST(LeaseValidity, SuccessorOfAnUnheardOwnerWaitsAnotherLease)
 {
     EXPECT_EQ(firstOrderAt({{5'000}, std::nullopt}, leaseLength), millis{7'500});
     EXPECT_EQ(firstOrderAt({{5'000}, reported_ownership{{4'900}, {7'000}}}, leaseLength), millis{7'500});
@@ -233,32 +240,33 @@
     EXPECT_EQ(firstOrderAt({{5'000}, reported_ownership{{10}, {2'000}}}, leaseLength), millis{7'500});
 }
 
-// A daemon stood still while the store turned it away and removed its records: no call of its failed.
-TEST(order_right, ARenewalAfterAGapProvesNothingBeforeAReading)
+// A daemon was suspended while the store refused its calls and removed its records, so none of its calls
+// failed.
+TEST(LeaseValidity, RenewalAfterAGapCountsOnlyOnceRecordsAreRead)
 {
-    lease_validity proof;
-    onLeaseGranted(proof, {0}, leaseLength);
-    onLeaseRenewed(proof, {2'400});
-    EXPECT_EQ(validUntil(proof), leaseLength - validityMargin);
-    onRecordsRead(proof, {2'420});
-    EXPECT_EQ(validUntil(proof), millis{2'400} + leaseLength - validityMargin);
+    lease_validity validity;
+    onLeaseGranted(validity, {0}, leaseLength);
+    onLeaseRenewed(validity, {2'400});
+    EXPECT_EQ(validUntil(validity), leaseLength - validityMargin);
+    onRecordsRead(validity, {2'420});
+    EXPECT_EQ(validUntil(validity), millis{2'400} + leaseLength - validityMargin);
 }
 
-// The store turned a daemon away for a moment and removed its records; the lease is there still. The daemon's
-// next renewal succeeds, and would prove records that another daemon has claimed.
-TEST(order_right, ARenewalAfterAFailedCallProvesNothingBeforeAReading)
+// The store refused a daemon's calls for a moment and removed its records, but the lease lives on. The
+// daemon's next renewal succeeds, and must not extend records that another daemon may have claimed.
+TEST(LeaseValidity, RenewalAfterAFailedCallCountsOnlyOnceRecordsAreRead)
 {
-    lease_validity proof;
-    onLeaseGranted(proof, {0}, leaseLength);
-    onLeaseRenewed(proof, {800});
-    const millis before = validUntil(proof);
-    markUncertain(proof, {1'500});
-    onLeaseRenewed(proof, {1'600});
-    EXPECT_EQ(validUntil(proof), before);
-    onRecordsRead(proof, {1'400}); // sent before the failure
-    EXPECT_EQ(validUntil(proof), before);
-    onRecordsRead(proof, {1'610});
-    EXPECT_EQ(validUntil(proof), millis{1'600} + leaseLength - validityMargin);
+    lease_validity validity;
+    onLeaseGranted(validity, {0}, leaseLength);
+    onLeaseRenewed(validity, {800});
+    const millis before = validUntil(validity);
+    markUncertain(validity, {1'500});
+    onLeaseRenewed(validity, {1'600});
+    EXPECT_EQ(validUntil(validity), before);
+    onRecordsRead(validity, {1'400}); // sent before the failure
+    EXPECT_EQ(validUntil(validity), before);
+    onRecordsRead(validity, {1'610});
+    EXPECT_EQ(validUntil(validity), millis{1'600} + leaseLength - validityMargin);
 }
 
 }
--- a/tests/serving/load_contention_test.cpp
+++ b/tests/serving/load_contention_test.cpp
@@ -159,11 +159,11 @@
     void count(const slot_scheduler &desk, const std::vector<addressed_response> &answers, tally &seen)
     {
         for (const addressed_response &each : answers) {
-            const bool granted = each.answer.verdict == place_verdict::Granted;
+            const bool granted = each.response.verdict == place_verdict::Granted;
             seen.served += granted ? 1 : 0;
             seen.refused += granted ? 0 : 1;
             if (granted) {
-                m_ends.emplace_back(m_now + answerTime, place_note{each.answer.id, desk.ledger.server});
+                m_ends.emplace_back(m_now + answerTime, place_note{each.response.id, desk.ledger.server});
             }
         }
     }
--- a/tests/serving/server_limit_test.cpp
+++ b/tests/serving/server_limit_test.cpp
@@ -191,9 +191,9 @@
             }
         }
         for (const addressed_response &each : dueResponses(desk, now)) {
-            if (each.answer.verdict == place_verdict::Granted) {
+            if (each.response.verdict == place_verdict::Granted) {
                 sent.push_back(now);
-                onRequestEvent(desk, {each.answer.id, "s", place_event::Ended}, now);
+                onRequestEvent(desk, {each.response.id, "s", place_event::Ended}, now);
             }
         }
     }
@@ -242,13 +242,13 @@
     EXPECT_EQ(handleSlotRequest(desk, "n", askOf("b", {300}), begin).limitMilli, 1'000); // refused
     const auto late = dueResponses(desk, begin + millis{5'000});
     ASSERT_EQ(late.size(), 1U);
-    EXPECT_EQ(late[0].answer.why, refusal::TooBusy);
-    EXPECT_EQ(late[0].answer.limitMilli, 1'000);
+    EXPECT_EQ(late[0].response.why, refusal::TooBusy);
+    EXPECT_EQ(late[0].response.limitMilli, 1'000);
     EXPECT_EQ(handleSlotRequest(desk, "n", askOf("c", {300}), begin + millis{5'000}).limitMilli, 1'000);
     const auto granted = dueResponses(desk, begin + millis{5'000});
     ASSERT_EQ(granted.size(), 1U);
-    EXPECT_EQ(granted[0].answer.verdict, place_verdict::Granted);
-    EXPECT_EQ(granted[0].answer.limitMilli, 1'000);
+    EXPECT_EQ(granted[0].response.verdict, place_verdict::Granted);
+    EXPECT_EQ(granted[0].response.limitMilli, 1'000);
 }
 
 // An age from the future, as a corrupted or foreign message may give it, kept a limit from ever ending.
