--- a/packages/serving/quota_store.h
+++ b/packages/serving/quota_store.h
@@ -11,12 +11,12 @@
 
 namespace briarhead {
 
-/// The ways of a quota_task on the users' platform: datagrams, records in the platform's store under the
-/// daemon's lease, and the limits of the configuration in force. `self` gets what this daemon sends to
+/// Connects a quota_task to the platform: datagrams to other daemons, records in the store under this
+/// daemon's lease, and the limits of the current configuration. `self` receives what this daemon sends to
 /// itself.
 quota_links quotaLinks(loop &eventLoop, store_task &store, const std::unique_ptr<fleet_port> &port,
     const node_settings &settings, decision_log &log, const std::unique_ptr<quota_task> &self);
-/// Lets the task follow the store's records, daemons and configuration.
+/// Notifies the task of changes to the store's records, daemons and configuration.
 void subscribeToStore(bus &messages, const store_task &store, quota_task &quota);
 
 }
--- a/packages/serving/store_keys.h
+++ b/packages/serving/store_keys.h
@@ -2,19 +2,20 @@
 
 #include <string>
 
-// Keys of this project's own records in the platform's store.
+// Keys of briarhead's own records in the platform's store.
 namespace briarhead::detail {
 
 inline const std::string ownPrefix = "briarhead/";
-/// Followed by a daemon's node name; under its lease.
+/// Followed by a daemon's node name: its registration, under its lease.
 inline const std::string daemonPrefix = ownPrefix + "daemon/";
-/// Followed by a server's id: who gives its orders.
+/// Followed by a server's id: the claim of the server's owner, under the owner's lease.
 inline const std::string ordererPrefix = ownPrefix + "orderer/";
-/// Followed by a request's fingerprint: the servers that ended under it. Under no lease, since leases can run
-/// out while the store is away.
+/// Followed by a request's fingerprint: the servers that crashed under it. Under no lease, since leases can
+/// expire during a store outage.
 inline const std::string crashPrefix = ownPrefix + "crash/";
 
-/// Followed by the number of a shard of client accounts: who is its home. Under that daemon's lease.
+/// Followed by the number of a shard of client accounts: the claim of its quota home, under that daemon's
+/// lease.
 inline const std::string quotaPrefix = ownPrefix + "quota/";
 
 }
--- a/packages/serving/store_records.h
+++ b/packages/serving/store_records.h
@@ -10,7 +10,7 @@
 
 namespace briarhead {
 
-/// A version that an adapter has from now on.
+/// The declaration of an adapter's new version.
 struct adapter_version
 {
     std::string model;
@@ -18,7 +18,8 @@
     std::int64_t version = 0;
 };
 
-/// The keys that others write in the store, and how their values are read. Filled by the platform's adapter.
+/// The store keys that the platform's other writers use, and how their values are read. Provided by the
+/// platform adapter.
 struct record_codec
 {
     std::string configKey;
@@ -28,8 +29,8 @@
     std::function<std::optional<backend_server>(const std::string &id, const std::string &, error &)>
         readServer;
     std::function<std::optional<adapter_version>(const std::string &, error &)> readVersion;
-    /// A configuration's text with hashes in place of its keys, which readConfig reads alike: what daemons
-    /// keep and pass on.
+    /// The configuration's text with hashes in place of the API keys. Daemons keep and send only this form;
+    /// readConfig reads both.
     std::function<std::string(const std::string &)> hashAccountKeys;
 };
 
--- a/packages/serving/store_task.h
+++ b/packages/serving/store_task.h
@@ -74,7 +74,8 @@
 {
     bool config = false;
     std::vector<std::string> removedServers; ///< also those restarted under the same id: they hold nothing
-    std::vector<std::string> crashedServers; ///< those of removedServers that had not announced leaving
+    std::vector<std::string>
+        crashedServers; ///< of these, those that had not announced leaving; others end as planned
     std::vector<std::string> crashes; ///< fingerprints whose record was written or removed
 };
 
--- a/tests/serving/fake_store.cpp
+++ b/tests/serving/fake_store.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr millis answerTime{1};
-constexpr millis silentTime{300}; ///< a time-out, shortened for tests
-constexpr millis pollEvery{10};
+constexpr millis responseTime{1};
+constexpr millis callTimeout{300}; ///< shortened for tests
+constexpr millis pollInterval{10};
 
 }
 
@@ -32,8 +32,8 @@
 {
     leaseIsOpen[lease] = false;
     std::vector<std::string> keys;
-    for (const auto &[key, of] : leases) {
-        if (of == lease && items.count(key) != 0) {
+    for (const auto &[key, keyLease] : leases) {
+        if (keyLease == lease && items.count(key) != 0) {
             keys.push_back(key);
         }
     }
@@ -48,22 +48,22 @@
     oldestRevision = revision;
 }
 
-void fake_store_client::later(std::function<void()> call)
+void fake_store_client::respondLater(std::function<void()> call)
 {
     ++m_shared.calls;
-    m_timers.push_back(m_shared.events.timer(answerTime, {}, std::move(call)));
+    m_timers.push_back(m_shared.events.timer(responseTime, {}, std::move(call)));
 }
 
-bool fake_store_client::fails(const std::function<void(store_status)> &done, bool ofLease)
+bool fake_store_client::respondWithFault(const std::function<void(store_status)> &done, bool isLeaseCall)
 {
     if (fault == store_fault::RefusesCalls) {
-        later([done] {
+        respondLater([done] {
             done(store_status::Refused);
         });
         return true;
     }
-    if (fault == store_fault::Unresponsive || (fault == store_fault::LeasesOnly && !ofLease)) {
-        m_timers.push_back(m_shared.events.timer(silentTime, {}, [done] {
+    if (fault == store_fault::Unresponsive || (fault == store_fault::LeasesOnly && !isLeaseCall)) {
+        m_timers.push_back(m_shared.events.timer(callTimeout, {}, [done] {
             done(store_status::Unknown);
         }));
         return true;
@@ -73,12 +73,12 @@
 
 void fake_store_client::list(const std::string &prefix, std::function<void(const store_read &)> done)
 {
-    if (fails([done](store_status status) {
+    if (respondWithFault([done](store_status status) {
             done({status, {}, 0});
         })) {
         return;
     }
-    later([this, prefix, done] {
+    respondLater([this, prefix, done] {
         ++m_shared.lists;
         store_read read{store_status::Ok, {}, m_shared.revision};
         for (const auto &[key, item] : m_shared.items) {
@@ -111,7 +111,7 @@
         return;
     }
     m_timers.push_back(
-        m_shared.events.timer(pollEvery, {}, [this, prefix, after, until, done = std::move(done)] {
+        m_shared.events.timer(pollInterval, {}, [this, prefix, after, until, done = std::move(done)] {
             poll(prefix, after, until, done);
         }));
 }
@@ -120,41 +120,42 @@
     const std::string &prefix, std::int64_t after, millis wait, std::function<void(const store_read &)> done)
 {
     ++m_shared.watches;
-    if (fails([done](store_status status) {
+    if (respondWithFault([done](store_status status) {
             done({status, {}, 0});
         })) {
         return;
     }
-    later([this, prefix, after, until = bootNow() + wait, done = std::move(done)] {
+    respondLater([this, prefix, after, until = bootNow() + wait, done = std::move(done)] {
         poll(prefix, after, until, done);
     });
 }
 
-void fake_store_client::change(const store_change &what, std::function<void(store_status, std::int64_t)> done)
+void fake_store_client::change(
+    const store_change &transaction, std::function<void(store_status, std::int64_t)> done)
 {
-    if (fails([done](store_status status) {
+    if (respondWithFault([done](store_status status) {
             done(status, 0);
         })) {
         return;
     }
-    later([this, what, done] {
-        for (const auto &[key, revision] : what.expected) {
+    respondLater([this, transaction, done] {
+        for (const auto &[key, revision] : transaction.expected) {
             const auto found = m_shared.items.find(key);
             if ((found == m_shared.items.end() ? 0 : found->second.revision) != revision) {
                 done(store_status::Conflict, 0);
                 return;
             }
         }
-        for (const store_put &put : what.puts) {
+        for (const store_put &put : transaction.puts) {
             if (put.lease != 0 && !m_shared.leaseIsOpen[put.lease]) {
                 done(store_status::LeaseNotFound, 0);
                 return;
             }
         }
-        for (const store_put &put : what.puts) {
+        for (const store_put &put : transaction.puts) {
             m_shared.put(put.key, put.value, put.lease);
         }
-        for (const std::string &key : what.removes) {
+        for (const std::string &key : transaction.removes) {
             m_shared.remove(key);
         }
         if (fault == store_fault::LosesWriteResponses) {
@@ -167,14 +168,14 @@
 
 void fake_store_client::grantLease(millis, std::function<void(store_status, std::int64_t)> done)
 {
-    if (fails(
+    if (respondWithFault(
             [done](store_status status) {
                 done(status, 0);
             },
             true)) {
         return;
     }
-    later([this, done] {
+    respondLater([this, done] {
         m_shared.leaseIsOpen[++m_shared.lastLease] = true;
         m_shared.renewedAt[m_shared.lastLease] = bootNow();
         done(store_status::Ok, m_shared.lastLease);
@@ -183,10 +184,10 @@
 
 void fake_store_client::renewLease(std::int64_t lease, std::function<void(store_status)> done)
 {
-    if (fails(done, true)) {
+    if (respondWithFault(done, true)) {
         return;
     }
-    later([this, lease, done] {
+    respondLater([this, lease, done] {
         m_shared.renewedAt[lease] = bootNow();
         done(m_shared.leaseIsOpen[lease] ? store_status::Ok : store_status::LeaseNotFound);
     });
--- a/tests/serving/fake_store.h
+++ b/tests/serving/fake_store.h
@@ -9,17 +9,17 @@
 
 namespace briarhead {
 
-/// What goes wrong with a fake_store's calls.
+/// A fault injected into the calls of a fake_store_client.
 enum class store_fault : std::uint8_t
 {
     None,
-    RefusesCalls, ///< nothing is done, and the caller is told so
-    Unresponsive, ///< nothing is done, and no answer comes but a time-out
-    LosesWriteResponses, ///< writes are done, and not answered
-    LeasesOnly, ///< leases are granted and kept; all else is Unresponsive
+    RefusesCalls, ///< calls are refused without being executed
+    Unresponsive, ///< calls are not executed and time out
+    LosesWriteResponses, ///< writes are executed but not answered
+    LeasesOnly, ///< lease calls work; all others are unresponsive
 };
 
-/// The platform's store in memory, for tests of the tasks around it.
+/// The platform's store in memory, for tests of its clients.
 class fake_store
 {
 public:
@@ -28,28 +28,28 @@
     {
     }
 
-    /// Writes as the operator or a server does; the revision of the change.
+    /// Writes as the operator or a server does. Returns the revision of the change.
     std::int64_t put(const std::string &key, const std::string &value, std::int64_t lease = 0);
     void remove(const std::string &key);
     void expire(std::int64_t lease);
-    /// Forgets the history: watches from before are told to read anew.
+    /// Drops the history: watches from an earlier revision fail with HistoryGone.
     void compact();
 
     loop &events;
     std::map<std::string, stored_item> items;
-    std::map<std::string, std::int64_t> leases; ///< by key
+    std::map<std::string, std::int64_t> leases; ///< lease of each key
     std::vector<stored_item> history;
     std::int64_t oldestRevision = 0;
     std::int64_t revision = 0;
     std::int64_t lastLease = 0;
-    std::map<std::int64_t, bool> leaseIsOpen; ///< leases
-    std::map<std::int64_t, millis> renewedAt; ///< when a lease was granted or kept last
+    std::map<std::int64_t, bool> leaseIsOpen; ///< by lease
+    std::map<std::int64_t, millis> renewedAt; ///< when a lease was last granted or renewed
     std::uint64_t calls = 0;
     std::uint64_t watches = 0;
-    std::uint64_t lists = 0; ///< answered
+    std::uint64_t lists = 0; ///< answered ones
 };
 
-/// One daemon's way to a fake_store; each has troubles of its own.
+/// One daemon's client of a fake_store, with its own faults.
 class fake_store_client final : public metadata_store
 {
 public:
@@ -67,8 +67,8 @@
     void renewLease(std::int64_t lease, std::function<void(store_status)> done) override;
 
 private:
-    void later(std::function<void()> call);
-    bool fails(const std::function<void(store_status)> &done, bool ofLease = false);
+    void respondLater(std::function<void()> call);
+    bool respondWithFault(const std::function<void(store_status)> &done, bool isLeaseCall = false);
     void poll(const std::string &prefix, std::int64_t after, millis until,
         std::function<void(const store_read &)> done);
 
--- a/tests/serving/load_contention_test.cpp
+++ b/tests/serving/load_contention_test.cpp
@@ -8,219 +8,222 @@
 #include <string>
 #include <vector>
 
-// A weight store that is asked for more than it delivers. Its figures are those of the deployments: an
-// adapter takes 250 ms while up to 32 are on their way over all servers, and longer in proportion beyond.
+// An overloaded weight store, with the figures of the deployments: an adapter load takes 250 ms with up to 32
+// concurrent loads over all servers, and proportionally longer beyond that.
 namespace briarhead {
 
 namespace {
 
 constexpr int serverCount = 300;
-constexpr int places = 5;
-constexpr double aloneMs = 250;
-constexpr double atOnce = 32;
+constexpr int slotsPerServer = 5;
+constexpr double uncontendedLoadMs = 250;
+constexpr double fullSpeedLoads = 32;
 constexpr millis step{10};
-constexpr millis beatEvery{150};
-constexpr millis target{1'000};
-constexpr millis patience{950};
-constexpr millis answerTime{300}; ///< an adapter is used for so long
+constexpr millis heartbeatInterval{150};
+constexpr millis targetLatency{1'000};
+constexpr millis maxWait{950};
+constexpr millis useTime{300}; ///< how long a request uses its adapter
 
-/// Adapters on their way share what the weight store gives.
+/// Concurrent loads share the weight store's rate.
 struct weight_store
 {
-    std::map<std::string, double> left; ///< ms of work, by server and adapter
+    std::map<std::string, double> remainingMs; ///< work left, by server and adapter
 
     void run(double ms)
     {
-        const double share = std::min(1.0, atOnce / std::max<double>(static_cast<double>(left.size()), 1));
-        for (auto &[key, work] : left) {
+        const double share =
+            std::min(1.0, fullSpeedLoads / std::max<double>(static_cast<double>(remainingMs.size()), 1));
+        for (auto &[key, work] : remainingMs) {
             work -= ms * share;
         }
     }
-    bool isIn(const std::string &key)
+    /// Whether the load is complete; then it is forgotten.
+    bool completeIfLoaded(const std::string &key)
     {
-        const auto found = left.find(key);
-        if (found != left.end() && found->second > 0) {
+        const auto found = remainingMs.find(key);
+        if (found != remainingMs.end() && found->second > 0) {
             return false;
         }
-        if (found != left.end()) {
-            left.erase(found);
+        if (found != remainingMs.end()) {
+            remainingMs.erase(found);
         }
         return true;
     }
 };
 
-struct tally
+struct request_counts
 {
     int served = 0;
     int refused = 0;
 };
 
-class crowd
+class simulated_fleet
 {
 public:
-    crowd()
-        : m_desks(serverCount)
-        , m_views(serverCount)
+    simulated_fleet()
+        : m_schedulers(serverCount)
+        , m_estimates(serverCount)
     {
         for (int i = 0; i < serverCount; ++i) {
-            server_ledger &ledger = m_desks[static_cast<std::size_t>(i)].ledger;
+            server_ledger &ledger = m_schedulers[static_cast<std::size_t>(i)].ledger;
             ledger.server = "i-" + std::to_string(i);
-            ledger.slots = places;
+            ledger.slots = slotsPerServer;
             ledger.weightsMb = 1'000;
             ledger.models = {"base"};
             ledger.confirmed = true;
-            m_desks[static_cast<std::size_t>(i)].queue.maxRunning = 64;
-            m_desks[static_cast<std::size_t>(i)].queue.memoryTokens = 120'000;
+            m_schedulers[static_cast<std::size_t>(i)].queue.maxRunning = 64;
+            m_schedulers[static_cast<std::size_t>(i)].queue.memoryTokens = 120'000;
         }
     }
 
-    /// Plays a span in which so many requests a second come, each for an adapter that hardly anyone asks for.
-    tally play(millis span, double perSecond)
+    /// Simulates a span with the given request rate, each request for a rarely used adapter.
+    request_counts play(millis span, double perSecond)
     {
-        tally seen;
+        request_counts counts;
         const millis end = m_now + span;
         std::poisson_distribution<int> arrivals(perSecond * static_cast<double>(step.count) / 1'000);
         for (; m_now < end; m_now = m_now + step) {
             for (int n = arrivals(m_random); n > 0; --n) {
-                ask(seen);
+                sendRequest(counts);
             }
             m_store.run(static_cast<double>(step.count));
-            if (m_now.count % beatEvery.count == 0) {
-                beat();
+            if (m_now.count % heartbeatInterval.count == 0) {
+                exchangeHeartbeats();
             }
-            for (std::size_t i = 0; i < m_desks.size(); ++i) {
-                slot_scheduler &desk = m_desks[i];
-                updateLoadTimes(desk, m_views[i], m_now);
-                endAnswers(desk);
-                order(desk);
-                count(desk, dueResponses(desk, m_now), seen);
+            for (std::size_t i = 0; i < m_schedulers.size(); ++i) {
+                slot_scheduler &scheduler = m_schedulers[i];
+                updateLoadTimes(scheduler, m_estimates[i], m_now);
+                endRequests(scheduler);
+                sendOrder(scheduler);
+                count(scheduler, dueResponses(scheduler, m_now), counts);
             }
         }
-        return seen;
+        return counts;
     }
 
 private:
-    /// Each orderer hears of the others' loads, and of what they learned.
-    void beat()
+    /// Each server owner receives the others' numbers of loads and their load estimates.
+    void exchangeHeartbeats()
     {
-        const auto onTheirWay = static_cast<double>(m_store.left.size());
-        double known = 0;
-        int knowing = 0;
-        for (const load_pace &view : m_views) {
-            const double told = toPassOn(view, m_now);
-            known += told;
-            knowing += told > 0 ? 1 : 0;
+        const auto loadsInProgress = static_cast<double>(m_store.remainingMs.size());
+        double sum = 0;
+        int reporting = 0;
+        for (const load_pace &estimate : m_estimates) {
+            const double shared = toPassOn(estimate, m_now);
+            sum += shared;
+            reporting += shared > 0 ? 1 : 0;
         }
-        for (load_pace &view : m_views) {
-            view.crowd = onTheirWay;
-            noteHeard(view, knowing == 0 ? 0 : known / knowing);
+        for (load_pace &estimate : m_estimates) {
+            estimate.crowd = loadsInProgress;
+            noteHeard(estimate, reporting == 0 ? 0 : sum / reporting);
         }
     }
 
-    void ask(tally &seen)
+    void sendRequest(request_counts &counts)
     {
-        slot_scheduler &desk = m_desks[m_random() % m_desks.size()];
-        place_ask ask;
-        ask.id = "r" + std::to_string(++m_asked);
-        ask.server = desk.ledger.server;
-        ask.model = "base";
-        ask.adapter = "a" + std::to_string(m_random() % 20'000);
-        ask.promptTokens = 100;
-        ask.outputTokens = 20;
-        ask.waitMs = patience.count;
-        ask.deadlineMs = 5'000;
-        ask.targetMs = target.count;
-        const place_answer answer = handleSlotRequest(desk, "entry", ask, m_now);
-        seen.refused += answer.verdict == place_verdict::Refused ? 1 : 0;
+        slot_scheduler &scheduler = m_schedulers[m_random() % m_schedulers.size()];
+        place_ask request;
+        request.id = "r" + std::to_string(++m_requestCount);
+        request.server = scheduler.ledger.server;
+        request.model = "base";
+        request.adapter = "a" + std::to_string(m_random() % 20'000);
+        request.promptTokens = 100;
+        request.outputTokens = 20;
+        request.waitMs = maxWait.count;
+        request.deadlineMs = 5'000;
+        request.targetMs = targetLatency.count;
+        const place_answer response = handleSlotRequest(scheduler, "entry", request, m_now);
+        counts.refused += response.verdict == place_verdict::Refused ? 1 : 0;
     }
 
-    void order(slot_scheduler &desk)
+    void sendOrder(slot_scheduler &scheduler)
     {
         const std::vector<model_spec> models{{"base", 100, {}, 1}};
         order_constraints limits;
         limits.models = &models;
-        const auto due = orderDue(desk, limits, m_now);
+        const auto due = orderDue(scheduler, limits, m_now);
         if (!due) {
             return;
         }
-        const std::string key = desk.ledger.server + '/' + due->adapter;
+        const std::string key = scheduler.ledger.server + '/' + due->adapter;
         if (due->kind == order_kind::Unload) {
-            onOrderResponse(desk.ledger, *due, order_answer::Holds, m_now);
+            onOrderResponse(scheduler.ledger, *due, order_answer::Holds, m_now);
             return;
         }
-        const adapter_slot *place = findSlot(desk.ledger, "base", due->adapter);
-        if (place == nullptr) {
-            m_store.left[key] = aloneMs;
+        const adapter_slot *slot = findSlot(scheduler.ledger, "base", due->adapter);
+        if (slot == nullptr) {
+            m_store.remainingMs[key] = uncontendedLoadMs;
         }
-        const bool in = place != nullptr && m_store.isIn(key);
-        onOrderResponse(desk.ledger, *due, in ? order_answer::Holds : order_answer::Accepted, m_now);
+        const bool loaded = slot != nullptr && m_store.completeIfLoaded(key);
+        onOrderResponse(scheduler.ledger, *due, loaded ? order_answer::Holds : order_answer::Accepted, m_now);
     }
 
-    void count(const slot_scheduler &desk, const std::vector<addressed_response> &answers, tally &seen)
+    void count(const slot_scheduler &scheduler, const std::vector<addressed_response> &responses,
+        request_counts &counts)
     {
-        for (const addressed_response &each : answers) {
+        for (const addressed_response &each : responses) {
             const bool granted = each.response.verdict == place_verdict::Granted;
-            seen.served += granted ? 1 : 0;
-            seen.refused += granted ? 0 : 1;
+            counts.served += granted ? 1 : 0;
+            counts.refused += granted ? 0 : 1;
             if (granted) {
-                m_ends.emplace_back(m_now + answerTime, place_note{each.response.id, desk.ledger.server});
+                m_ends.emplace_back(m_now + useTime, place_note{each.response.id, scheduler.ledger.server});
             }
         }
     }
 
-    void endAnswers(slot_scheduler &desk)
+    void endRequests(slot_scheduler &scheduler)
     {
         std::erase_if(m_ends, [&](const auto &each) {
-            const bool over = each.first <= m_now && each.second.server == desk.ledger.server;
-            if (over) {
-                onRequestEvent(desk, each.second, m_now);
+            const bool ended = each.first <= m_now && each.second.server == scheduler.ledger.server;
+            if (ended) {
+                onRequestEvent(scheduler, each.second, m_now);
             }
-            return over;
+            return ended;
         });
     }
 
-    std::vector<slot_scheduler> m_desks;
-    std::vector<load_pace> m_views; ///< of the orderer of each server
+    std::vector<slot_scheduler> m_schedulers;
+    std::vector<load_pace> m_estimates; ///< of each server's owner
     weight_store m_store;
     std::vector<std::pair<millis, place_note>> m_ends;
     std::mt19937_64 m_random{7};
     millis m_now{100'000};
-    int m_asked = 0;
+    int m_requestCount = 0;
 };
 
-constexpr double deliveredPerSecond = atOnce / aloneMs * 1'000;
+constexpr double maxLoadsPerSecond = fullSpeedLoads / uncontendedLoadMs * 1'000;
 
 }
 
-// All daemons were killed, or a rare part of the adapters is asked for at once: three times as many adapters
-// are wanted as the weight store can deliver. Users would see hardly any request served, also long after the
-// burst: each load takes longer than its callers wait, is there for nobody and evicts what was in use.
-TEST(LoadCrowd, AWeightStoreThatIsAskedForTooMuchStillDeliversForMostOfItsRate)
+// Requests need three times as many adapter loads as the weight store can deliver, as after a restart of all
+// daemons. If all of them were loaded, each load would take longer than its callers wait and evict an adapter
+// in use, and hardly any request would be served.
+TEST(LoadContention, OverloadedWeightStoreStillServesMostOfItsRate)
 {
-    crowd fleet;
-    fleet.play({3'000}, 3 * deliveredPerSecond);
-    const tally under = fleet.play({6'000}, 3 * deliveredPerSecond);
-    EXPECT_GT(under.served, 6 * deliveredPerSecond * 0.75);
+    simulated_fleet fleet;
+    fleet.play({3'000}, 3 * maxLoadsPerSecond);
+    const request_counts overloaded = fleet.play({6'000}, 3 * maxLoadsPerSecond);
+    EXPECT_GT(overloaded.served, 6 * maxLoadsPerSecond * 0.75);
 }
 
-// The same burst is over. Users who come with a load that the weight store can bear would go on being refused
-// for as long as late loads crowd out useful ones.
-TEST(LoadCrowd, IsOverSoonAfterItsBurst)
+// After such a burst the load is one that the weight store can handle. Late loads must not go on displacing
+// useful ones.
+TEST(LoadContention, EndsSoonAfterTheBurst)
 {
-    crowd fleet;
-    fleet.play({4'000}, 4 * deliveredPerSecond);
-    fleet.play({2'000}, 0.6 * deliveredPerSecond);
-    const tally after = fleet.play({4'000}, 0.6 * deliveredPerSecond);
-    EXPECT_GT(after.served, 4 * 0.6 * deliveredPerSecond * 0.95);
+    simulated_fleet fleet;
+    fleet.play({4'000}, 4 * maxLoadsPerSecond);
+    fleet.play({2'000}, 0.6 * maxLoadsPerSecond);
+    const request_counts after = fleet.play({4'000}, 0.6 * maxLoadsPerSecond);
+    EXPECT_GT(after.served, 4 * 0.6 * maxLoadsPerSecond * 0.95);
     EXPECT_LT(after.refused, after.served / 20);
 }
 
-// Nothing is crowded. Users who ask for a rare adapter would be refused for a load that takes its usual time.
-TEST(LoadCrowd, NobodyIsRefusedWhileLoadsAreQuick)
+// Without contention no request for a rare adapter is refused because of its load time.
+TEST(LoadContention, RefusesNobodyWhileLoadsAreQuick)
 {
-    crowd fleet;
-    const tally calm = fleet.play({5'000}, 0.5 * deliveredPerSecond);
-    EXPECT_EQ(calm.refused, 0);
+    simulated_fleet fleet;
+    const request_counts counts = fleet.play({5'000}, 0.5 * maxLoadsPerSecond);
+    EXPECT_EQ(counts.refused, 0);
 }
 
 }
--- a/tests/serving/server_ledger_test.cpp
+++ b/tests/serving/server_ledger_test.cpp
@@ -21,10 +21,10 @@
     return limits;
 }
 
-server_ledger emptyLedger(int places)
+server_ledger emptyLedger(int slots)
 {
     server_ledger ledger;
-    ledger.slots = places;
+    ledger.slots = slots;
     ledger.weightsMb = 66'500;
     return ledger;
 }
@@ -51,17 +51,17 @@
     return wants;
 }
 
-/// A server as the platform's pages describe it: it crashes when it is ordered to hold more than fits, checks
-/// the sequence when it carries an order out, and may carry one out long after it was sent.
-struct pretend_server
+/// A server as specified by the platform: it crashes when ordered to hold more than fits, checks the sequence
+/// when it executes an order, and may execute one long after it was sent.
+struct server_model
 {
-    int places = 0;
+    int slots = 0;
     std::int64_t sequence = 0;
     std::set<std::string> held;
-    std::set<std::string> coming;
+    std::set<std::string> loading;
     bool crashed = false;
 
-    order_answer carryOut(const server_order &order)
+    order_answer execute(const server_order &order)
     {
         if (order.expected != sequence) {
             return order_answer::Conflict;
@@ -74,25 +74,25 @@
         if (held.count(order.adapter) != 0) {
             return order_answer::Holds;
         }
-        if (coming.count(order.adapter) != 0) {
+        if (loading.count(order.adapter) != 0) {
             return order_answer::Accepted;
         }
         ++sequence;
-        coming.insert(order.adapter);
-        crashed = crashed || static_cast<int>(held.size() + coming.size()) > places;
+        loading.insert(order.adapter);
+        crashed = crashed || static_cast<int>(held.size() + loading.size()) > slots;
         return order_answer::Accepted;
     }
     void finishLoad()
     {
-        if (!coming.empty()) {
-            held.insert(*coming.begin());
-            coming.erase(coming.begin());
+        if (!loading.empty()) {
+            held.insert(*loading.begin());
+            loading.erase(loading.begin());
         }
     }
     server_report report() const
     {
         server_report out = reportWith(sequence, {held.begin(), held.end()});
-        for (const std::string &name : coming) {
+        for (const std::string &name : loading) {
             out.coming.push_back(adapterKey(base, name));
         }
         return out;
@@ -101,15 +101,15 @@
 
 }
 
-// A user would see every stream of a server break off: one load too many crashes it, and it comes back empty.
-// Orders are answered, refused, lost before or after they were carried out, and carried out late; reports are
-// outdated. Whatever comes in which order, the server is never ordered to hold more than fits.
-RC_GTEST_PROP(ServerLedger, NeverOrdersMoreThanTheServerHolds, ())
+// One load too many crashes a server with all its streams. Orders are answered, refused, lost before or after
+// their execution, and executed late; reports are outdated. In no sequence of these is the server ordered to
+// hold more than fits.
+RC_GTEST_PROP(ServerLedger, NeverOrdersMoreThanFitsOnTheServer, ())
 {
-    pretend_server server;
-    server.places = *rc::gen::inRange(1, 5);
-    server_ledger ledger = emptyLedger(server.places);
-    std::deque<server_order> late; // sent, unanswered, may still be carried out
+    server_model server;
+    server.slots = *rc::gen::inRange(1, 5);
+    server_ledger ledger = emptyLedger(server.slots);
+    std::deque<server_order> unanswered; // may still be executed
     std::deque<server_report> reports{server.report()};
     millis now{10'000};
     const int steps = *rc::gen::inRange(10, 120);
@@ -125,24 +125,24 @@
         if (*rc::gen::inRange(0, 3) == 0) {
             server.finishLoad();
         }
-        if (!late.empty() && *rc::gen::inRange(0, 4) == 0) {
-            server.carryOut(late.front());
-            late.pop_front();
+        if (!unanswered.empty() && *rc::gen::inRange(0, 4) == 0) {
+            server.execute(unanswered.front());
+            unanswered.pop_front();
         }
         const auto wants = want({"a" + std::to_string(*rc::gen::inRange(0, 7))});
         const auto order = nextOrder(ledger, wants, limitsNow(), now);
         if (order) {
             switch (*rc::gen::inRange(0, 5)) {
-            case 0: // carried out, the answer lost
-                server.carryOut(*order);
+            case 0: // executed, response lost
+                server.execute(*order);
                 onOrderResponse(ledger, *order, order_answer::Unknown, now);
                 break;
-            case 1: // not answered, carried out later or never
-                late.push_back(*order);
+            case 1: // not answered, executed later or never
+                unanswered.push_back(*order);
                 onOrderResponse(ledger, *order, order_answer::Unknown, now);
                 break;
             default:
-                onOrderResponse(ledger, *order, server.carryOut(*order), now);
+                onOrderResponse(ledger, *order, server.execute(*order), now);
                 break;
             }
         }
@@ -150,9 +150,9 @@
     }
 }
 
-// A load without an answer may be carried out seconds later. A user would see a server crash when the place
-// it needs has been given away meanwhile. The place counts as taken until a later order was accepted.
-TEST(ServerLedger, AnUnansweredLoadHoldsItsPlaceUntilALaterOrderIsAccepted)
+// An unanswered load may be executed seconds later, and crashes the server if its slot has been used for
+// another adapter meanwhile. Its slot counts as occupied until a later order has been accepted.
+TEST(ServerLedger, UnansweredLoadKeepsItsSlotUntilALaterOrderIsAccepted)
 {
     server_ledger ledger = emptyLedger(2);
     applyReport(ledger, reportWith(0, {"a1"}), {1'000});
@@ -164,14 +164,15 @@
     EXPECT_EQ(occupiedSlots(ledger), 2);
     const auto next = nextOrder(ledger, want({"a3"}), limitsNow(), {2'600});
     ASSERT_TRUE(next);
-    EXPECT_EQ(next->kind, order_kind::Unload) << "the free place may be the lost load's";
+    EXPECT_EQ(next->kind, order_kind::Unload) << "the free slot may be needed by the unanswered load";
     onOrderResponse(ledger, *next, order_answer::Holds, {2'610});
-    EXPECT_EQ(occupiedSlots(ledger), 0) << "the server's sequence has moved on: the lost load is void";
+    EXPECT_EQ(occupiedSlots(ledger), 0)
+        << "the server's sequence has advanced, so it will reject the unanswered load";
 }
 
-// A user would see the first seconds of every adapter fail: requests for an adapter on its way in are
-// refused. "Accepted" isn't done; only the same load asked for again says when it is.
-TEST(ServerLedger, AnAcceptedLoadIsInOnlyWhenTheSameLoadHolds)
+// The server refuses requests for an adapter that is still loading. "Accepted" does not mean loaded; only a
+// repeated load order shows when it is.
+TEST(ServerLedger, AcceptedLoadIsResidentOnlyOnceConfirmed)
 {
     server_ledger ledger = emptyLedger(2);
     applyReport(ledger, reportWith(4, {}), {1'000});
@@ -186,15 +187,14 @@
     onOrderResponse(ledger, *early, order_answer::Accepted, {1'247});
     const auto again = nextOrder(ledger, {}, limitsNow(), {1'280});
     ASSERT_TRUE(again);
-    EXPECT_EQ(again->expected, 5) << "the server doesn't count a load that is on its way already";
+    EXPECT_EQ(again->expected, 5) << "the server does not count a repeated load in progress";
     onOrderResponse(ledger, *again, order_answer::Holds, {1'282});
     EXPECT_EQ(findSlot(ledger, base, "a1")->state, slot_state::Resident);
 }
 
-// Many daemons load at once and the weight store slows down: a user would see waits grow when each ledger
-// went on asking at the unloaded pace, or waited by a guess about the fleet for seconds after the adapter was
-// in.
-TEST(ServerLedger, ExpectsLoadsToTakeAsLongAsTheyDid)
+// When many daemons load at once and the weight store slows down, the estimate follows: too low,
+// confirmations come too often; too high, requests wait for seconds after the adapter is loaded.
+TEST(ServerLedger, LoadEstimateFollowsMeasuredLoads)
 {
     server_ledger ledger = emptyLedger(4);
     applyReport(ledger, reportWith(0, {}), {1'000});
@@ -211,19 +211,19 @@
         }
         onOrderResponse(ledger, *load, order_answer::Accepted, now);
         now = now + millis{800};
-        const auto ask = nextOrder(ledger, {}, limitsNow(), now);
-        ASSERT_TRUE(ask);
-        onOrderResponse(ledger, *ask, order_answer::Holds, now);
-        for (const measured_load &seen : std::exchange(ledger.measuredLoads, {})) {
-            noteLoad(pace, seen.duration, seen.concurrentLoads, now);
+        const auto confirmation = nextOrder(ledger, {}, limitsNow(), now);
+        ASSERT_TRUE(confirmation);
+        onOrderResponse(ledger, *confirmation, order_answer::Holds, now);
+        for (const measured_load &measured : std::exchange(ledger.measuredLoads, {})) {
+            noteLoad(pace, measured.duration, measured.concurrentLoads, now);
         }
     }
     EXPECT_GT(loadMsNow(pace), 700);
     EXPECT_LT(loadMsNow(pace), 810);
 }
 
-// A user would see a stream cut or restarted: an adapter whose requests still run must not go.
-TEST(ServerLedger, NeverUnloadsWhatIsUsedOrWaitedFor)
+// Unloading an adapter would break the requests that run on it.
+TEST(ServerLedger, NeverUnloadsAnAdapterInUseOrWaitedFor)
 {
     server_ledger ledger = emptyLedger(2);
     applyReport(ledger, reportWith(0, {"a1", "a2"}), {1'000});
@@ -240,7 +240,7 @@
     EXPECT_EQ(order->adapter, "a1");
 }
 
-TEST(ServerLedger, TheLeastUsedAdapterGoesFirst)
+TEST(ServerLedger, EvictsTheLeastUsedAdapter)
 {
     server_ledger ledger = emptyLedger(2);
     applyReport(ledger, reportWith(0, {"a1", "a2"}), {1'000});
@@ -255,7 +255,7 @@
     EXPECT_EQ(order->adapter, "a2");
 }
 
-// An operator names a new version; a user would see the old one answer on and on.
+// An operator declares a new version of a loaded adapter: requests must not go on using the old one.
 TEST(ServerLedger, ReplacesAnAdapterOfAnOlderVersion)
 {
     server_ledger ledger = emptyLedger(2);
@@ -272,8 +272,8 @@
     EXPECT_NE(findSlot(ledger, base, "a1")->state, slot_state::Resident) << "the old one must not be used";
 }
 
-// A server crashed and came back empty. A user would see a twelfth of the service gone for good.
-TEST(ServerLedger, GivesAnEmptyServerItsBaseModelAtThePaceOfTheWeightStore)
+// A server that crashed and restarted empty needs a base model before it can serve again.
+TEST(ServerLedger, LoadsABaseModelOntoAnEmptyServerWithinTheRateLimit)
 {
     server_ledger ledger = emptyLedger(2);
     server_report report;
@@ -296,7 +296,7 @@
     EXPECT_EQ(adapter->adapter, "a1");
 }
 
-TEST(ServerLedger, AnOutdatedReportChangesNothing)
+TEST(ServerLedger, IgnoresAnOutdatedReport)
 {
     server_ledger ledger = emptyLedger(2);
     applyReport(ledger, reportWith(0, {}), {1'000});
@@ -306,10 +306,11 @@
     applyReport(ledger, reportWith(0, {}), {1'050});
     EXPECT_NE(findSlot(ledger, base, "a1"), nullptr);
     applyReport(ledger, reportWith(0, {}), {1'003 + maxReportLag.count});
-    EXPECT_EQ(findSlot(ledger, base, "a1"), nullptr) << "by then it is the server that knows better";
+    EXPECT_EQ(findSlot(ledger, base, "a1"), nullptr)
+        << "after maxReportLag the report counts, whatever its sequence";
 }
 
-TEST(ServerLedger, TheSumOfWeightsStaysUnderTheServersMemory)
+TEST(ServerLedger, KeepsTheSumOfWeightsWithinTheServersMemory)
 {
     server_ledger ledger = emptyLedger(5);
     ledger.weightsMb = 65'020; // room for one adapter
@@ -319,10 +320,10 @@
     EXPECT_EQ(order->kind, order_kind::Unload);
 }
 
-// A server crashes with a load of its unanswered, and starts again under its id. The load may be carried out
-// once the new count fits: with the place given away the server would be ordered to hold too much, and crash
+// A server crashes with an unanswered load and restarts under the same id. The load may be executed once the
+// new sequence fits; without a slot kept for it, the server would be ordered to hold too much and crash
 // again.
-TEST(server_ledger, ALoadOfAnEarlierStartKeepsItsPlaceUntilItCantCome)
+TEST(ServerLedger, UnansweredLoadOfAnEarlierIncarnationKeepsItsSlotUntilItCannotBeExecuted)
 {
     server_ledger ledger = emptyLedger(2);
     applyReport(ledger, reportWith(7, {"a1"}), {100});
@@ -339,7 +340,8 @@
     ASSERT_TRUE(next);
     EXPECT_EQ(next->expected, 0);
     onOrderResponse(ledger, *next, order_answer::Accepted, {1'120});
-    EXPECT_EQ(occupiedSlots(ledger), 2) << "an order with a lower number does not rule the late one out";
+    EXPECT_EQ(occupiedSlots(ledger), 2)
+        << "an order with a lower sequence does not make the late one be rejected";
     EXPECT_FALSE(nextOrder(ledger, want({"a4"}), limitsNow(), {1'130}));
     EXPECT_TRUE(nextOrder(ledger, want({"a4"}), limitsNow(), millis{1'000} + maxOrderDelay));
 }
--- a/tests/serving/store_standin.cpp
+++ b/tests/serving/store_standin.cpp
@@ -12,7 +12,7 @@
 
 using json = nlohmann::json;
 
-std::string decoded(std::string_view text)
+std::string decodeUrl(std::string_view text)
 {
     std::string out;
     for (std::size_t i = 0; i < text.size(); ++i) {
@@ -33,7 +33,7 @@
         return "";
     }
     const std::size_t begin = at + name.size() + 1;
-    return decoded(std::string_view(target).substr(begin, target.find('&', begin) - begin));
+    return decodeUrl(std::string_view(target).substr(begin, target.find('&', begin) - begin));
 }
 
 json itemOf(const stored_item &item)
@@ -60,7 +60,7 @@
     }
 }
 
-void answer(front_reply &reply, store_status status, const json &body)
+void respond(front_reply &reply, store_status status, const json &body)
 {
     if (status == store_status::Unknown) {
         reply.abort();
@@ -69,13 +69,13 @@
     reply.respond(statusOf(status), {{"Content-Type", "application/json"}}, body.dump());
 }
 
-void answerRead(front_reply &reply, const store_read &read, const char *list)
+void respondToRead(front_reply &reply, const store_read &read, const char *listName)
 {
     json items = json::array();
     for (const stored_item &item : read.items) {
         items.push_back(itemOf(item));
     }
-    answer(reply, read.status, {{list, items}, {"truncated", false}, {"currentRev", read.revision}});
+    respond(reply, read.status, {{listName, items}, {"truncated", false}, {"currentRev", read.revision}});
 }
 
 }
@@ -105,22 +105,22 @@
     const std::string &target = request.head.target;
     if (target.starts_with("/v1/kv-range?")) {
         client.list(queryOf(target, "prefix"), [reply](const store_read &read) {
-            answerRead(*reply, read, "items");
+            respondToRead(*reply, read, "items");
         });
     } else if (target.starts_with("/v1/kv-watch?")) {
         client.watch(queryOf(target, "prefix"), std::stoll(queryOf(target, "after")),
             millis{std::stoll(queryOf(target, "waitMs"))}, [reply](const store_read &read) {
-                answerRead(*reply, read, "events");
+                respondToRead(*reply, read, "events");
             });
     } else if (target == "/v1/kv-txn") {
         onChange(request, reply);
     } else if (target == "/v1/kv-lease") {
         client.grantLease({}, [reply](store_status status, std::int64_t lease) {
-            answer(*reply, status, {{"lease", lease}, {"ttlMs", 3'000}});
+            respond(*reply, status, {{"lease", lease}, {"ttlMs", 3'000}});
         });
     } else if (target.starts_with("/v1/kv-keep/")) {
         client.renewLease(std::stoll(target.substr(target.rfind('/') + 1)), [reply](store_status status) {
-            answer(*reply, status, {{"ttlMs", 3'000}});
+            respond(*reply, status, {{"ttlMs", 3'000}});
         });
     } else {
         reply->respond(404, {}, "");
@@ -140,7 +140,7 @@
     }
     change.removes = body.at("remove").get<std::vector<std::string>>();
     client.change(change, [reply](store_status status, std::int64_t revision) {
-        answer(*reply, status, {{"revision", revision}});
+        respond(*reply, status, {{"revision", revision}});
     });
 }
 
--- a/tests/serving/store_standin.h
+++ b/tests/serving/store_standin.h
@@ -8,13 +8,13 @@
 
 namespace briarhead {
 
-/// A fake_store over HTTP, as the platform's store speaks: for real processes.
+/// A fake_store behind the HTTP interface of the platform's store, for tests with real processes.
 class store_standin
 {
 public:
     explicit store_standin(fake_store &shared);
     std::uint16_t port() const;
-    /// Troubles of everyone who calls over HTTP.
+    /// Executes the calls that arrive over HTTP; its fault applies to all of them.
     fake_store_client client;
 
 private:
--- a/tests/serving/store_task_test.cpp
+++ b/tests/serving/store_task_test.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-constexpr millis patience{15'000};
+constexpr millis testTimeout{15'000};
 
-/// One daemon's store task, on a loop that all of a test share.
-struct follower
+/// One daemon's store task, on the event loop that the test's daemons share.
+struct test_daemon
 {
     bus messages;
     fake_store_client client;
     decision_log log;
     store_task task;
 
-    follower(fake_store &store, const std::string &node, const std::string &domain, bool bootstrap = false)
+    test_daemon(fake_store &store, const std::string &node, const std::string &domain, bool bootstrap = false)
         : messages(store.events)
         , client(store)
         , log(-1, node)
@@ -47,19 +47,19 @@
 class store_task_test : public testing::Test
 {
 protected:
-    /// Runs the loop until a condition holds; false if it never does.
-    bool until(const std::function<bool()> &holds, millis atMost = patience)
+    /// Runs the loop until the condition holds; false if it does not within `timeout`.
+    bool runUntil(const std::function<bool()> &condition, millis timeout = testTimeout)
     {
-        const millis end = bootNow() + atMost;
-        bool held = false;
+        const millis end = bootNow() + timeout;
+        bool fulfilled = false;
         const auto check = events.timer({5}, {5}, [&] {
-            held = holds();
-            if (held || bootNow() >= end) {
+            fulfilled = condition();
+            if (fulfilled || bootNow() >= end) {
                 events.stop();
             }
         });
         events.run();
-        return held;
+        return fulfilled;
     }
     void putConfig(std::uint64_t version)
     {
@@ -77,27 +77,27 @@
 
 }
 
-TEST_F(store_task_test, ReadsWhatIsThereAndFollowsWhatChanges)
+TEST_F(store_task_test, ReadsTheStoreAndFollowsItsChanges)
 {
     putConfig(3);
     putServer("i-1");
-    follower one(store, "n1", "z");
-    ASSERT_TRUE(until([&] {
-        return one.version() == 3 && one.task.view().servers.size() == 1
-            && one.task.view().daemons.size() == 1;
+    test_daemon daemon(store, "n1", "z");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.version() == 3 && daemon.task.view().servers.size() == 1
+            && daemon.task.view().daemons.size() == 1;
     }));
     putConfig(4);
     putServer("i-1", "draining");
     store.put("op/version/m.a1", R"({"model":"m","adapter":"a1","version":9})");
-    EXPECT_TRUE(until([&] {
-        return one.version() == 4 && one.task.view().servers.at("i-1").draining
-            && one.task.view().versions.count("m/a1") == 1;
+    EXPECT_TRUE(runUntil([&] {
+        return daemon.version() == 4 && daemon.task.view().servers.at("i-1").draining
+            && daemon.task.view().versions.count("m/a1") == 1;
     }));
 }
 
-// A server crashes and starts again under its id. Users' requests would go by what the earlier start held; an
-// entry of that start that comes late tells nothing of the new one.
-TEST_F(store_task_test, AServerThatStartsAgainUnderItsIdIsAnotherOne)
+// A server crashes and restarts under the same id: what its earlier incarnation held is gone, and late
+// entries of that incarnation must not overwrite the new one's.
+TEST_F(store_task_test, RestartedServerIsReportedAsRemovedAndLateEntriesAreIgnored)
 {
     const auto put = [this](std::int64_t born, int slots) {
         store.put("servers/i-1",
@@ -105,32 +105,32 @@
                 + std::to_string(slots) + R"(,"born":)" + std::to_string(born) + '}');
     };
     put(1'000, 4);
-    follower one(store, "n1", "z");
-    std::vector<std::string> gone;
-    one.messages.on<view_changed>([&](const view_changed &change) {
-        gone.insert(gone.end(), change.removedServers.begin(), change.removedServers.end());
+    test_daemon daemon(store, "n1", "z");
+    std::vector<std::string> removed;
+    daemon.messages.on<view_changed>([&](const view_changed &change) {
+        removed.insert(removed.end(), change.removedServers.begin(), change.removedServers.end());
     });
-    ASSERT_TRUE(until([&] {
-        return one.task.view().servers.count("i-1") == 1;
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().servers.count("i-1") == 1;
     }));
     put(2'000, 5);
-    ASSERT_TRUE(until([&] {
-        return one.task.view().servers.at("i-1").born == 2'000;
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().servers.at("i-1").born == 2'000;
     }));
-    EXPECT_EQ(gone, std::vector<std::string>{"i-1"});
+    EXPECT_EQ(removed, std::vector<std::string>{"i-1"});
     put(1'000, 6);
     putConfig(9);
-    ASSERT_TRUE(until([&] {
-        return one.version() == 9;
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.version() == 9;
     }));
-    EXPECT_EQ(one.task.view().servers.at("i-1").slots, 5);
-    EXPECT_EQ(gone.size(), 1U);
+    EXPECT_EQ(daemon.task.view().servers.at("i-1").slots, 5);
+    EXPECT_EQ(removed.size(), 1U);
 }
 
-// Another writer's bytes stand where servers, versions and briarhead's own records are looked for. Nothing is
-// used of them, the rest holds, and a server whose orderer's record can't be read is claimed all the same:
-// its users would find no adapter loaded ever again.
-TEST_F(store_task_test, RecordsOfAnotherWriterHarmNothing)
+// Unreadable values of another writer stand under the keys of servers, versions and briarhead's own records.
+// They are ignored, other records stay in use, and a server whose owner record is unreadable can still be
+// claimed: otherwise no adapter would ever be loaded there again.
+TEST_F(store_task_test, IgnoresUnreadableRecords)
 {
     const std::string bytes("\xff\x01garbage\x00", 10);
     putServer("i-1");
@@ -141,173 +141,174 @@
     store.put(
         "servers/y", R"({"service":"s","address":"127.0.0.1:9","zone":"z","slots":4,"state":"asleep"})");
     putConfig(3);
-    follower one(store, "n1", "z");
-    ASSERT_TRUE(until([&] {
-        return one.version() == 3 && one.task.view().daemons.size() == 1;
+    test_daemon daemon(store, "n1", "z");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.version() == 3 && daemon.task.view().daemons.size() == 1;
     }));
-    EXPECT_EQ(one.task.view().servers.size(), 1U);
-    EXPECT_TRUE(one.task.view().versions.empty());
-    one.task.claimServer("i-1");
-    EXPECT_TRUE(until([&] {
-        return one.task.ownsServer("i-1");
+    EXPECT_EQ(daemon.task.view().servers.size(), 1U);
+    EXPECT_TRUE(daemon.task.view().versions.empty());
+    daemon.task.claimServer("i-1");
+    EXPECT_TRUE(runUntil([&] {
+        return daemon.task.ownsServer("i-1");
     }));
     store.put("servers/i-1", bytes);
-    EXPECT_TRUE(until([&] {
-        return one.task.view().servers.empty();
+    EXPECT_TRUE(runUntil([&] {
+        return daemon.task.view().servers.empty();
     }));
 }
 
-// The store's history is dropped while a server leaves. A user would be sent to the server that is gone: the
-// event of its leaving never comes, so the reading that follows must show it.
-TEST_F(store_task_test, LosesNoLeavingServerInAHistoryThatIsGone)
+// The store compacts its history while a server leaves. The event of its removal never arrives, so the read
+// that follows must show it; otherwise requests would still be sent there.
+TEST_F(store_task_test, ReadsAgainAfterTheHistoryWasCompacted)
 {
     putServer("i-1");
     putServer("i-2");
-    follower one(store, "n1", "z");
-    ASSERT_TRUE(until([&] {
-        return one.task.view().servers.size() == 2;
+    test_daemon daemon(store, "n1", "z");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().servers.size() == 2;
     }));
     store.remove("servers/i-1");
     putServer("i-2", "draining");
     store.compact();
-    EXPECT_TRUE(until([&] {
-        return one.task.view().servers.count("i-1") == 0 && one.task.view().servers.at("i-2").draining;
+    EXPECT_TRUE(runUntil([&] {
+        return daemon.task.view().servers.count("i-1") == 0 && daemon.task.view().servers.at("i-2").draining;
     }));
 }
 
-// A version that is in force never goes back, also where a store that was restored tells of an older one: a
-// user would be answered by a route that an operator has moved.
+// A restored store has an older configuration than the one in force. Going back to it would route requests as
+// before an operator's change.
 TEST_F(store_task_test, NeverGoesBackToAnOlderConfiguration)
 {
     putConfig(7);
-    follower one(store, "n1", "z");
-    ASSERT_TRUE(until([&] {
-        return one.version() == 7;
+    test_daemon daemon(store, "n1", "z");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.version() == 7;
     }));
     putConfig(6);
     putServer("i-1");
-    ASSERT_TRUE(until([&] {
-        return one.task.view().servers.count("i-1") == 1;
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().servers.count("i-1") == 1;
     }));
-    EXPECT_EQ(one.version(), 7U);
+    EXPECT_EQ(daemon.version(), 7U);
 }
 
-// The store was away, and the servers' entries lapsed meanwhile. A user would be refused by everything at
-// once for two seconds after its return; the servers write their entries again, so they stay in use until
-// then.
-TEST_F(store_task_test, KeepsServersWhoseEntriesLapsedDuringAnOutage)
+// All server entries expire during a store outage, and the servers rewrite them within 2 s of its end.
+// Without keeping the servers until then, all requests would be refused meanwhile.
+TEST_F(store_task_test, KeepsServersWhoseEntriesExpiredDuringAnOutage)
 {
     putServer("i-1");
     putServer("i-2");
-    follower one(store, "n1", "z");
-    ASSERT_TRUE(until([&] {
-        return one.task.view().servers.size() == 2;
+    test_daemon daemon(store, "n1", "z");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().servers.size() == 2;
     }));
-    one.client.fault = store_fault::Unresponsive;
-    ASSERT_TRUE(until([&] {
-        return !one.task.view().reachable;
+    daemon.client.fault = store_fault::Unresponsive;
+    ASSERT_TRUE(runUntil([&] {
+        return !daemon.task.view().reachable;
     }));
     store.remove("servers/i-1");
     store.remove("servers/i-2");
-    one.client.fault = store_fault::None;
-    const auto seen = store.lists;
-    ASSERT_TRUE(until([&] {
-        return one.task.view().reachable && store.lists > seen;
+    daemon.client.fault = store_fault::None;
+    const auto readsBefore = store.lists;
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().reachable && store.lists > readsBefore;
     }));
-    until(
+    runUntil(
         [] {
             return false;
         },
         {50});
-    EXPECT_EQ(one.task.view().servers.size(), 2U);
+    EXPECT_EQ(daemon.task.view().servers.size(), 2U);
     putServer("i-1");
-    EXPECT_TRUE(until([&] {
-        return one.task.view().servers.size() == 1;
-    })) << "the one that does not come back is gone";
-    EXPECT_EQ(one.task.view().servers.count("i-1"), 1U);
+    EXPECT_TRUE(runUntil([&] {
+        return daemon.task.view().servers.size() == 1;
+    })) << "the server whose entry is not rewritten is removed";
+    EXPECT_EQ(daemon.task.view().servers.count("i-1"), 1U);
 }
 
-// Two daemons claim the same server. A user would see a server that is filled twice: the store takes one
+// Two daemons claim the same server. If both owned it, both would fill its slots; the store accepts one
 // claim.
-TEST_F(store_task_test, OnlyOneDaemonGetsAServersOrders)
+TEST_F(store_task_test, OnlyOneOfTwoClaimsOfAServerSucceeds)
 {
-    follower one(store, "n1", "z");
-    follower two(store, "n2", "z");
-    ASSERT_TRUE(until([&] {
-        return one.task.view().daemons.size() == 2 && two.task.view().daemons.size() == 2;
+    test_daemon daemon(store, "n1", "z");
+    test_daemon otherDaemon(store, "n2", "z");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().daemons.size() == 2 && otherDaemon.task.view().daemons.size() == 2;
     }));
-    one.task.claimServer("i-1");
-    two.task.claimServer("i-1");
-    ASSERT_TRUE(until([&] {
-        return one.task.view().serverOwners.count("i-1") == 1
-            && two.task.view().serverOwners.count("i-1") == 1;
+    daemon.task.claimServer("i-1");
+    otherDaemon.task.claimServer("i-1");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().serverOwners.count("i-1") == 1
+            && otherDaemon.task.view().serverOwners.count("i-1") == 1;
     }));
-    const ownership_entry seen = one.task.view().serverOwners.at("i-1");
-    EXPECT_EQ(seen.record.node, two.task.view().serverOwners.at("i-1").record.node);
-    EXPECT_EQ(seen.revision, two.task.view().serverOwners.at("i-1").revision);
+    const ownership_entry claimed = daemon.task.view().serverOwners.at("i-1");
+    EXPECT_EQ(claimed.record.node, otherDaemon.task.view().serverOwners.at("i-1").record.node);
+    EXPECT_EQ(claimed.revision, otherDaemon.task.view().serverOwners.at("i-1").revision);
     EXPECT_EQ(store.items.count("briarhead/orderer/i-1"), 1U);
 }
 
-// A claim is carried out and its answer lost. A user would see a server without anybody who loads adapters
-// there: each daemon thinks that another one has it.
-TEST_F(store_task_test, AClaimWithoutAnAnswerIsFoundByTheWatch)
+// The store executes a claim but its response is lost. If the claimant did not learn of it, nobody would load
+// adapters on the server, as every other daemon sees an owner.
+TEST_F(store_task_test, UnansweredClaimIsFoundByTheWatch)
 {
-    follower one(store, "n1", "z");
-    ASSERT_TRUE(until([&] {
-        return one.task.view().daemons.size() == 1;
+    test_daemon daemon(store, "n1", "z");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().daemons.size() == 1;
     }));
-    one.client.fault = store_fault::LosesWriteResponses;
-    one.task.claimServer("i-1");
-    EXPECT_TRUE(until([&] {
-        const auto &orderers = one.task.view().serverOwners;
-        return orderers.count("i-1") == 1 && orderers.at("i-1").record.node == "n1";
+    daemon.client.fault = store_fault::LosesWriteResponses;
+    daemon.task.claimServer("i-1");
+    EXPECT_TRUE(runUntil([&] {
+        const auto &owners = daemon.task.view().serverOwners;
+        return owners.count("i-1") == 1 && owners.at("i-1").record.node == "n1";
     }));
 }
 
-TEST_F(store_task_test, ADeadDaemonsRecordsGoWithItsLease)
+TEST_F(store_task_test, RecordsAreRemovedWithTheLeaseAndTheDaemonRegistersAgain)
 {
-    follower one(store, "n1", "z");
-    ASSERT_TRUE(until([&] {
-        return one.task.view().daemons.size() == 1;
+    test_daemon daemon(store, "n1", "z");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().daemons.size() == 1;
     }));
-    one.task.claimServer("i-1");
-    ASSERT_TRUE(until([&] {
-        return one.task.view().serverOwners.count("i-1") == 1;
+    daemon.task.claimServer("i-1");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.task.view().serverOwners.count("i-1") == 1;
     }));
     store.expire(1);
-    EXPECT_TRUE(until([&] {
-        return one.task.view().serverOwners.count("i-1") == 0 && one.task.view().daemons.count("n1") == 1;
-    })) << "it registers again, and claims anew under another token";
+    EXPECT_TRUE(runUntil([&] {
+        return daemon.task.view().serverOwners.count("i-1") == 0
+            && daemon.task.view().daemons.count("n1") == 1;
+    })) << "the daemon registers again under a new lease";
 }
 
 namespace {
 
-/// Daemons of one failure domain that tell each other news, over calls that a test can break.
-struct news_fleet
+/// Daemons of one failure domain that exchange store updates over calls that a test can break.
+struct test_fleet
 {
-    std::map<std::string, std::unique_ptr<follower>> members;
-    bool fetchHangs = false;
-    bool datagramsLost = false;
-    std::size_t itemsSent = 0; ///< with news, to each that got them
+    std::map<std::string, std::unique_ptr<test_daemon>> members;
+    bool fetchTimesOut = false;
+    bool updatesLost = false;
+    std::size_t itemsSent = 0; ///< in updates, counted for each recipient
 
     void add(fake_store &store, const std::string &node, bool bootstrap = false)
     {
-        auto made = std::make_unique<follower>(store, node, "z", bootstrap);
-        made->task.setPeerCalls({[this, node](const std::vector<std::string> &nodes, const store_news &news) {
-                                     itemsSent += news.items.size() * nodes.size();
-                                     for (const std::string &to : nodes) {
-                                         if (!datagramsLost && members.count(to) != 0) {
-                                             members.at(to)->task.onStoreUpdate(node, news);
-                                         }
-                                     }
-                                 },
-            [this](const std::string &from, std::int64_t after,
-                const std::function<void(std::optional<store_news>)> &done) {
-                if (!fetchHangs) {
-                    done(members.at(from)->task.updatesAfter(after));
-                }
-            }});
-        members.emplace(node, std::move(made));
+        auto member = std::make_unique<test_daemon>(store, node, "z", bootstrap);
+        member->task.setPeerCalls(
+            {[this, node](const std::vector<std::string> &nodes, const store_news &update) {
+                 itemsSent += update.items.size() * nodes.size();
+                 for (const std::string &to : nodes) {
+                     if (!updatesLost && members.count(to) != 0) {
+                         members.at(to)->task.onStoreUpdate(node, update);
+                     }
+                 }
+             },
+                [this](const std::string &from, std::int64_t after,
+                    const std::function<void(std::optional<store_news>)> &done) {
+                    if (!fetchTimesOut) {
+                        done(members.at(from)->task.updatesAfter(after));
+                    }
+                }});
+        members.emplace(node, std::move(member));
     }
     bool allHave(std::uint64_t version) const
     {
@@ -319,23 +320,22 @@
 
 }
 
-// The whole system starts, and servers write their heartbeats. A daemon that reads the store before the
-// others have registered takes itself for a reader; the platform would be asked several times a second by
-// each.
-TEST_F(store_task_test, AtTheFirstStartOnlyTheReadersFollowTheStore)
+// A cold start of all daemons, while servers write their heartbeats. A daemon that read the store before the
+// others have registered would act as a reader, and each of them would call the store several times a second.
+TEST_F(store_task_test, InAColdStartOnlyTheReadersWatchTheStore)
 {
     putConfig(1);
-    int beats = 0;
-    const auto heartbeat = events.timer({50}, {50}, [this, &beats] {
+    int heartbeats = 0;
+    const auto heartbeat = events.timer({50}, {50}, [this, &heartbeats] {
         store.put("servers/i-1",
             R"({"service":"s","address":"127.0.0.1:9","zone":"z","slots":4,"state":"ready","seq":)"
-                + std::to_string(++beats) + '}');
+                + std::to_string(++heartbeats) + '}');
     });
-    news_fleet fleet;
+    test_fleet fleet;
     for (int i = 0; i < 16; ++i) {
         fleet.add(store, "n" + std::to_string(i), true);
     }
-    until(
+    runUntil(
         [] {
             return false;
         },
@@ -344,53 +344,53 @@
     EXPECT_LE(store.watches, 20U) << "two readers, a watch every 500 ms each from 500 ms on";
 }
 
-// Each call to the store is paid for. With every daemon following it, the calls grew with the fleet and took
-// a third of what it earned; two a failure domain follow it and tell the rest.
-TEST_F(store_task_test, TwoDaemonsAFailureDomainFollowTheStoreForAll)
+// Every call to the store is charged. With every daemon watching it, the calls grew with the fleet and took a
+// third of its earnings; so two daemons per failure domain watch it and send updates to the others.
+TEST_F(store_task_test, TwoDaemonsPerFailureDomainWatchTheStoreForAll)
 {
     putConfig(1);
-    news_fleet fleet;
+    test_fleet fleet;
     for (int i = 0; i < 8; ++i) {
         fleet.add(store, "n" + std::to_string(i));
     }
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(runUntil([&] {
         return fleet.allHave(1) && fleet.members.at("n0")->task.view().daemons.size() == 8;
     }));
-    until(
+    runUntil(
         [] {
             return false;
         },
         {3'000});
     const auto before = store.watches;
-    until(
+    runUntil(
         [] {
             return false;
         },
         {2'200});
     EXPECT_LE(store.watches - before, 8U) << "two readers, a watch every 1.1 s each";
     putConfig(2);
-    EXPECT_TRUE(until(
+    EXPECT_TRUE(runUntil(
         [&] {
             return fleet.allHave(2);
         },
         {2'000}));
 }
 
-// Servers write their entries at every heartbeat, thousands in a large fleet, mostly without anything new in
-// them. Passed on to all daemons they would fill the readers' links, and a configuration would come late.
-// What does change, a server that leaves, is passed on.
-TEST_F(store_task_test, HeartbeatsWithNothingNewAreNotPassedOn)
+// The servers of a large fleet write their entries at every heartbeat, mostly unchanged. Forwarding these
+// writes to all daemons would fill the readers' links and delay configurations. Real changes, such as a
+// leaving server, are forwarded.
+TEST_F(store_task_test, UnchangedServerEntriesAreNotForwarded)
 {
     putConfig(1);
     putServer("s-1");
-    news_fleet fleet;
+    test_fleet fleet;
     for (int i = 0; i < 4; ++i) {
         fleet.add(store, "n" + std::to_string(i));
     }
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(runUntil([&] {
         return fleet.allHave(1) && fleet.members.at("n0")->task.view().daemons.size() == 4;
     }));
-    until(
+    runUntil(
         [] {
             return false;
         },
@@ -398,7 +398,7 @@
     const std::size_t before = fleet.itemsSent;
     for (int i = 0; i < 5; ++i) {
         putServer("s-1");
-        until(
+        runUntil(
             [] {
                 return false;
             },
@@ -406,83 +406,82 @@
     }
     EXPECT_EQ(fleet.itemsSent, before);
     putServer("s-1", "draining");
-    EXPECT_TRUE(until([&] {
+    EXPECT_TRUE(runUntil([&] {
         return std::all_of(fleet.members.begin(), fleet.members.end(), [](const auto &member) {
             return member.second->task.view().servers.at("s-1").draining;
         });
     }));
 }
 
-// A reader goes on speaking, but what it has can't be fetched: the connection to it went silent. A user of
-// the listening daemon would be served by an old configuration for seconds, since the reader's signs kept
-// that daemon from following the store itself.
-TEST_F(store_task_test, NewsThatCantBeFetchedDontCountAsHeard)
+// A reader announces updates that cannot be fetched from it because its connection hangs. If the
+// announcements counted as updates, the other daemons would not watch the store themselves, and would use an
+// old configuration for seconds.
+TEST_F(store_task_test, UpdatesThatCannotBeFetchedDoNotCountAsFresh)
 {
     putConfig(1);
-    news_fleet fleet;
+    test_fleet fleet;
     for (int i = 0; i < 5; ++i) {
         fleet.add(store, "n" + std::to_string(i));
     }
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(runUntil([&] {
         return fleet.allHave(1) && fleet.members.at("n0")->task.view().daemons.size() == 5;
     }));
-    until(
+    runUntil(
         [] {
             return false;
         },
         {2'500});
-    fleet.fetchHangs = true;
+    fleet.fetchTimesOut = true;
     const std::string filler(200'000, 'x');
     store.put("op/config", R"({"version":2,"routes":[],"services":[],"filler":")" + filler + "\"}");
-    EXPECT_TRUE(until(
+    EXPECT_TRUE(runUntil(
         [&] {
             return fleet.allHave(2);
         },
         {5'000}));
 }
 
-// Configurations come in quick succession, each some tens of kilobytes. Sent on one by one they fill a
-// reader's link of 10 Mbit/s, and a user of the daemons behind it is answered by a route that is seconds old:
-// only the last one is passed on.
-TEST_F(store_task_test, OfConfigurationsInQuickSuccessionOnlyTheLastIsPassedOn)
+// Several configurations of some tens of kilobytes are written in quick succession. Forwarding each would
+// fill a reader's 10 Mbit/s link, and other daemons would use configurations that are seconds old.
+TEST_F(store_task_test, OnlyTheLastOfSeveralQuickConfigurationsIsForwarded)
 {
     putConfig(1);
-    follower one(store, "n1", "z");
-    ASSERT_TRUE(until([&] {
-        return one.version() == 1
-            && one.task.view().daemons.count("n1") == 1; // its own record is a change too
+    test_daemon daemon(store, "n1", "z");
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.version() == 1
+            && daemon.task.view().daemons.count("n1") == 1; // its own record is a change too
     }));
     const std::int64_t before = store.revision;
     for (std::uint64_t version = 2; version < 30; ++version) {
         putConfig(version);
     }
-    ASSERT_TRUE(until([&] {
-        return one.version() == 29;
+    ASSERT_TRUE(runUntil([&] {
+        return daemon.version() == 29;
     }));
-    const store_news news = one.task.updatesAfter(before);
-    EXPECT_EQ(news.items.size(), 1U);
-    EXPECT_EQ(news.items.back().revision, store.revision);
+    const store_news update = daemon.task.updatesAfter(before);
+    EXPECT_EQ(update.items.size(), 1U);
+    EXPECT_EQ(update.items.back().revision, store.revision);
 }
 
-// All news of a failure domain are lost. Its daemons follow the store themselves.
-TEST_F(store_task_test, WithoutNewsADaemonFollowsTheStoreItself)
+// All updates within a failure domain are lost, so its daemons watch the store themselves.
+TEST_F(store_task_test, WithoutUpdatesADaemonWatchesTheStoreItself)
 {
     putConfig(1);
-    news_fleet fleet;
+    test_fleet fleet;
     for (int i = 0; i < 4; ++i) {
         fleet.add(store, "n" + std::to_string(i));
     }
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(runUntil([&] {
         return fleet.allHave(1);
     }));
-    until(
+    runUntil(
         [] {
             return false;
         },
-        {3'000}); // by then the other two only listen
-    fleet.datagramsLost = true;
+        {3'000}); // by then the other two rely on the readers
+    fleet.updatesLost = true;
     putConfig(2);
-    EXPECT_TRUE(until(
+    EXPECT_TRUE(runUntil(
         [&] {
             return fleet.allHave(2);
         },
