--- a/packages/serving/crash_store.cpp
+++ b/packages/serving/crash_store.cpp
@@ -24,8 +24,8 @@
     links.daemons = [&store] {
         return nodesOf(store.view().daemons);
     };
-    links.tell = [&store, &port, self = settings.node](const std::string &node, const crash_news &news) {
-        sendToNode(*port, store, self, node, news);
+    links.tell = [&store, &port, self = settings.node](const std::string &node, const crash_news &report) {
+        sendToNode(*port, store, self, node, report);
     };
     links.stored = [&store](const std::string &fingerprint) {
         return storedRecord(store.view(), fingerprint);
@@ -40,12 +40,12 @@
     links.drop = [&store](const std::string &fingerprint) {
         store.removeCrashRecord(fingerprint);
     };
-    links.log = [&log](const crash_note &note) {
-        log.important("crash." + std::string(nameOf(note.event)))
-            .add("fingerprint", note.fingerprint)
-            .add("server", note.server)
-            .add("ends", static_cast<std::int64_t>(note.ends))
-            .add("source", note.source);
+    links.log = [&log](const crash_note &entry) {
+        log.important("crash." + std::string(nameOf(entry.event)))
+            .add("fingerprint", entry.fingerprint)
+            .add("server", entry.server)
+            .add("ends", static_cast<std::int64_t>(entry.ends))
+            .add("source", entry.source);
     };
     return links;
 }
@@ -58,8 +58,8 @@
         }
         for (const std::string &fingerprint : change.crashes) {
             const crash_record record = storedRecord(store.view(), fingerprint);
-            const bool gone = store.view().crashes.count(fingerprint) == 0;
-            if (gone || !record.servers.empty()) { // else another writer's, which says nothing
+            const bool removed = store.view().crashes.count(fingerprint) == 0;
+            if (removed || !record.servers.empty()) { // empty: written by something else
                 crashes.onStored(fingerprint, record);
             }
         }
--- a/packages/serving/quota_store.cpp
+++ b/packages/serving/quota_store.cpp
@@ -36,20 +36,20 @@
     };
     links.fleet = [&store] {
         std::vector<std::string> nodes = nodesOf(store.view().daemons);
-        const std::vector<std::string> lapsed = nodesOf(store.view().expiredDaemons);
-        nodes.insert(nodes.end(), lapsed.begin(), lapsed.end());
+        const std::vector<std::string> expired = nodesOf(store.view().expiredDaemons);
+        nodes.insert(nodes.end(), expired.begin(), expired.end());
         return nodes;
     };
     links.ask = [&eventLoop, &store, &port, &self, node = settings.node](
-                    const std::string &daemon, const quota_ask &ask) {
+                    const std::string &daemon, const quota_ask &request) {
         deliverToNode(
-            eventLoop, *port, store, node, daemon, ask, [&self, &store, node](const quota_ask &own) {
+            eventLoop, *port, store, node, daemon, request, [&self, &store, node](const quota_ask &own) {
                 self->hear({node, store.incarnation(), true}, own);
             });
     };
     links.answer = [&eventLoop, &store, &port, &self, node = settings.node](
-                       const std::string &daemon, const quota_answer &answer) {
-        deliverToNode(eventLoop, *port, store, node, daemon, answer, [&self](const quota_answer &own) {
+                       const std::string &daemon, const quota_answer &response) {
+        deliverToNode(eventLoop, *port, store, node, daemon, response, [&self](const quota_answer &own) {
             self->hear(own);
         });
     };
@@ -60,8 +60,8 @@
                         const std::string &daemon, const quota_release &release) {
         sendToNode(*port, store, node, daemon, release);
     };
-    links.claim = [&store](std::uint32_t shard, bool released) {
-        store.claimQuotaHome(std::to_string(shard), released);
+    links.claim = [&store](std::uint32_t shard, bool replace) {
+        store.claimQuotaHome(std::to_string(shard), replace);
     };
     links.settle = [&store](std::uint32_t shard) {
         store.confirmPredecessorExpired(std::to_string(shard));
@@ -76,12 +76,12 @@
         const auto &config = store.view().config;
         return config ? limitOf(*config, account) : std::nullopt;
     };
-    links.log = [&log](const quota_note &note) {
-        log.important("quota." + std::string(nameOf(note.event)))
-            .add("shard", static_cast<std::int64_t>(note.shard))
-            .add("home", note.home)
-            .add("term", note.term)
-            .add("handed_over", note.handedOver ? 1 : 0);
+    links.log = [&log](const quota_note &entry) {
+        log.important("quota." + std::string(nameOf(entry.event)))
+            .add("shard", static_cast<std::int64_t>(entry.shard))
+            .add("home", entry.home)
+            .add("term", entry.term)
+            .add("handed_over", entry.handedOver ? 1 : 0);
     };
     return links;
 }
--- a/packages/serving/server_owner_claims.cpp
+++ b/packages/serving/server_owner_claims.cpp
@@ -14,10 +14,10 @@
 
 /// When all daemons start at once, the first to register would claim every server before it sees the others;
 /// no claims are made for this long after registration.
-constexpr millis registrationTime{400};
+constexpr millis claimDelay{400};
 /// From seeing that an owner released a server at its shutdown to this daemon's first order. The owner sends
 /// orders for another 2.3 s before it releases its records; with this delay, those it sent before its
-/// shutdown began are more than the 3 s old that the orders of two daemons keep apart.
+/// shutdown began are older than the 3 s by which the orders of two daemons are kept apart.
 constexpr millis handoverDelay{800};
 /// Entries report their running requests to a new owner at its first heartbeat; until they have, adapters in
 /// use look idle.
@@ -33,17 +33,17 @@
 
 owner_candidates ownerCandidates(const daemon_map &daemons)
 {
-    owner_candidates choice{nodesOf(daemons), {}};
+    owner_candidates candidates{nodesOf(daemons), {}};
     for (const auto &[node, record] : daemons) {
-        choice.byDomain[record.failureDomain].push_back(node);
+        candidates.byDomain[record.failureDomain].push_back(node);
     }
-    return choice;
+    return candidates;
 }
 
-std::string preferredOwner(const owner_candidates &choice, const backend_server &server)
+std::string preferredOwner(const owner_candidates &candidates, const backend_server &server)
 {
-    const auto local = choice.byDomain.find(server.failureDomain);
-    return rendezvousFirst(server.id, local == choice.byDomain.end() ? choice.all : local->second);
+    const auto local = candidates.byDomain.find(server.failureDomain);
+    return rendezvousFirst(server.id, local == candidates.byDomain.end() ? candidates.all : local->second);
 }
 
 void server_owner_task::onViewChanged(const view_changed &change)
@@ -60,16 +60,16 @@
     const store_view &view = m_store.view();
     for (const auto &[id, entry] : view.serverOwners) {
         const bool own = m_store.isOwn(entry.record);
-        const auto held = m_servers.find(id);
+        const auto owned = m_servers.find(id);
         const auto fence = static_cast<std::uint64_t>(entry.revision);
         if (!own) {
             if (entry.record.node.empty()) {
                 m_releasedAt.try_emplace(id, bootNow());
             }
-            if (held != m_servers.end()) {
+            if (owned != m_servers.end()) {
                 endOwnership(id, "another daemon owns the server");
             }
-        } else if (held == m_servers.end() || held->second.fence < fence) {
+        } else if (owned == m_servers.end() || owned->second.fence < fence) {
             beginOwnership(id, entry);
         }
     }
@@ -116,14 +116,14 @@
                 return adapter.loading;
             });
         m_observedLoads[each.server] = {static_cast<int>(loading), now};
-        const auto held = m_servers.find(each.server);
-        if (held == m_servers.end() || node == m_settings.node) {
+        const auto owned = m_servers.find(each.server);
+        if (owned == m_servers.end() || node == m_settings.node) {
             continue;
         }
-        if (each.fence > held->second.fence) {
-            held->second.fenced = true; // the view will show the new owner
+        if (each.fence > owned->second.fence) {
+            owned->second.fenced = true; // the view will show the new owner
         } else {
-            held->second.otherOwnerUntil = std::max(held->second.otherOwnerUntil, ownership.validUntil);
+            owned->second.otherOwnerUntil = std::max(owned->second.otherOwnerUntil, ownership.validUntil);
         }
     }
 }
@@ -143,8 +143,8 @@
         return;
     }
     // Computed once for all servers: after a cold start none of possibly thousands has an owner.
-    const owner_candidates choice = ownerCandidates(view.daemons);
-    const bool othersRegistered = bootNow() - view.registeredAt >= registrationTime;
+    const owner_candidates candidates = ownerCandidates(view.daemons);
+    const bool othersRegistered = bootNow() - view.registeredAt >= claimDelay;
     for (const auto &[id, server] : view.servers) {
         const auto entry = view.serverOwners.find(id);
         // Its own record from before a restart or under an expired lease; or a record that went with the
@@ -162,7 +162,7 @@
         if (ownedBefore && entry != view.serverOwners.end()) {
             m_ownedByPreviousProcess.insert(id);
         }
-        if (ownedBefore || (othersRegistered && preferredOwner(choice, server) == m_settings.node)) {
+        if (ownedBefore || (othersRegistered && preferredOwner(candidates, server) == m_settings.node)) {
             m_store.claimServer(id);
         }
     }
@@ -229,12 +229,12 @@
         return;
     }
     const auto fence = static_cast<std::uint64_t>(entry.revision);
-    if (const auto held = m_servers.find(id); held != m_servers.end()) {
-        server_ledger &ledger = held->second.scheduler.ledger;
-        held->second.fence = fence;
-        held->second.fenced = false;
+    if (const auto owned = m_servers.find(id); owned != m_servers.end()) {
+        server_ledger &ledger = owned->second.scheduler.ledger;
+        owned->second.fence = fence;
+        owned->second.fenced = false;
         ledger.confirmed = false;
-        if (ledger.openOrder) { // its answer is about the token before
+        if (ledger.openOrder) { // its response will be about the previous fencing token
             onOrderResponse(ledger, server_order(*ledger.openOrder), order_answer::Unknown, bootNow());
         }
         return;
--- a/packages/serving/server_owner_task.h
+++ b/packages/serving/server_owner_task.h
@@ -43,7 +43,7 @@
 owner_candidates ownerCandidates(const daemon_map &daemons);
 /// The daemon that is to claim a server without an owner: the first by rendezvous hash of those in the
 /// server's failure domain, or of all if there are none. Empty if there is no daemon.
-std::string preferredOwner(const owner_candidates &choice, const backend_server &server);
+std::string preferredOwner(const owner_candidates &candidates, const backend_server &server);
 
 /// Sends the orders to the model servers that this daemon owns, and decides which prompts are sent to them
 /// when. A server has one owner at a time; the other daemons request slots from it. The owner also grants the
--- a/packages/serving/store_apply.cpp
+++ b/packages/serving/store_apply.cpp
@@ -51,20 +51,20 @@
         keys.push_back(detail::daemonPrefix + node);
     }
     for (const auto &[id, entry] : m_view.serverOwners) {
-        keys.push_back(detail::ordererPrefix + id);
+        keys.push_back(detail::serverOwnerPrefix + id);
     }
     for (const auto &[shard, entry] : m_view.quotaHomes) {
-        keys.push_back(detail::quotaPrefix + shard);
+        keys.push_back(detail::quotaHomePrefix + shard);
     }
     for (const auto &[fingerprint, crash] : m_view.crashes) {
         keys.push_back(detail::crashPrefix + fingerprint);
     }
     for (const std::string &key : keys) {
         if (present.count(key) == 0) {
-            stored_item gone;
-            gone.key = key;
-            gone.removed = true;
-            applyItem(gone, change);
+            stored_item removedItem;
+            removedItem.key = key;
+            removedItem.removed = true;
+            applyItem(removedItem, change);
         }
     }
 }
@@ -110,7 +110,7 @@
                     .add("revision", item.revision);
             }
         }
-    } else if (isUnder(item.key, detail::ownPrefix)) {
+    } else if (isUnder(item.key, detail::projectPrefix)) {
         applyProjectRecord(item, change);
     }
     return true;
@@ -243,9 +243,9 @@
 {
     if (isUnder(item.key, detail::daemonPrefix)) {
         applyDaemon(item);
-    } else if (isUnder(item.key, detail::ordererPrefix)) {
+    } else if (isUnder(item.key, detail::serverOwnerPrefix)) {
         applyServerOwner(item);
-    } else if (isUnder(item.key, detail::quotaPrefix)) {
+    } else if (isUnder(item.key, detail::quotaHomePrefix)) {
         applyQuotaHome(item);
     } else if (isUnder(item.key, detail::crashPrefix)) {
         applyCrash(item, change);
@@ -268,10 +268,10 @@
         }
         m_view.daemons[node] = *record;
         m_view.expiredDaemons.erase(node);
-    } else if (const auto gone = m_view.daemons.find(node); gone != m_view.daemons.end()) {
-        m_view.expiredDaemons[node] = gone->second;
+    } else if (const auto expired = m_view.daemons.find(node); expired != m_view.daemons.end()) {
+        m_view.expiredDaemons[node] = expired->second;
         m_expiredAt[node] = bootNow();
-        m_view.daemons.erase(gone);
+        m_view.daemons.erase(expired);
         m_log.important("peer.down").add("peer", node).add("revision", item.revision);
     }
 }
@@ -279,7 +279,7 @@
 void store_task::applyServerOwner(const stored_item &item)
 {
     error why;
-    const std::string server = item.key.substr(detail::ordererPrefix.size());
+    const std::string server = item.key.substr(detail::serverOwnerPrefix.size());
     auto record = item.removed ? std::nullopt : decodeOrderer(item.value, why);
     if (!item.removed && !record) {
         // Written by something else: the preferred owner replaces it, conditional on this revision.
@@ -296,7 +296,7 @@
 void store_task::applyQuotaHome(const stored_item &item)
 {
     error why;
-    const std::string shard = item.key.substr(detail::quotaPrefix.size());
+    const std::string shard = item.key.substr(detail::quotaHomePrefix.size());
     auto record = item.removed ? std::nullopt : decodeQuotaHome(item.value, why);
     if (!item.removed && !record) {
         logUnreadable(item, why); // written by something else; replaced as in applyServerOwner
--- a/packages/serving/store_keys.h
+++ b/packages/serving/store_keys.h
@@ -5,17 +5,17 @@
 // Keys of briarhead's own records in the platform's store.
 namespace briarhead::detail {
 
-inline const std::string ownPrefix = "briarhead/";
+inline const std::string projectPrefix = "briarhead/";
 /// Followed by a daemon's node name: its registration, under its lease.
-inline const std::string daemonPrefix = ownPrefix + "daemon/";
+inline const std::string daemonPrefix = projectPrefix + "daemon/";
 /// Followed by a server's id: the claim of the server's owner, under the owner's lease.
-inline const std::string ordererPrefix = ownPrefix + "orderer/";
+inline const std::string serverOwnerPrefix = projectPrefix + "orderer/";
 /// Followed by a request's fingerprint: the servers that crashed under it. Under no lease, since leases can
 /// expire during a store outage.
-inline const std::string crashPrefix = ownPrefix + "crash/";
+inline const std::string crashPrefix = projectPrefix + "crash/";
 
 /// Followed by the number of a shard of client accounts: the claim of its quota home, under that daemon's
 /// lease.
-inline const std::string quotaPrefix = ownPrefix + "quota/";
+inline const std::string quotaHomePrefix = projectPrefix + "quota/";
 
 }
--- a/packages/serving/store_task.cpp
+++ b/packages/serving/store_task.cpp
@@ -271,12 +271,12 @@
 
 void store_task::claimServer(const std::string &server, bool replace)
 {
-    claimOwnership(detail::ordererPrefix, m_view.serverOwners, server, replace);
+    claimOwnership(detail::serverOwnerPrefix, m_view.serverOwners, server, replace);
 }
 
 void store_task::claimQuotaHome(const std::string &shard, bool replace)
 {
-    claimOwnership(detail::quotaPrefix, m_view.quotaHomes, shard, replace);
+    claimOwnership(detail::quotaHomePrefix, m_view.quotaHomes, shard, replace);
 }
 
 bool store_task::isStoreUnreachableLocallyOnly() const
@@ -288,7 +288,7 @@
 {
     const auto known = m_view.quotaHomes.find(shard);
     if (known != m_view.quotaHomes.end() && isOwn(known->second.record)) {
-        writeOwnership(detail::quotaPrefix, m_view.quotaHomes, shard, true);
+        writeOwnership(detail::quotaHomePrefix, m_view.quotaHomes, shard, true);
     }
 }
 
@@ -351,7 +351,7 @@
         return;
     }
     m_confirmingQuotaHomes = true;
-    m_store.list(detail::quotaPrefix, [this, sentAt = bootNow()](const store_read &read) {
+    m_store.list(detail::quotaHomePrefix, [this, sentAt = bootNow()](const store_read &read) {
         m_confirmingQuotaHomes = false;
         onCallDone(read.status == store_status::Ok, "quota homes");
         if (read.status != store_status::Ok || m_leaving) {
@@ -362,9 +362,9 @@
             present[item.key] = item.revision;
         }
         std::erase_if(m_view.quotaHomes, [&](const auto &each) {
-            const auto found = present.find(detail::quotaPrefix + each.first);
-            const bool stands = found != present.end() && found->second == each.second.revision;
-            return !stands && isOwn(each.second.record) && each.second.revision <= read.revision;
+            const auto found = present.find(detail::quotaHomePrefix + each.first);
+            const bool unchanged = found != present.end() && found->second == each.second.revision;
+            return !unchanged && isOwn(each.second.record) && each.second.revision <= read.revision;
         });
         onRecordsRead(m_quotaHomeValidity, sentAt);
         publish({});
@@ -432,8 +432,8 @@
             }
         }
     };
-    release(detail::quotaPrefix, m_view.quotaHomes);
-    release(detail::ordererPrefix, m_view.serverOwners);
+    release(detail::quotaHomePrefix, m_view.quotaHomes);
+    release(detail::serverOwnerPrefix, m_view.serverOwners);
     m_store.change(change, [this](store_status status, std::int64_t revision) {
         m_log.important("records.given_up")
             .add("outcome", status == store_status::Ok ? "done" : "not done")
--- a/tests/serving/platform_test.cpp
+++ b/tests/serving/platform_test.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-const std::string goodSettings = "node=edge-1\nzone=z1\nip=10.1.0.1\nlisten.front=10.1.0.1:80\n"
-                                 "listen.ready=10.1.0.1:81\ninternalPorts=7380,7395\n"
-                                 "platform.address=10.200.1.7:8142\nbounds.graceS=8\n"
-                                 "bounds.retryBudgetRatio=0.25\nsomething.new=1\n";
+const std::string validSettings = "node=edge-1\nzone=z1\nip=10.1.0.1\nlisten.front=10.1.0.1:80\n"
+                                  "listen.ready=10.1.0.1:81\ninternalPorts=7380,7395\n"
+                                  "platform.address=10.200.1.7:8142\nbounds.graceS=8\n"
+                                  "bounds.retryBudgetRatio=0.25\nsomething.new=1\n";
 
 front_request requestWith(const std::vector<http_field> &fields)
 {
@@ -25,7 +25,7 @@
     return raw;
 }
 
-const std::vector<http_field> plainFields{{"Host", "h.example"}, {"X-Briarhead-Request-Id", "id1"},
+const std::vector<http_field> requestFields{{"Host", "h.example"}, {"X-Briarhead-Request-Id", "id1"},
     {"X-Briarhead-Model", "m0/a7"}, {"X-Briarhead-Token-Count", "1460,80"},
     {"X-Briarhead-Deadline-Ms", "5000"}};
 
@@ -34,7 +34,7 @@
 TEST(PlatformSettings, AreReadFromLines)
 {
     error why;
-    const auto settings = parseNodeSettings(goodSettings, "node.conf", why);
+    const auto settings = parseNodeSettings(validSettings, "node.conf", why);
     ASSERT_TRUE(settings) << message(why);
     EXPECT_EQ(settings->node, "edge-1");
     EXPECT_EQ(settings->peers.port, 7380);
@@ -42,10 +42,10 @@
     EXPECT_DOUBLE_EQ(settings->repeats.ratio, 0.25);
 }
 
-TEST(PlatformSettings, AMissingFieldIsNamedWithTheRemedy)
+TEST(PlatformSettings, MissingSettingIsNamedInTheError)
 {
     for (const char *field : {"node=", "zone=", "listen.front=", "platform.address=", "internalPorts="}) {
-        std::string text = goodSettings;
+        std::string text = validSettings;
         const std::size_t at = text.find(field);
         text.erase(at, text.find('\n', at) - at + 1);
         error why;
@@ -56,10 +56,10 @@
     }
 }
 
-TEST(PlatformRequests, TheHeadersAreReadOnce)
+TEST(PlatformRequests, HeadersAreRead)
 {
     error why;
-    const auto request = requestCodec().readRequest(requestWith(plainFields), why);
+    const auto request = requestCodec().readRequest(requestWith(requestFields), why);
     ASSERT_TRUE(request) << message(why);
     EXPECT_EQ(request->model, "m0");
     EXPECT_EQ(request->adapter, "a7");
@@ -68,11 +68,11 @@
     EXPECT_EQ(request->deadline->count, 5'000);
 }
 
-// A caller sends absurd numbers. They must not overflow what is reckoned with them, nor be read as negative.
-TEST(PlatformRequests, AbsurdNumbersAreBounded)
+// Out-of-range numbers from a caller must neither overflow later calculations nor be read as negative.
+TEST(PlatformRequests, OutOfRangeNumbersAreBounded)
 {
     for (const char *text : {"99999999999999999999999,-5", "-7,4", "x,y", ",", ""}) {
-        auto fields = plainFields;
+        auto fields = requestFields;
         fields[3].value = text;
         fields[4].value = text;
         error why;
@@ -84,26 +84,25 @@
     }
 }
 
-TEST(PlatformRequests, WithoutAnIdOrWithoutAPathItIsRefused)
+TEST(PlatformRequests, RequestWithoutIdOrPathIsRejected)
 {
     error why;
     EXPECT_FALSE(requestCodec().readRequest(requestWith({{"Host", "h"}}), why));
     EXPECT_EQ(why.kind, error_kind::BadRequest);
-    front_request absolute = requestWith(plainFields);
-    absolute.head.target = "http://h.example/r/";
-    EXPECT_FALSE(requestCodec().readRequest(absolute, why));
+    front_request absoluteTarget = requestWith(requestFields);
+    absoluteTarget.head.target = "http://h.example/r/";
+    EXPECT_FALSE(requestCodec().readRequest(absoluteTarget, why));
 }
 
-// A caller sends the fields that only this system may set, or names one in Connection. A server would run the
-// request with someone else's reservation, or as another start's: none of it reaches a server, and the
-// caller's own fields do.
-TEST(PlatformRequests, TheSystemsOwnFieldsNeverComeFromACaller)
+// A caller sends fields that only this system may set, or names one of its own in Connection. Forwarded, they
+// could make a server run the request with another's reservation or for another incarnation.
+TEST(PlatformRequests, ReservedFieldsOfACallerAreNotForwarded)
 {
-    auto fields = plainFields;
-    for (const char *own :
+    auto fields = requestFields;
+    for (const char *name :
         {"X-Briarhead-Hold", "x-briarhead-pin-ms", "X-Briarhead-Kv-Backup", "Kv-From", "kv-fetch",
             "X-Briarhead-Expect-Instance", "X-Briarhead-Expect-Version", "X-Briarhead-Request-Priority"}) {
-        fields.push_back({own, "smuggled"});
+        fields.push_back({name, "smuggled"});
     }
     fields.push_back({"Connection", "close, X-Briarhead-Model"});
     fields.push_back({"Transfer-Encoding", "chunked"});
@@ -125,22 +124,22 @@
     EXPECT_TRUE(bytes.ends_with("Content-Length: 4\r\n\r\nbody"));
 }
 
-TEST(PlatformRequests, AnAnswerSaysWhetherItRan)
+TEST(PlatformRequests, ResponseShowsWhetherTheRequestWasExecuted)
 {
     const auto codec = requestCodec();
     http_head head;
     head.status = 421;
     EXPECT_TRUE(codec.readAnswer(head).notRun);
     head.status = 503;
-    EXPECT_FALSE(codec.readAnswer(head).notRun) << "only the server's own word counts";
+    EXPECT_FALSE(codec.readAnswer(head).notRun) << "only the server itself can state that it did not execute";
     head.fields = {
         {"X-Briarhead-Not-Executed", "1"}, {"X-Briarhead-Server-Stamp", "s"}, {"Connection", "close"}};
     EXPECT_TRUE(codec.readAnswer(head).notRun);
     EXPECT_TRUE(codec.readAnswer(head).signedByServer);
-    EXPECT_EQ(codec.passOn(head).size(), 2U) << "what concerns one connection stays there";
+    EXPECT_EQ(codec.passOn(head).size(), 2U) << "hop-by-hop fields are not forwarded";
 }
 
-TEST(PlatformRequests, AnAnswerNamesItsServersLimit)
+TEST(PlatformRequests, ResponseNamesTheServersLimit)
 {
     const auto codec = requestCodec();
     const auto limitOf = [&codec](const std::vector<std::string> &values) {
@@ -152,7 +151,7 @@
     };
     EXPECT_EQ(limitOf({"1.7"}).limit, 1.7);
     EXPECT_EQ(limitOf({" 0 "}).limit, 0.0);
-    EXPECT_EQ(limitOf({"3", "2.5"}).limit, 2.5) << "of several the lowest counts";
+    EXPECT_EQ(limitOf({"3", "2.5"}).limit, 2.5) << "of several limits the lowest counts";
     EXPECT_EQ(limitOf({}).limit, std::nullopt);
     EXPECT_EQ(limitOf({}).unreadable, "");
     for (const char *value : {"", "-1", "nan", "inf", "1/s", "1,5", "0x10"}) {
@@ -161,7 +160,7 @@
     }
 }
 
-TEST(PlatformRequests, AnAnswerSaysThatItsServerLeavesOrWantsAPause)
+TEST(PlatformRequests, ResponseAnnouncesLeavingOrAPause)
 {
     const auto codec = requestCodec();
     const auto read = [&codec](int status, std::vector<http_field> fields) {
@@ -192,22 +191,22 @@
     EXPECT_EQ(read(200, {stamp, {"Retry-After", "3"}}).pause, millis{});
 }
 
-// Another server at the address, or someone between, ended a server's use by its own words.
-TEST(PlatformRequests, WordsThatAreNotTheServersOwnSayNothing)
+// Notices of another server at the address, or of an intermediary, must not take a server out of use.
+TEST(PlatformRequests, NoticesNotFromTheServerAreIgnored)
 {
     const auto codec = requestCodec();
     http_head head;
     head.fields = {{"Server-Leaving", "1"}, {"Retry-After", "3"}};
-    head.status = 503; // without the server's word that it ran nothing, and not signed
+    head.status = 503; // neither signed nor marked as not executed
     EXPECT_FALSE(codec.readAnswer(head).leaving);
     EXPECT_EQ(codec.readAnswer(head).pause, millis{});
     head.fields.push_back({"X-Briarhead-Server-Stamp", "s"});
-    head.status = 421; // it isn't the server that was named
+    head.status = 421; // not the server that was named
     EXPECT_FALSE(codec.readAnswer(head).leaving);
     EXPECT_EQ(codec.readAnswer(head).pause, millis{});
 }
 
-TEST(PlatformRequests, OrdersAndReports)
+TEST(PlatformRequests, OrdersAreWrittenAndReportsRead)
 {
     const auto codec = requestCodec();
     const backend_server server{"i-9", "s", {"10.0.0.1", 80}, "z1", 64, false, {}};
@@ -230,7 +229,7 @@
     EXPECT_FALSE(codec.readReport("not json", why));
 }
 
-TEST(PlatformRecords, TheConfigurationIsTranslated)
+TEST(PlatformRecords, ConfigurationIsRead)
 {
     error why;
     const auto config = readConfig(
@@ -250,14 +249,14 @@
     EXPECT_EQ(config->routes[0].kind, repeat_kind::Stream);
     EXPECT_TRUE(config->routes[0].resumable);
     EXPECT_EQ(config->routes[1].services.size(), 2U);
-    EXPECT_EQ(config->routes[2].kind, repeat_kind::Once) << "what isn't known must not be repeated";
+    EXPECT_EQ(config->routes[2].kind, repeat_kind::Once) << "requests of an unknown kind must not be retried";
     EXPECT_EQ(engineOf(*config, "s1")->adapterPlaces, 5);
     EXPECT_EQ(engineOf(*config, "s2"), nullptr);
     EXPECT_EQ(config->limits.idleTime.count, 15'000);
     EXPECT_NE(findRoute(*config, "h.example", "/a/1"), nullptr);
 }
 
-TEST(PlatformRecords, UnreadableRecordsAreRefusedWithAReason)
+TEST(PlatformRecords, InvalidRecordsAreRejectedWithAReason)
 {
     error why;
     EXPECT_FALSE(readConfig("[1,2", why));
@@ -272,20 +271,20 @@
     EXPECT_EQ(server->address.port, 8'080);
 }
 
-// Somebody else writes under the servers' keys. Taken for a server, such an entry would be sent requests that
-// nobody answers, or end the daemon.
-TEST(PlatformRecords, AnEntryOfAnotherWriterNamesNoServer)
+// Another writer uses the servers' keys. If its entry were accepted as a server, requests would be sent there
+// that nobody answers, or the daemon would crash.
+TEST(PlatformRecords, EntryOfAnotherWriterIsRejected)
 {
-    const std::string good = R"("service":"s","address":"10.0.0.9:8080","zone":"z2","slots":6)";
+    const std::string validFields = R"("service":"s","address":"10.0.0.9:8080","zone":"z2","slots":6)";
     error why;
-    ASSERT_TRUE(readServer("i", '{' + good + R"(,"state":"ready"})", why));
-    EXPECT_EQ(readServer("i", '{' + good + R"(,"state":"ready","born":1799999999999})", why)->born,
+    ASSERT_TRUE(readServer("i", '{' + validFields + R"(,"state":"ready"})", why));
+    EXPECT_EQ(readServer("i", '{' + validFields + R"(,"state":"ready","born":1799999999999})", why)->born,
         1'799'999'999'999);
     for (const std::string &entry :
-        {std::string("\xff\x00{", 3), std::string("[]"), std::string("{}"), '{' + good + '}',
-            '{' + good + R"(,"state":"resting"})", '{' + good + R"(,"state":7})",
-            '{' + good + R"(,"state":"ready","born":"yesterday"})",
-            '{' + good + R"(,"state":"ready","born":1.5})",
+        {std::string("\xff\x00{", 3), std::string("[]"), std::string("{}"), '{' + validFields + '}',
+            '{' + validFields + R"(,"state":"resting"})", '{' + validFields + R"(,"state":7})",
+            '{' + validFields + R"(,"state":"ready","born":"yesterday"})",
+            '{' + validFields + R"(,"state":"ready","born":1.5})",
             std::string(R"({"service":5,"address":"10.0.0.9:8080","zone":"z2","slots":6,"state":"ready"})"),
             std::string(R"({"service":"s","address":"10.0.0.9:0","zone":"z2","slots":6,"state":"ready"})"),
             std::string(R"({"service":"s","address":"10.0.0.9:80x","zone":"z2","slots":6,"state":"ready"})"),
@@ -307,7 +306,7 @@
     EXPECT_TRUE(codec.readReport(R"({"seq":3,"busy":"no","models":7,"coming":{}})", why));
 }
 
-RC_GTEST_PROP(PlatformRecords, NoBytesEndTheDaemon, (const std::string &bytes))
+RC_GTEST_PROP(PlatformRecords, ArbitraryBytesDoNotCrash, (const std::string &bytes))
 {
     error why;
     (void)readServer("i", bytes, why);
@@ -321,7 +320,7 @@
     RC_ASSERT(fromBase64(toBase64(bytes)) == bytes);
 }
 
-TEST(PlatformStore, WhatIsNoBase64IsRefused)
+TEST(PlatformStore, InvalidBase64IsRejected)
 {
     EXPECT_EQ(toBase64("node-1"), "bm9kZS0x");
     EXPECT_FALSE(fromBase64("a*b="));
--- a/tests/serving/wire_test.cpp
+++ b/tests/serving/wire_test.cpp
@@ -18,8 +18,8 @@
 {
 protected:
     std::unique_ptr<front_server> m_front;
-    std::vector<front_request> m_taken;
-    std::vector<std::shared_ptr<front_reply>> m_open;
+    std::vector<front_request> m_requests;
+    std::vector<std::shared_ptr<front_reply>> m_replies;
     std::string m_seen;
 
     void serve(const front_limits &limits = {})
@@ -28,14 +28,14 @@
         m_front = front_server::listen(
             m_loop, http_testing::loopback, 0,
             [this](front_request request, std::shared_ptr<front_reply> reply) {
-                m_taken.push_back(std::move(request));
-                m_open.push_back(std::move(reply));
+                m_requests.push_back(std::move(request));
+                m_replies.push_back(std::move(reply));
             },
             why);
         ASSERT_TRUE(m_front) << message(why);
         m_front->setLimits(limits);
     }
-    /// Sends bytes and waits until the caller has seen `expected` or its connection ends.
+    /// Sends bytes and returns what was received until it contains `expected` or the connection closes.
     std::string exchange(const std::string &bytes, const std::string &expected)
     {
         const auto caller = raw_socket::connectTo(m_front->port());
@@ -53,17 +53,17 @@
 
 }
 
-TEST_F(wire_test, ARequestIsTakenAsItWasSent)
+TEST_F(wire_test, RequestIsPassedOnAsItWasSent)
 {
     serve();
     const auto caller = raw_socket::connectTo(m_front->port());
     caller->send(head + "X-Odd:  v\r\nContent-Length: 3\r\n\r\nabc");
     ASSERT_TRUE(runUntil([&] {
-        return m_taken.size() == 1;
+        return m_requests.size() == 1;
     }));
-    EXPECT_EQ(m_taken[0].head.target, "/a%20b/?q=%2F") << "neither decoded nor normalised";
-    EXPECT_EQ(m_taken[0].body, "abc");
-    m_open[0]->respond(200, {{"X-A", "b"}}, "done");
+    EXPECT_EQ(m_requests[0].head.target, "/a%20b/?q=%2F") << "neither decoded nor normalised";
+    EXPECT_EQ(m_requests[0].body, "abc");
+    m_replies[0]->respond(200, {{"X-A", "b"}}, "done");
     std::string seen;
     EXPECT_TRUE(runUntil([&] {
         caller->receive(seen);
@@ -72,9 +72,9 @@
     EXPECT_NE(seen.find("Content-Length: 4\r\n"), std::string::npos);
 }
 
-// A caller hides a second request in the body of its first, by lengths that two readers understand
-// differently. A user would be answered with what someone else asked for.
-TEST_F(wire_test, SmuggledLengthsAreRefusedAndNothingIsPassedOn)
+// Request smuggling: a body hides a second request behind lengths that two parsers read differently. Another
+// caller could then receive the response to the hidden request.
+TEST_F(wire_test, AmbiguousLengthsAreRejectedAndNothingIsPassedOn)
 {
     serve();
     const std::string hidden = "0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -89,10 +89,10 @@
         EXPECT_EQ(seen.substr(0, 12), "HTTP/1.1 400") << fields;
         EXPECT_NE(seen.find("Connection: close"), std::string::npos) << fields;
     }
-    EXPECT_TRUE(m_taken.empty());
+    EXPECT_TRUE(m_requests.empty());
 }
 
-TEST_F(wire_test, LimitsOnHeadAndBodyAnswerWithTheirStatus)
+TEST_F(wire_test, TooLargeHeadOrBodyGetsItsStatus)
 {
     front_limits limits;
     limits.headBytes = 2'000;
@@ -102,11 +102,11 @@
         exchange(head + "X: " + std::string(3'000, 'x') + "\r\n\r\n", "431").substr(0, 12), "HTTP/1.1 431");
     EXPECT_EQ(exchange(head + "Content-Length: 2000\r\n\r\n" + std::string(2'000, 'x'), "413").substr(0, 12),
         "HTTP/1.1 413");
-    EXPECT_TRUE(m_taken.empty());
+    EXPECT_TRUE(m_requests.empty());
 }
 
-// A caller sends its head a byte at a time and holds a connection for ever.
-TEST_F(wire_test, ASlowHeadIsEnded)
+// A caller that sends its head slowly must not hold a connection forever.
+TEST_F(wire_test, SlowHeadTimesOut)
 {
     front_limits limits;
     limits.headTime = {150};
@@ -114,53 +114,53 @@
     EXPECT_EQ(exchange("POST / HTTP/1.1\r\nHo", "408").substr(0, 12), "HTTP/1.1 408");
 }
 
-TEST_F(wire_test, RequestsOnOneConnectionAreAnsweredInTurn)
+TEST_F(wire_test, PipelinedRequestsAreHandledOneAtATime)
 {
     serve();
     const auto caller = raw_socket::connectTo(m_front->port());
     caller->send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
     ASSERT_TRUE(runUntil([&] {
-        return m_taken.size() == 1;
+        return m_requests.size() == 1;
     }));
     runRounds(20);
-    EXPECT_EQ(m_taken.size(), 1U) << "the second waits for the first answer";
-    m_open[0]->respond(200, {}, "one");
+    EXPECT_EQ(m_requests.size(), 1U) << "the second request waits for the first response";
+    m_replies[0]->respond(200, {}, "one");
     ASSERT_TRUE(runUntil([&] {
-        return m_taken.size() == 2;
+        return m_requests.size() == 2;
     }));
-    EXPECT_EQ(m_taken[1].head.target, "/2");
+    EXPECT_EQ(m_requests[1].head.target, "/2");
 }
 
-// A caller leaves while its request is worked on. The server behind would go on for nobody.
-TEST_F(wire_test, ACallerThatLeavesIsNoticedWhileItsRequestIsWorkedOn)
+// A caller disconnects during its request. Otherwise the backend server would go on generating for nobody.
+TEST_F(wire_test, CallerDisconnectIsReportedDuringItsRequest)
 {
     serve();
     auto caller = raw_socket::connectTo(m_front->port());
     caller->send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
     ASSERT_TRUE(runUntil([&] {
-        return m_open.size() == 1;
+        return m_replies.size() == 1;
     }));
-    bool gone = false;
-    m_open[0]->onGone([&] {
-        gone = true;
+    bool disconnected = false;
+    m_replies[0]->onGone([&] {
+        disconnected = true;
     });
     caller->hangUp();
     EXPECT_TRUE(runUntil([&] {
-        return gone;
+        return disconnected;
     }));
 }
 
-TEST_F(wire_test, AStreamThatIsBrokenOffLooksBrokenOff)
+TEST_F(wire_test, AbortedStreamHasNoFinalChunk)
 {
     serve();
     const auto caller = raw_socket::connectTo(m_front->port());
     caller->send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
     ASSERT_TRUE(runUntil([&] {
-        return m_open.size() == 1;
+        return m_replies.size() == 1;
     }));
-    m_open[0]->begin(200, {});
-    m_open[0]->write("data: 1\n\n");
-    m_open[0]->abort();
+    m_replies[0]->begin(200, {});
+    m_replies[0]->write("data: 1\n\n");
+    m_replies[0]->abort();
     std::string seen;
     EXPECT_TRUE(runUntil([&] {
         return !caller->receive(seen);
@@ -169,17 +169,17 @@
     EXPECT_EQ(seen.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(wire_test, AfterItsLastAnswerAnEndingServerClosesAndTakesNoMore)
+TEST_F(wire_test, StoppingServerClosesAfterItsLastResponse)
 {
     serve();
     const auto caller = raw_socket::connectTo(m_front->port());
     caller->send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
     ASSERT_TRUE(runUntil([&] {
-        return m_open.size() == 1;
+        return m_replies.size() == 1;
     }));
     m_front->closeAfterAnswers({200});
     m_front->stopListening();
-    m_open[0]->respond(200, {}, "x");
+    m_replies[0]->respond(200, {}, "x");
     std::string seen;
     EXPECT_TRUE(runUntil([&] {
         return !caller->receive(seen);
@@ -189,88 +189,88 @@
 
 namespace {
 
-/// A backend server that answers each connection's requests with the bytes a test chose, and counts them.
+/// A backend server that sends the bytes that a test chooses on each connection.
 class pool_test : public http_testing::http_fixture
 {
 protected:
-    struct accepted
+    struct accepted_connection
     {
         std::unique_ptr<raw_socket> socket;
-        std::string in;
+        std::string received;
     };
     std::uint16_t m_port = 0;
     std::unique_ptr<raw_socket> m_listener = raw_socket::listening(m_port);
-    std::vector<std::unique_ptr<accepted>> m_connections;
+    std::vector<std::unique_ptr<accepted_connection>> m_connections;
     backend_pool m_pool{m_loop};
 
-    void takeConnections()
+    void acceptAndReceive()
     {
         for (;;) {
             const int fd = accept4(m_listener->fd(), nullptr, nullptr, SOCK_NONBLOCK);
             if (fd < 0) {
                 break;
             }
-            m_connections.push_back(std::make_unique<accepted>());
+            m_connections.push_back(std::make_unique<accepted_connection>());
             m_connections.back()->socket = std::make_unique<raw_socket>(fd);
         }
-        for (const auto &one : m_connections) {
-            if (one->socket->fd() >= 0) {
-                one->socket->receive(one->in);
+        for (const auto &connection : m_connections) {
+            if (connection->socket->fd() >= 0) {
+                connection->socket->receive(connection->received);
             }
         }
     }
-    struct outcome_seen
+    struct send_outcome
     {
         bool done = false;
         send_end how = send_end::Unsent;
         int status = 0;
         std::string body;
     };
-    std::shared_ptr<outcome_seen> send(const std::string &id)
+    std::shared_ptr<send_outcome> send(const std::string &id)
     {
-        auto seen = std::make_shared<outcome_seen>();
+        auto outcome = std::make_shared<send_outcome>();
         send_handlers calls;
-        calls.onHead = [seen, id](const http_head &answer) {
-            const std::string *echoed = findField(answer, "x-id");
+        calls.onHead = [outcome, id](const http_head &response) {
+            const std::string *echoed = findField(response, "x-id");
             if (echoed != nullptr && *echoed != id) {
                 return false;
             }
-            seen->status = answer.status;
+            outcome->status = response.status;
             return true;
         };
-        calls.onBody = [seen](const std::string &bytes) {
-            seen->body += bytes;
+        calls.onBody = [outcome](const std::string &bytes) {
+            outcome->body += bytes;
         };
-        calls.onEnd = [seen](send_end how, const error &) {
-            seen->done = true;
-            seen->how = how;
+        calls.onEnd = [outcome](send_end how, const error &) {
+            outcome->done = true;
+            outcome->how = how;
         };
         m_pool.start({http_testing::loopback, m_port},
             "POST /" + id + " HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", false, std::move(calls));
-        return seen;
+        return outcome;
     }
-    bool arrived(std::size_t connection, const std::string &id)
+    bool runUntilReceived(std::size_t connection, const std::string &id)
     {
         return runUntil([&] {
-            takeConnections();
+            acceptAndReceive();
             return m_connections.size() > connection
-                && m_connections[connection]->in.find("POST /" + id + " ") != std::string::npos;
+                && m_connections[connection]->received.find("POST /" + id + " ") != std::string::npos;
         });
     }
-    void answer(std::size_t connection, const std::string &bytes)
+    void respond(std::size_t connection, const std::string &bytes)
     {
         m_connections[connection]->socket->send(bytes);
     }
-    bool ends(const outcome_seen &seen)
+    bool runUntilDone(const send_outcome &outcome)
     {
         return runUntil([&] {
-            takeConnections();
-            return seen.done;
+            acceptAndReceive();
+            return outcome.done;
         });
     }
 };
 
-std::string whole(const std::string &id, const std::string &body)
+std::string completeResponse(const std::string &id, const std::string &body)
 {
     return "HTTP/1.1 200 OK\r\nX-Id: " + id
         + "\r\nKeep-Alive: timeout=5\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -278,133 +278,132 @@
 
 }
 
-TEST_F(pool_test, AConnectionIsKeptAfterAWholeAnswer)
+TEST_F(pool_test, ConnectionIsReusedAfterACompleteResponse)
 {
     const auto first = send("a");
-    ASSERT_TRUE(arrived(0, "a"));
-    answer(0, whole("a", "one"));
-    ASSERT_TRUE(ends(*first));
+    ASSERT_TRUE(runUntilReceived(0, "a"));
+    respond(0, completeResponse("a", "one"));
+    ASSERT_TRUE(runUntilDone(*first));
     EXPECT_EQ(first->how, send_end::Whole);
     EXPECT_EQ(first->body, "one");
     const auto second = send("b");
-    ASSERT_TRUE(arrived(0, "b"));
-    answer(0, whole("b", "two"));
-    ASSERT_TRUE(ends(*second));
+    ASSERT_TRUE(runUntilReceived(0, "b"));
+    respond(0, completeResponse("b", "two"));
+    ASSERT_TRUE(runUntilDone(*second));
     EXPECT_EQ(second->body, "two");
     EXPECT_EQ(m_connections.size(), 1U);
 }
 
-// A server sends a second answer behind the first. The next user on that connection would get the first one's
-// answer.
-TEST_F(pool_test, BytesBehindAnAnswerEndTheConnection)
+// A server sends a second response after the first. The next request on that connection would receive it.
+TEST_F(pool_test, BytesAfterAResponseCloseTheConnection)
 {
     const auto first = send("a");
-    ASSERT_TRUE(arrived(0, "a"));
-    answer(0, whole("a", "one") + whole("a", "again"));
-    ASSERT_TRUE(ends(*first));
+    ASSERT_TRUE(runUntilReceived(0, "a"));
+    respond(0, completeResponse("a", "one") + completeResponse("a", "again"));
+    ASSERT_TRUE(runUntilDone(*first));
     EXPECT_EQ(first->body, "one");
     const auto second = send("b");
-    EXPECT_TRUE(arrived(1, "b"));
+    EXPECT_TRUE(runUntilReceived(1, "b"));
 }
 
-// The same, but the second answer comes late: just where the next one is expected. Its id tells.
-TEST_F(pool_test, ALateAnswerToAnotherRequestIsDroppedAndTheOwnOneTaken)
+// As above, but the second response arrives when the next request's is expected. It is recognised by its id.
+TEST_F(pool_test, LateResponseToAnotherRequestIsSkipped)
 {
     const auto first = send("a");
-    ASSERT_TRUE(arrived(0, "a"));
-    answer(0, whole("a", "one"));
-    ASSERT_TRUE(ends(*first));
+    ASSERT_TRUE(runUntilReceived(0, "a"));
+    respond(0, completeResponse("a", "one"));
+    ASSERT_TRUE(runUntilDone(*first));
     const auto second = send("b");
-    ASSERT_TRUE(arrived(0, "b"));
-    answer(0, whole("a", "again") + whole("b", "two"));
-    ASSERT_TRUE(ends(*second));
+    ASSERT_TRUE(runUntilReceived(0, "b"));
+    respond(0, completeResponse("a", "again") + completeResponse("b", "two"));
+    ASSERT_TRUE(runUntilDone(*second));
     EXPECT_EQ(second->how, send_end::Whole);
     EXPECT_EQ(second->body, "two");
     const auto third = send("c");
-    EXPECT_TRUE(arrived(1, "c")) << "a connection that was out of step once isn't used again";
+    EXPECT_TRUE(runUntilReceived(1, "c")) << "a connection that was out of step is not reused";
 }
 
-TEST_F(pool_test, StrayBytesOnAnIdleConnectionEndIt)
+TEST_F(pool_test, StrayBytesOnAnIdleConnectionCloseIt)
 {
     const auto first = send("a");
-    ASSERT_TRUE(arrived(0, "a"));
-    answer(0, whole("a", "one"));
-    ASSERT_TRUE(ends(*first));
-    answer(0, whole("a", "again"));
+    ASSERT_TRUE(runUntilReceived(0, "a"));
+    respond(0, completeResponse("a", "one"));
+    ASSERT_TRUE(runUntilDone(*first));
+    respond(0, completeResponse("a", "again"));
     runRounds(30);
     const auto second = send("b");
-    EXPECT_TRUE(arrived(1, "b"));
+    EXPECT_TRUE(runUntilReceived(1, "b"));
 }
 
-// An answer without a length ends with its connection. One that is reset on the way is not whole, though its
-// bytes so far look like it.
-TEST_F(pool_test, AnAnswerWithoutALengthIsWholeOnlyAtAnOrderlyEnd)
+// A response without a length ends with its connection. If the connection is reset, it is incomplete,
+// although its bytes so far look complete.
+TEST_F(pool_test, ResponseWithoutLengthIsCompleteOnlyAtAnOrderlyClose)
 {
     const std::string open = "HTTP/1.1 200 OK\r\nX-Id: a\r\nConnection: close\r\n\r\nsome";
-    const auto orderly = send("a");
-    ASSERT_TRUE(arrived(0, "a"));
-    answer(0, open);
+    const auto closed = send("a");
+    ASSERT_TRUE(runUntilReceived(0, "a"));
+    respond(0, open);
     m_connections[0]->socket->hangUp();
-    ASSERT_TRUE(ends(*orderly));
-    EXPECT_EQ(orderly->how, send_end::Whole);
-    const auto cut = send("a");
-    ASSERT_TRUE(arrived(1, "a"));
-    answer(1, open);
+    ASSERT_TRUE(runUntilDone(*closed));
+    EXPECT_EQ(closed->how, send_end::Whole);
+    const auto reset = send("a");
+    ASSERT_TRUE(runUntilReceived(1, "a"));
+    respond(1, open);
     runRounds(20);
     m_connections[1]->socket->reset();
-    ASSERT_TRUE(ends(*cut));
-    EXPECT_EQ(cut->how, send_end::Broken);
+    ASSERT_TRUE(runUntilDone(*reset));
+    EXPECT_EQ(reset->how, send_end::Broken);
 }
 
-TEST_F(pool_test, AnAnswerThatEndsEarlyIsBroken)
+TEST_F(pool_test, TruncatedResponseIsBroken)
 {
     for (const std::string bytes : {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc", "HTTP/1.1 200 O",
              "rubbish\r\n\r\n"}) {
-        const auto seen = send("a");
+        const auto outcome = send("a");
         const std::size_t at = m_connections.size();
-        ASSERT_TRUE(arrived(at, "a"));
-        answer(at, bytes);
+        ASSERT_TRUE(runUntilReceived(at, "a"));
+        respond(at, bytes);
         m_connections[at]->socket->hangUp();
-        ASSERT_TRUE(ends(*seen));
-        EXPECT_EQ(seen->how, send_end::Broken) << bytes;
+        ASSERT_TRUE(runUntilDone(*outcome));
+        EXPECT_EQ(outcome->how, send_end::Broken) << bytes;
     }
 }
 
-// A kept connection is dead when it is used. What may run only once must not be sent a second time behind
-// anyone's back.
-TEST_F(pool_test, NothingIsSentTwice)
+// A reused connection turns out to be dead. The request may have been executed, so the pool must not send it
+// again.
+TEST_F(pool_test, RequestOnADeadConnectionIsNotSentAgain)
 {
     const auto first = send("a");
-    ASSERT_TRUE(arrived(0, "a"));
-    answer(0, whole("a", "one"));
-    ASSERT_TRUE(ends(*first));
+    ASSERT_TRUE(runUntilReceived(0, "a"));
+    respond(0, completeResponse("a", "one"));
+    ASSERT_TRUE(runUntilDone(*first));
     const auto second = send("b");
-    ASSERT_TRUE(arrived(0, "b"));
+    ASSERT_TRUE(runUntilReceived(0, "b"));
     m_connections[0]->socket->reset();
-    ASSERT_TRUE(ends(*second));
+    ASSERT_TRUE(runUntilDone(*second));
     EXPECT_EQ(second->how, send_end::Broken);
     runRounds(50);
-    takeConnections();
+    acceptAndReceive();
     EXPECT_EQ(m_connections.size(), 1U);
 }
 
-// A server rejects a long request before it is in, and goes on reading on that connection. The next user's
-// request would be taken for the rest of the body.
-TEST_F(pool_test, AnAnswerBeforeTheBodyIsInEndsTheConnection)
+// A server rejects a long request before its end and keeps reading from the connection. The next request on
+// it would be read as the rest of the body.
+TEST_F(pool_test, ResponseBeforeTheEndOfTheBodyClosesTheConnection)
 {
-    auto seen = std::make_shared<outcome_seen>();
+    auto outcome = std::make_shared<send_outcome>();
     send_handlers calls;
-    calls.onHead = [seen](const http_head &answer) {
-        seen->status = answer.status;
+    calls.onHead = [outcome](const http_head &response) {
+        outcome->status = response.status;
         return true;
     };
     calls.onBody = [](const std::string &) {};
-    calls.onEnd = [seen](send_end how, const error &) {
-        seen->done = true;
-        seen->how = how;
+    calls.onEnd = [outcome](send_end how, const error &) {
+        outcome->done = true;
+        outcome->how = how;
     };
-    constexpr std::size_t bodyBytes = 64 * 1024 * 1024; // more than the sockets' buffers take
+    constexpr std::size_t bodyBytes = 64 * 1024 * 1024; // more than the socket buffers hold
     m_pool.start({http_testing::loopback, m_port},
         "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: " + std::to_string(bodyBytes) + "\r\n\r\n"
             + std::string(bodyBytes, 'x'),
@@ -412,33 +411,33 @@
     ASSERT_TRUE(runUntil([&] {
         const int fd = accept4(m_listener->fd(), nullptr, nullptr, SOCK_NONBLOCK);
         if (fd >= 0) {
-            m_connections.push_back(std::make_unique<accepted>());
+            m_connections.push_back(std::make_unique<accepted_connection>());
             m_connections.back()->socket = std::make_unique<raw_socket>(fd);
         }
         return !m_connections.empty();
     }));
-    answer(0, whole("a", "too long"));
+    respond(0, completeResponse("a", "too long"));
     ASSERT_TRUE(runUntil([&] {
-        return seen->done;
+        return outcome->done;
     }));
-    EXPECT_EQ(seen->how, send_end::Whole);
-    EXPECT_EQ(seen->status, 200);
+    EXPECT_EQ(outcome->how, send_end::Whole);
+    EXPECT_EQ(outcome->status, 200);
     const auto next = send("b");
-    ASSERT_TRUE(arrived(1, "b"));
-    answer(1, whole("b", "two"));
-    ASSERT_TRUE(ends(*next));
+    ASSERT_TRUE(runUntilReceived(1, "b"));
+    respond(1, completeResponse("b", "two"));
+    ASSERT_TRUE(runUntilDone(*next));
     EXPECT_EQ(next->body, "two");
 }
 
-TEST_F(pool_test, AServerThatIsNotThereGotNothing)
+TEST_F(pool_test, SendToAClosedPortIsUnsent)
 {
     m_listener->hangUp();
-    const auto seen = send("a");
-    ASSERT_TRUE(ends(*seen));
-    EXPECT_EQ(seen->how, send_end::Unsent);
+    const auto outcome = send("a");
+    ASSERT_TRUE(runUntilDone(*outcome));
+    EXPECT_EQ(outcome->how, send_end::Unsent);
 }
 
-TEST_F(pool_test, ACancelledSendClosesItsConnection)
+TEST_F(pool_test, CancelledSendClosesItsConnection)
 {
     send_handlers calls;
     calls.onHead = [](const http_head &) {
@@ -446,19 +445,19 @@
     };
     calls.onBody = [](const std::string &) {};
     calls.onEnd = [](send_end, const error &) {
-        FAIL() << "a cancelled send tells nothing";
+        FAIL() << "a cancelled send must not call back";
     };
     const auto id =
         m_pool.start({http_testing::loopback, m_port}, "POST /a HTTP/1.1\r\nHost: h\r\n\r\n", false, calls);
-    ASSERT_TRUE(arrived(0, "a"));
+    ASSERT_TRUE(runUntilReceived(0, "a"));
     m_pool.cancel(id);
     EXPECT_TRUE(runUntil([&] {
-        return !m_connections[0]->socket->receive(m_connections[0]->in);
+        return !m_connections[0]->socket->receive(m_connections[0]->received);
     }));
 }
 
-// The reader of the log stops. The daemon must not wait for it, and what is lost is counted.
-TEST(DecisionLog, NeverWaitsForItsReader)
+// The log's reader stops reading. The daemon must not block on it, and counts the dropped lines.
+TEST(DecisionLog, NeverBlocksOnItsReader)
 {
     int ends[2] = {};
     ASSERT_EQ(pipe(ends), 0);
@@ -471,7 +470,7 @@
     close(ends[1]);
 }
 
-TEST(DecisionLog, LeavesRoomForWhatMattersAndSaysWhatWasDropped)
+TEST(DecisionLog, KeepsImportantLinesAndReportsDroppedOnes)
 {
     int ends[2] = {};
     ASSERT_EQ(pipe(ends), 0);
