--- a/packages/serving/account_check.cpp
+++ b/packages/serving/account_check.cpp
@@ -20,7 +20,7 @@
     if (found != config.accountByKeyHash.end()) {
         return {auth_status::Accepted, &config.accounts[found->second]};
     }
-    if (matchedRoute.allowAnonymous || !requiresKeys(config)) {
+    if (matchedRoute.anonymousAllowed || !requiresKeys(config)) {
         return {};
     }
     return {keyHash.empty() ? auth_status::Missing : auth_status::Unknown, nullptr};
--- a/packages/serving/crash_store.cpp
+++ b/packages/serving/crash_store.cpp
@@ -44,7 +44,7 @@
         log.important("crash." + std::string(nameOf(entry.event)))
             .add("fingerprint", entry.fingerprint)
             .add("server", entry.server)
-            .add("ends", static_cast<std::int64_t>(entry.ends))
+            .add("ends", static_cast<std::int64_t>(entry.crashes))
             .add("source", entry.source);
     };
     return links;
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -77,12 +77,12 @@
         , m_notices(eventLoop, m_bus, m_store, settings, log)
         , m_front(eventLoop, m_bus, m_store, m_crashes, *m_quota, m_notices, m_pool, m_dependencies.requests,
               settings, log)
-        , m_orderer(eventLoop, m_bus, m_store, m_notices, m_pool, m_dependencies.requests, settings, log,
+        , m_serverOwner(eventLoop, m_bus, m_store, m_notices, m_pool, m_dependencies.requests, settings, log,
               [this](const std::string &entry, const slot_response &response) {
                   sendSlotResponse(entry, response);
               })
     {
-        m_front.setServerOwner(m_orderer);
+        m_front.setServerOwner(m_serverOwner);
     }
 
     bool open(error &why);
@@ -119,7 +119,7 @@
     std::unique_ptr<quota_task> m_quota; ///< its own links refer to it through this pointer
     server_notice_task m_notices;
     front_task m_front;
-    server_owner_task m_orderer;
+    server_owner_task m_serverOwner;
     std::unique_ptr<fleet_port> m_port;
     std::unique_ptr<front_server> m_peers; ///< serves store updates to other daemons
     std::unique_ptr<front_server> m_callers;
@@ -272,12 +272,12 @@
                 m_notices.onNotice(datagram.from, body);
             } else if constexpr (std::is_same_v<body_type, fleet_heartbeat>) {
                 m_front.onHeartbeat(datagram.from, body);
-                m_orderer.onHeartbeat(datagram.from, body);
+                m_serverOwner.onHeartbeat(datagram.from, body);
                 if (body.relay) {
                     relayHeartbeat(datagram, body);
                 }
             } else { // an entry's slot requests, and reports about granted slots
-                m_orderer.handle(datagram.from, body);
+                m_serverOwner.handle(datagram.from, body);
             }
         },
         datagram.body);
@@ -314,7 +314,7 @@
 {
     const bool noPeerDatagrams =
         m_lastPeerDatagramAt.count != 0 && bootNow() - m_lastPeerDatagramAt >= isolatedAfter;
-    const bool isolated = noPeerDatagrams && m_orderer.expectsHeartbeats();
+    const bool isolated = noPeerDatagrams && m_serverOwner.expectsHeartbeats();
     if (isolated == m_isolated) {
         return;
     }
@@ -322,14 +322,14 @@
     m_log.important(isolated ? "peers.lost" : "peers.heard")
         .add("silent_ms", bootNow() - m_lastPeerDatagramAt);
     m_front.setIsolated(isolated);
-    m_orderer.setIsolated(isolated);
+    m_serverOwner.setIsolated(isolated);
     m_callers->setClosing(isolated || m_shuttingDown);
 }
 
 void daemon_impl::sendHeartbeats()
 {
     updateIsolation();
-    const fleet_heartbeat heartbeat = m_orderer.heartbeat();
+    const fleet_heartbeat heartbeat = m_serverOwner.heartbeat();
     m_front.onHeartbeat(m_settings.node, heartbeat);
     ++m_heartbeatRound;
     for (const heartbeat_delivery &delivery :
@@ -407,8 +407,8 @@
 std::string daemon_impl::metricsPage() const
 {
     const store_view &view = m_store.view();
-    const std::string text =
-        metricsText({&m_front.counters(), &m_crashes.counters(), &m_orderer.counters(), &m_pool.counters(),
+    const std::string text = metricsText(
+        {&m_front.counters(), &m_crashes.counters(), &m_serverOwner.counters(), &m_pool.counters(),
             &m_port->counters(), &m_loopLag, m_front.active(), m_callers->connections(), m_log.dropped(),
             view.config ? view.config->version : 0, m_store.configConfirmedAt(), &m_quota->counters()});
     return m_dependencies.storeMetrics ? text + m_dependencies.storeMetrics() : text;
@@ -449,7 +449,7 @@
     const bool timeUp = elapsed > m_settings.shutdown - shutdownMargin;
     if (elapsed > handOverAfter && !m_handedOver) {
         m_handedOver = true;
-        m_orderer.stop();
+        m_serverOwner.stop();
         m_quota->stop();
         m_store.releaseRecords();
     }
--- a/packages/serving/front_account.cpp
+++ b/packages/serving/front_account.cpp
@@ -41,7 +41,7 @@
     const auto confirmedAt = m_store.configConfirmedAt();
     const bool stale = !confirmedAt || bootNow() - *confirmedAt > m_settings.maxRevocationDelay;
     if (m_settings.strictRevocation && stale && requiresKeys(*pending->config)
-        && !pending->matchedRoute->allowAnonymous) {
+        && !pending->matchedRoute->anonymousAllowed) {
         refuse(pending, "it is not known here whether the key has been withdrawn", retryAfterOtherInstance);
         return false;
     }
--- a/packages/serving/front_pending.h
+++ b/packages/serving/front_pending.h
@@ -91,7 +91,7 @@
 void front_task::sendToOwner(const std::string &owner, const message_type &message)
 {
     deliverToNode(m_loop, *m_port, m_store, m_settings.node, owner, message, [this](const message_type &own) {
-        m_orderer->handle(m_settings.node, own);
+        m_serverOwner->handle(m_settings.node, own);
     });
 }
 
--- a/packages/serving/front_task.cpp
+++ b/packages/serving/front_task.cpp
@@ -51,7 +51,7 @@
 
 void front_task::setServerOwner(server_owner_task &serverOwner)
 {
-    m_orderer = &serverOwner;
+    m_serverOwner = &serverOwner;
 }
 
 void front_task::setPort(fleet_port &port)
--- a/packages/serving/front_task.h
+++ b/packages/serving/front_task.h
@@ -154,7 +154,7 @@
     const request_codec &m_codec;
     node_settings m_settings;
     decision_log &m_log;
-    server_owner_task *m_orderer = nullptr;
+    server_owner_task *m_serverOwner = nullptr;
     fleet_port *m_port = nullptr;
     front_counters m_counters;
     service_retry_budget m_retryBudget;
--- a/packages/serving/server_owner_claims.cpp
+++ b/packages/serving/server_owner_claims.cpp
@@ -248,7 +248,7 @@
     state.startedAtMs = server->startedAtMs;
     configureScheduler(state.scheduler, *server);
     if (const auto known = m_limits.find(id); known != m_limits.end()) {
-        nameLimit(state.scheduler.limit, known->second.perSecond, known->second.heard, bootNow());
+        applyLimit(state.scheduler.limit, known->second.perSecond, known->second.receivedAt, bootNow());
     }
     m_servers.emplace(id, std::move(state));
     m_log.important("orderer.taken").add("server", id).add("fence", fence);
@@ -264,7 +264,7 @@
         scheduler.queue.maxRunning = std::numeric_limits<int>::max();
         return;
     }
-    scheduler.ledger.slots = engine->adapterSlots;
+    scheduler.ledger.slots = engine->adapterSlotCount;
     scheduler.ledger.weightsMb = engine->weightsMb;
     scheduler.queue.maxRunning = std::min(server.slots, engine->slots);
     scheduler.queue.memoryTokens = engine->memoryTokens;
--- a/packages/serving/server_owner_orders.cpp
+++ b/packages/serving/server_owner_orders.cpp
@@ -92,7 +92,7 @@
 void server_owner_task::recordNotices(const backend_server &server, const call_result &result)
 {
     if (result.how == send_end::Whole) {
-        m_words.onResponse("", server.id, startOf(server), m_codec.readUnsignedResponse(result.head));
+        m_words.onResponse("", server.id, incarnationOf(server), m_codec.readUnsignedResponse(result.head));
     }
 }
 
@@ -115,7 +115,7 @@
         current.reportRequested = false;
         recordNotices(target, result);
         if (const auto limit = m_codec.readUnsignedResponse(result.head).limit) {
-            nameLimit(current.scheduler.limit, *limit, bootNow(), bootNow());
+            applyLimit(current.scheduler.limit, *limit, bootNow(), bootNow());
         }
         error why;
         const auto report =
--- a/packages/serving/serving_config.h
+++ b/packages/serving/serving_config.h
@@ -45,7 +45,7 @@
     int rank = 0; ///< priority, 0 being the most urgent
     int maxServers = 1; ///< number of servers that one attempt may be sent to
     bool resumable = false; ///< a stream may be continued on another server
-    bool allowAnonymous = false; ///< callers need no API key
+    bool anonymousAllowed = false; ///< callers need no API key
     std::vector<service_share> services; ///< at least one
 };
 
@@ -64,7 +64,7 @@
     int slots = 1; ///< concurrent requests
     std::int64_t memoryTokens = 0; ///< tokens that fit into the KV cache
     double weightsMb = 0; ///< memory for the weights of models and adapters together
-    int adapterSlots = 0; ///< adapters that can be resident at the same time
+    int adapterSlotCount = 0; ///< adapters that can be resident at the same time
     double loadsPerSecond = 0; ///< loads/s from the weight store, over all servers
     std::vector<model_spec> models;
 };
--- a/packages/serving/slot_scheduler.cpp
+++ b/packages/serving/slot_scheduler.cpp
@@ -98,7 +98,7 @@
         return grant(ledger, running->second.prompt); // the first grant was lost
     }
     if (request.limitMilli >= 0) {
-        nameLimit(scheduler.limit, fromMilli(request.limitMilli), timeFromAge(request.limitAgeMs, now), now);
+        applyLimit(scheduler.limit, fromMilli(request.limitMilli), timeFromAge(request.limitAgeMs, now), now);
     }
     const millis permitWait = isWaiting(scheduler.queue, request.id)
         ? millis{}
@@ -171,7 +171,7 @@
 void onLimitReport(slot_scheduler &scheduler, const limit_report &report, millis now)
 {
     if (report.limitMilli >= 0) {
-        nameLimit(scheduler.limit, fromMilli(report.limitMilli), now, now);
+        applyLimit(scheduler.limit, fromMilli(report.limitMilli), now, now);
         return;
     }
     const auto run = scheduler.queue.running.find(report.id);
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -21,23 +21,13 @@
 mechanisms() {
     cat <<'TABLE'
 none            | choose_server.h | ^$ | 
-<<<<<<< /tmp/jn.t
 remembered      | choose_server.h | cachedPenaltyMs = 500; | cachedPenaltyMs = 1'400;
 apart           | choose_server.h | longResponsePenaltyMs = 120; | longResponsePenaltyMs = 0;
 hash-rank       | choose_server.h | hashRankPenaltyMs = 150; | hashRankPenaltyMs = 0;
 copies-dear     | choose_server.h | absentPenaltyMs = 900; | absentPenaltyMs = 350;
 failures        | choose_server.h | failurePenaltyMs = 2'000; | failurePenaltyMs = 0;
-on-time-first   | place_queue.cpp | return now + millis{std::llround(readMs)} + firstEventMargin <= prompt.targetAt; | return readMs >= 0 \&\& now >= millis{} \&\& prompt.targetAt >= millis{} \&\& firstEventMargin >= millis{};
-read-window     | place_queue.h   | readAheadMs = 170.0; | readAheadMs = 2'000.0;
-=======
-remembered      | choose_server.h | rememberedMs = 500; | rememberedMs = 1'400;
-apart           | choose_server.h | longAnswerMs = 120; | longAnswerMs = 0;
-hash-rank       | choose_server.h | hashRankMs = 150; | hashRankMs = 0;
-copies-dear     | choose_server.h | absentMs = 900; | absentMs = 350;
-failures        | choose_server.h | failureMs = 2'000; | failureMs = 0;
 on-time-first   | slot_queue.cpp | return now + millis{std::llround(readMs)} + firstEventMargin <= prompt.targetAt; | return readMs >= 0 \&\& now >= millis{} \&\& prompt.targetAt >= millis{} \&\& firstEventMargin >= millis{};
 read-window     | slot_queue.h   | maxReadAheadMs = 170.0; | maxReadAheadMs = 2'000.0;
->>>>>>> /tmp/jn.o
 TABLE
 }
 
--- a/tests/serving/load_contention_test.cpp
+++ b/tests/serving/load_contention_test.cpp
@@ -114,7 +114,7 @@
             reporting += shared > 0 ? 1 : 0;
         }
         for (load_estimate &estimate : m_estimates) {
-            estimate.crowd = loadsInProgress;
+            estimate.concurrentLoads = loadsInProgress;
             applyPeerEstimate(estimate, reporting == 0 ? 0 : sum / reporting);
         }
     }
--- a/tests/serving/platform_test.cpp
+++ b/tests/serving/platform_test.cpp
@@ -251,7 +251,7 @@
     EXPECT_TRUE(config->routes[0].resumable);
     EXPECT_EQ(config->routes[1].services.size(), 2U);
     EXPECT_EQ(config->routes[2].kind, route_kind::Once) << "requests of an unknown kind must not be retried";
-    EXPECT_EQ(engineOf(*config, "s1")->adapterSlots, 5);
+    EXPECT_EQ(engineOf(*config, "s1")->adapterSlotCount, 5);
     EXPECT_EQ(engineOf(*config, "s2"), nullptr);
     EXPECT_EQ(config->limits.idleTime.count, 15'000);
     EXPECT_NE(findRoute(*config, "h.example", "/a/1"), nullptr);
