--- a/packages/protocol/codec.h
+++ b/packages/protocol/codec.h
@@ -21,7 +21,7 @@
 std::string encode(const peer_datagram &datagram);
 std::string encode(const fleet_datagram &datagram);
 /// Compressed with zlib, unlike the others.
-std::string encode(const store_update &news);
+std::string encode(const store_update &update);
 std::string encode(const daemon_record &record);
 std::string encode(const ownership_record &record);
 std::string encode(const quota_home_record &record);
--- a/packages/protocol/fleet_messages.h
+++ b/packages/protocol/fleet_messages.h
@@ -202,8 +202,8 @@
     bool modelLoaded = false; ///< whether the server has a base model
     std::vector<heartbeat_adapter> adapters;
     std::uint32_t availableSlots = 0; ///< adapter slots that are free or whose adapter is not in use
-    std::int64_t backlogTokens =
-        0; ///< prompt tokens of granted or queued requests whose prefill is not complete
+    /// Prompt tokens of granted or queued requests whose prefill is not complete.
+    std::int64_t backlogTokens = 0;
     std::int64_t prefillTokensPerSecond = 0; ///< measured
     std::uint32_t running = 0; ///< requests
     std::uint32_t longResponses = 0; ///< of those, the ones whose generation takes seconds
--- a/packages/protocol/messages.h
+++ b/packages/protocol/messages.h
@@ -327,8 +327,8 @@
     std::string name;
     std::uint64_t incarnation = 0; ///< of the peer's process
     peer_state state = peer_state::Alive;
-    std::uint32_t refutation =
-        0; ///< how often the peer has refuted that it is suspect; orders the facts about it
+    /// How often the peer has refuted that it is suspect; orders the facts about it.
+    std::uint32_t refutation = 0;
 
     template <class Archive>
     void serialize(Archive &archive)
--- a/packages/protocol/quota_messages.h
+++ b/packages/protocol/quota_messages.h
@@ -16,9 +16,9 @@
     std::int64_t costMilli = 0; ///< units of a typical request at the daemon
     std::uint32_t heldSharePpm = 0; ///< share of the limit that the daemon holds
     std::int64_t needMilli = 0; ///< units that waiting callers need beyond what the daemon has
-    std::int64_t firstNeedMilli =
-        0; ///< of needMilli, the units that the first waiting caller needs; a smaller grant would be useless
-    std::int64_t unusedMilli = 0; ///< units granted earlier that were not used; this message returns them
+    /// Of needMilli, the units that the first waiting caller needs; a smaller grant would be useless.
+    std::int64_t firstNeedMilli = 0;
+    std::int64_t unusedMilli = 0; ///< units granted earlier and not used; returned by this message alone
 
     template <class Archive>
     void serialize(Archive &archive)
@@ -31,8 +31,8 @@
 struct quota_request
 {
     std::uint32_t shard = 0; ///< of accounts, see shardOf()
-    std::uint64_t round =
-        0; ///< increases with each request for the shard within an incarnation of the daemon
+    /// Increases with each request for the shard within an incarnation of the daemon.
+    std::uint64_t round = 0;
     std::uint64_t lastAnsweredRound = 0; ///< the latest round whose response was received; 0: none
     /// Share of each limit that the daemon uses when it has been without a response for too long.
     std::uint32_t fallbackSharePpm = 0;
@@ -51,8 +51,8 @@
     std::uint64_t account = 0;
     std::uint32_t grantedSharePpm = 0; ///< share of the limit that the daemon holds from now on
     std::int64_t unitsMilli = 0; ///< units for the waiting callers
-    std::int64_t availableInMs =
-        0; ///< if the limit is used up: when units may be available again; 0: unknown
+    /// If the limit is used up: when units may be available again; 0: unknown.
+    std::int64_t availableInMs = 0;
 
     template <class Archive>
     void serialize(Archive &archive)
--- a/packages/state/config.h
+++ b/packages/state/config.h
@@ -74,8 +74,8 @@
     std::string callers; ///< a caller's name, "group:NAME" or "*"
     std::string adapters; ///< an adapter's name, or a prefix and '*'; empty in a rule for a service
     std::string service; ///< a service's name; empty in a rule for adapters
-    priority bestPriority =
-        priority::Normal; ///< the highest priority that the caller may request, and the default
+    /// The highest priority that the caller may request, and the default.
+    priority bestPriority = priority::Normal;
     std::uint32_t inFlight = 0; ///< concurrent requests per caller and entry instance; 0: unlimited
     std::uint32_t perSecond = 0; ///< requests per second per caller and entry instance; 0: unlimited
 };
--- a/packages/state/config_json.cpp
+++ b/packages/state/config_json.cpp
@@ -185,7 +185,7 @@
     const json &m_object;
     const entry_location &m_location;
     error &m_why;
-    std::vector<std::string_view> m_known; ///< keys that were asked for
+    std::vector<std::string_view> m_known; ///< keys passed to field()
     std::size_t m_readCount = 0; ///< keys of the object that were read
     bool m_valid = true;
 };
