--- a/packages/serving/quota_store.cpp
+++ b/packages/serving/quota_store.cpp
@@ -64,7 +64,7 @@
         store.claimQuotaHome(std::to_string(shard), replace);
     };
     links.recordPredecessorExpired = [&store](std::uint32_t shard) {
-        store.confirmPredecessorExpired(std::to_string(shard));
+        store.recordPredecessorExpired(std::to_string(shard));
     };
     links.isDisconnectedFromRecords = [&store] {
         return store.isStoreUnreachableLocallyOnly();
--- a/packages/serving/server_owner_orders.cpp
+++ b/packages/serving/server_owner_orders.cpp
@@ -163,7 +163,7 @@
         return;
     }
     order->owner = m_settings.node;
-    order->fence = state.fence;
+    order->fence = state.fencingToken;
     state.scheduler.ledger.openOrder = order;
     state.lastOrderAt = bootNow();
     const millis timeout = m_settings.serversCheckFencingTokens
@@ -173,29 +173,29 @@
     if (order->adapter.empty() && order->kind == order_kind::Load) {
         m_lastModelLoad = bootNow();
     }
-    const auto finish = [this, id, startedAtMs = state.startedAtMs, fence = state.fence, sent = *order,
-                            target = server](const call_result &result) {
+    const auto finish = [this, id, startedAtMs = state.startedAtMs, fencingToken = state.fencingToken,
+                            sent = *order, target = server](const call_result &result) {
         recordNotices(target, result);
         switch (result.how) {
         case send_end::Whole:
-            onOrderDone(id, startedAtMs, fence, sent, m_codec.readOrderResult(result.status));
+            onOrderDone(id, startedAtMs, fencingToken, sent, m_codec.readOrderResult(result.status));
             return;
         case send_end::Unsent:
-            onOrderDone(id, startedAtMs, fence, sent, order_result::Refused);
+            onOrderDone(id, startedAtMs, fencingToken, sent, order_result::Refused);
             return;
         case send_end::Broken:
-            onOrderDone(id, startedAtMs, fence, sent, order_result::Unknown);
+            onOrderDone(id, startedAtMs, fencingToken, sent, order_result::Unknown);
             return;
         }
     };
     callServer(m_loop, m_pool, server.address, m_codec.writeOrder(*order, server), timeout, finish);
 }
 
-void server_owner_task::onOrderDone(const std::string &id, std::int64_t startedAtMs, std::uint64_t fence,
-    const server_order &order, order_result response)
+void server_owner_task::onOrderDone(const std::string &id, std::int64_t startedAtMs,
+    std::uint64_t fencingToken, const server_order &order, order_result response)
 {
     const auto found = m_servers.find(id);
-    if (found == m_servers.end() || found->second.fence != fence
+    if (found == m_servers.end() || found->second.fencingToken != fencingToken
         || found->second.startedAtMs != startedAtMs) {
         return;
     }
@@ -207,7 +207,7 @@
         .add("adapter", adapterKey(order.model, order.adapter))
         .add("version", order.version)
         .add("expected", order.expectedSequence)
-        .add("fence", fence)
+        .add("fence", fencingToken)
         .add("outcome", nameOf(response));
     m_counters.ordersUnknown += response == order_result::Unknown ? 1 : 0;
     m_counters.loads += response == order_result::Accepted && order.kind == order_kind::Load ? 1 : 0;
