--- a/packages/serving/slot_scheduler.cpp
+++ b/packages/serving/slot_scheduler.cpp
@@ -36,9 +36,9 @@
 /// When more adapters are requested than the weight store can deliver, as after a restart of all entries,
 /// each load takes longer than its callers wait: it serves nobody, and evicts an adapter in use. Loads stay
 /// at their limit and callers are refused for seconds although arrivals are as before. Loading only what
-/// arrives in time reduces the number of concurrent loads until loads are useful again. With 300 servers and
-/// three times the load that the weight store can deliver, 118 of 128 callers that can be served are served;
-/// without this check none are.
+/// arrives in time reduces the number of concurrent loads until loads are useful again. In the load
+/// contention test, with 300 servers and three times the rate of the weight store, 118 of the 128 callers
+/// that can be served are served; without this check none are.
 bool loadsTooLate(const server_ledger &ledger, const waiting_prompt &prompt, millis now)
 {
     const bool ordered = prompt.adapter.empty() || findSlot(ledger, prompt.model, prompt.adapter) != nullptr;
--- a/tests/serving/fake_store.h
+++ b/tests/serving/fake_store.h
@@ -46,7 +46,7 @@
     std::map<std::int64_t, millis> renewedAt; ///< when a lease was last granted or renewed
     std::uint64_t calls = 0;
     std::uint64_t watches = 0;
-    std::uint64_t lists = 0; ///< answered ones
+    std::uint64_t lists = 0; ///< calls that were answered
 };
 
 /// One daemon's client of a fake_store, with its own faults.
