--- a/packages/daemon/admin_task.h
+++ b/packages/daemon/admin_task.h
@@ -15,7 +15,7 @@
 
 namespace briarhead {
 
-/// The task that faces operators and the platform: health, readiness, metrics, the configuration and the
+/// The task that serves operators and the platform: health, readiness, metrics, the configuration, and the
 /// state of the whole region, which it collects from its peers.
 class admin_task
 {
@@ -28,33 +28,38 @@
         std::function<std::string()> metricsText;
     };
 
-    admin_task(bus &messages, loop &eventLoop, config_task &configuration, metrics &counts, options given);
+    admin_task(bus &messages, loop &eventLoop, config_task &configuration, metrics &daemonMetrics,
+        options taskOptions);
 
-    /// Whether this task answers the path: /healthz, /readyz, /metrics and all under /admin/.
-    static bool concerns(const std::string &path);
+    /// Whether this task serves the path: /healthz, /readyz, /metrics and everything under /admin/.
+    static bool handlesPath(const std::string &path);
     void onRequest(const http_request &request, const std::shared_ptr<http_reply> &reply);
 
 private:
-    /// Answers of peers to one question, by instance.
-    using answers = std::map<std::string, std::string>;
-    /// One question under way.
-    struct question
+    /// JSON texts by instance.
+    using peer_responses = std::map<std::string, std::string>;
+    /// A status request to all daemons that awaits their responses.
+    struct peer_query
     {
-        answers got;
-        std::size_t wanted = 0;
-        std::function<void(const answers &, std::size_t wanted)> done;
+        peer_responses responses;
+        std::size_t expected = 0; ///< number of daemons that the request was sent to
+        std::function<void(const peer_responses &, std::size_t expected)> onComplete;
         std::shared_ptr<void> timer;
     };
 
-    void ask(const std::string &part, std::function<void(const answers &, std::size_t wanted)> done);
-    void finish(std::uint64_t id);
-    void patch(const http_request &request, const std::shared_ptr<http_reply> &reply);
+    /// Requests a page from all daemons that are not dead. `onComplete` is called once all have responded or
+    /// the timeout has passed, with the responses that arrived.
+    void queryPeers(const std::string &page,
+        std::function<void(const peer_responses &, std::size_t expected)> onComplete);
+    void finishQuery(std::uint64_t id);
+    void handlePatch(const http_request &request, const std::shared_ptr<http_reply> &reply);
     void showConfig(const http_request &request, const std::shared_ptr<http_reply> &reply);
     void showHistory(const http_request &request, const std::shared_ptr<http_reply> &reply);
-    void instances(const std::shared_ptr<http_reply> &reply);
-    void collected(
-        const std::string &part, const http_request &request, const std::shared_ptr<http_reply> &reply);
-    void drain(const http_request &request, const std::shared_ptr<http_reply> &reply);
+    void showInstances(const std::shared_ptr<http_reply> &reply);
+    /// Serves a page that is merged from the responses of all daemons: "servers", "adapters" or "burn".
+    void showFromPeers(
+        const std::string &page, const http_request &request, const std::shared_ptr<http_reply> &reply);
+    void handleDrain(const http_request &request, const std::shared_ptr<http_reply> &reply);
 
     bus &m_bus;
     loop &m_loop;
@@ -63,8 +68,8 @@
     options m_options;
     config_ptr m_config;
     std::vector<member> m_members;
-    std::map<std::uint64_t, question> m_questions;
-    std::uint64_t m_nextQuestion = 1;
+    std::map<std::uint64_t, peer_query> m_queries; ///< open queries by ID
+    std::uint64_t m_nextQueryId = 1;
 };
 
 }
--- a/packages/daemon/burn_track.cpp
+++ b/packages/daemon/burn_track.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr millis callerBucket{600'000};
-constexpr std::size_t callerBuckets = 144; // a day
+constexpr millis callerBucketLength{600'000};
+constexpr std::size_t callerBuckets = 144; // one day
 
 std::int64_t bucketNumber(const burn_ring &ring, millis at)
 {
@@ -24,17 +24,17 @@
     return ring.buckets[static_cast<std::size_t>(number) % ring.buckets.size()];
 }
 
-/// Empties the buckets that are reused for the time since the last one.
+/// Clears the buckets between the newest one and `number`, which still hold old counts.
 void advance(burn_ring &ring, std::int64_t number)
 {
     const auto size = static_cast<std::int64_t>(ring.buckets.size());
-    for (auto each = std::max(ring.newest + 1, number - size + 1); each <= number; ++each) {
-        bucketAt(ring, each) = {};
+    for (auto reused = std::max(ring.newest + 1, number - size + 1); reused <= number; ++reused) {
+        bucketAt(ring, reused) = {};
     }
     ring.newest = std::max(ring.newest, number);
 }
 
-/// The finest ring that reaches back over the whole span.
+/// The ring with the shortest buckets that covers the entire span.
 const burn_ring &ringFor(const burn_track &track, millis span)
 {
     if (span <= lengthOf(burn_span::Hour)) {
@@ -43,7 +43,7 @@
     return span <= lengthOf(burn_span::Day) ? track.day : track.month;
 }
 
-/// Makes room by forgetting callers that a day has passed without.
+/// Drops the callers that had no requests for a day, the length of their rings.
 void dropIdleCallers(burn_track &track, millis now)
 {
     std::erase_if(track.byCaller, [now](const auto &entry) {
@@ -60,9 +60,9 @@
     if (track.byCaller.size() >= maxBurnCallers) {
         dropIdleCallers(track, now);
     }
-    const bool known = !caller.empty() && track.byCaller.size() < maxBurnCallers;
-    const std::string name = known ? caller : std::string(otherCallers);
-    return track.byCaller.try_emplace(name, callerBucket, callerBuckets).first->second;
+    const bool countedSeparately = !caller.empty() && track.byCaller.size() < maxBurnCallers;
+    const std::string name = countedSeparately ? caller : std::string(otherCallers);
+    return track.byCaller.try_emplace(name, callerBucketLength, callerBuckets).first->second;
 }
 
 template <std::size_t size>
--- a/packages/daemon/burn_track.h
+++ b/packages/daemon/burn_track.h
@@ -14,14 +14,14 @@
 
 namespace briarhead {
 
-/// Counts of one span of time, as small as they can be: a bucket lasts an hour at most.
+/// Request counts of one time interval. 32 bits suffice, since a bucket covers at most an hour.
 struct burn_bucket
 {
     std::uint32_t total = 0;
     std::array<std::uint32_t, burnCauses> byCause{};
 };
 
-/// The latest buckets of equal length; older ones are overwritten.
+/// A ring of the most recent buckets, all of equal length; the oldest is overwritten.
 struct burn_ring
 {
     burn_ring(millis bucketLength, std::size_t count)
@@ -32,26 +32,28 @@
 
     millis length;
     std::vector<burn_bucket> buckets;
-    std::int64_t newest = 0; ///< number of the newest bucket, counted from the clock's zero
+    std::int64_t newest = 0; ///< time of the newest bucket divided by `length`
 };
 
 void add(burn_ring &ring, const judgement &verdict, millis now);
-/// The sum of the buckets that began within (from, to] before `now`, the running one included.
+/// The sum of the buckets that began between `from` and `to` before `now`, including the current one if `to`
+/// is 0.
 burn_counts countsBetween(const burn_ring &ring, millis from, millis to, millis now);
+/// The same for the `span` up to `now`.
 burn_counts countsWithin(const burn_ring &ring, millis span, millis now);
 
-/// Callers with counts of their own per target; the others share one ring.
+/// Maximum number of callers that are counted separately per target; the others share one ring.
 constexpr std::size_t maxBurnCallers = 32;
 
-/// What one instance remembers of one target. Three resolutions keep it near 33 KB where five-minute
-/// buckets over a month would take 200 KB; a caller's ring takes 3.5 KB more.
+/// The history of one target at one instance. With three resolutions it takes about 33 KB, where five-minute
+/// buckets over a month would take 200 KB. The ring of each caller takes another 3.5 KB.
 struct burn_track
 {
-    millis since; ///< when this instance began to count
+    millis since; ///< when this instance started counting
     burn_ring hour{millis{10'000}, 360};
     burn_ring day{millis{300'000}, 288};
     burn_ring month{millis{3'600'000}, 720};
-    burn_counts all; ///< since then
+    burn_counts all; ///< since `since`
     std::map<std::string, burn_ring, std::less<>> byCaller;
     latency_histogram firstTokenTimes;
     latency_histogram endToEndTimes;
@@ -60,7 +62,7 @@
 
 void add(burn_track &track, const request_record &request, const judgement &verdict, millis now);
 
-/// The report of a target; `track` of nullptr for one that nothing was counted for.
+/// The burn report of a target; `track` is nullptr if nothing was counted for it.
 target_burn describe(
     const std::string &name, const target_config &target, const burn_track *track, millis now);
 
--- a/packages/daemon/crash_records.cpp
+++ b/packages/daemon/crash_records.cpp
@@ -13,66 +13,67 @@
 namespace {
 
 const std::string recordPrefix = "briarhead/crash/";
-/// Daemons tell each other at once; reading again finds what was told while this one started. 1,200 daemons
-/// make 4 reads a second of the two thousand that the service takes, and as many records as there may be
-/// 0.5 KB a second at each of the 2 it may spend.
-constexpr millis readEvery{300'000};
-/// After a reading that failed: without the records a new daemon would let through what all others refuse.
-constexpr millis readAgain{500};
-
-void log(const crash_log_entry &note)
+/// Daemons notify each other at once; periodic reads find what was sent while this one started. 1,200 daemons
+/// cause 4 of the 2,000 reads per second that the store can serve. At the maximum number of records, each
+/// daemon receives 0.5 KB/s of the 2 KB/s that it may use.
+constexpr millis readInterval{300'000};
+/// Delay after a failed read. Without the records, a new daemon would admit requests that all others block.
+constexpr millis readRetryDelay{500};
+
+void log(const crash_log_entry &entry)
 {
-    spdlog::warn("crash: {} {}, {} servers ended, the last {}; {}.", nameOf(note.event), note.fingerprint,
-        note.crashes, note.server.empty() ? "-" : note.server, note.source);
+    spdlog::warn("crash: Event '{}' for request {}: {} servers crashed, the last one {}; source: {}.",
+        nameOf(entry.event), entry.fingerprint, entry.crashes, entry.server.empty() ? "-" : entry.server,
+        entry.source);
 }
 
 }
 
-crash_records::crash_records(bus &messages, loop &eventLoop, kv_client &store, std::string self)
+crash_records::crash_records(bus &messages, loop &eventLoop, kv_client &kvClient, std::string self)
     : m_bus(messages)
     , m_loop(eventLoop)
-    , m_store(store)
+    , m_kvClient(kvClient)
     , m_self(std::move(self))
 {
-    m_bus.on<members_changed>([this](const members_changed &news) {
-        m_daemons = keyHomeCandidates(news.members);
+    m_bus.on<members_changed>([this](const members_changed &event) {
+        m_daemons = keyHomeCandidates(event.members);
     });
 }
 
-crash_callbacks crash_records::links()
+crash_callbacks crash_records::callbacks()
 {
-    crash_callbacks links;
-    links.self = m_self;
-    links.daemons = [this] {
+    crash_callbacks callbacks;
+    callbacks.self = m_self;
+    callbacks.daemons = [this] {
         return m_daemons;
     };
-    links.send = [this](const std::string &daemon, const crash_report &news) {
-        m_bus.post(send_to{daemon, news});
+    callbacks.send = [this](const std::string &daemon, const crash_report &report) {
+        m_bus.post(send_to{daemon, report});
     };
-    links.storedRecord = [this](const std::string &fingerprint) {
+    callbacks.storedRecord = [this](const std::string &fingerprint) {
         return stored(fingerprint);
     };
-    links.recordCount = [this] {
+    callbacks.recordCount = [this] {
         return m_records.size();
     };
-    links.storeRecord = [this](const std::string &fingerprint, const crash_record &record,
-                            std::function<void(bool)> done) {
-        keep(fingerprint, record, std::move(done));
+    callbacks.storeRecord = [this](const std::string &fingerprint, const crash_record &record,
+                                std::function<void(bool)> done) {
+        store(fingerprint, record, std::move(done));
     };
-    links.removeRecord = [this](const std::string &fingerprint) {
-        drop(fingerprint);
+    callbacks.removeRecord = [this](const std::string &fingerprint) {
+        remove(fingerprint);
     };
-    links.log = log;
-    return links;
+    callbacks.log = log;
+    return callbacks;
 }
 
-void crash_records::start(crash_task &crashes)
+void crash_records::start(crash_task &crashTask)
 {
-    m_crashes = &crashes;
-    m_bus.on<received<crash_report>>([this](const received<crash_report> &news) {
-        m_crashes->onReport(news.body);
+    m_crashTask = &crashTask;
+    m_bus.on<received<crash_report>>([this](const received<crash_report> &event) {
+        m_crashTask->onReport(event.body);
     });
-    read();
+    readAll();
 }
 
 crash_record crash_records::stored(const std::string &fingerprint) const
@@ -81,41 +82,40 @@
     return found == m_records.end() ? crash_record{} : found->second.record;
 }
 
-void crash_records::read()
+void crash_records::readAll()
 {
-    m_store.list(recordPrefix, 0, [this](const kv_read &read) {
-        onRead(read);
+    m_kvClient.list(recordPrefix, 0, [this](const kv_read &result) {
+        onRecordsRead(result);
     });
 }
 
-void crash_records::onRead(const kv_read &read)
+void crash_records::onRecordsRead(const kv_read &result)
 {
-    const bool ok = read.status == kv_status::Ok;
-    m_timer = m_loop.timer(ok ? readEvery : readAgain, {}, [this] {
-        this->read();
+    const bool ok = result.status == kv_status::Ok;
+    m_timer = m_loop.timer(ok ? readInterval : readRetryDelay, {}, [this] {
+        this->readAll();
     });
     if (!ok) {
         return;
     }
     std::set<std::string> present;
-    for (const kv_entry &entry : read.entries) {
+    for (const kv_entry &entry : result.entries) {
         present.insert(entry.key.substr(recordPrefix.size()));
-        takeRecord(entry);
+        applyEntry(entry);
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
     for (const auto &[fingerprint, record] : m_records) {
-        if (present.count(fingerprint) == 0 && record.revision <= read.revision) {
-            gone.push_back(fingerprint);
+        if (present.count(fingerprint) == 0 && record.revision <= result.revision) {
+            removed.push_back(fingerprint);
         }
     }
-    for (const std::string &fingerprint : gone) {
+    for (const std::string &fingerprint : removed) {
         m_records.erase(fingerprint);
-        m_crashes->onStoredRecord(fingerprint, {});
+        m_crashTask->onStoredRecord(fingerprint, {});
     }
 }
 
-/// Another writer's bytes say nothing, and are replaced at the revision they have.
-void crash_records::takeRecord(const kv_entry &entry)
+void crash_records::applyEntry(const kv_entry &entry)
 {
     const std::string fingerprint = entry.key.substr(recordPrefix.size());
     error why;
@@ -123,43 +123,44 @@
     stored_record &known = m_records[fingerprint];
     known = {record.value_or(crash_record{}), entry.modRevision};
     if (!record || record->servers.empty()) {
-        spdlog::warn("crash: {} can't be read: {}", entry.key, message(why));
+        spdlog::warn("crash: Ignoring the record {}, which can't be decoded: {}", entry.key, message(why));
         return;
     }
-    m_crashes->onStoredRecord(fingerprint, *record);
+    m_crashTask->onStoredRecord(fingerprint, *record);
 }
 
-void crash_records::keep(
+void crash_records::store(
     const std::string &fingerprint, const crash_record &record, std::function<void(bool)> done)
 {
     const auto known = m_records.find(fingerprint);
     const std::int64_t revision = known == m_records.end() ? 0 : known->second.revision;
-    m_store.compareAndSwap(recordPrefix + fingerprint, revision, encode(record), 0,
-        [this, fingerprint, record, done = std::move(done)](const kv_write &write) {
-            if (write.status == kv_status::Ok) {
-                m_records[fingerprint] = {record, write.revision};
-            } else if (write.status == kv_status::Conflict && write.current.modRevision == 0) {
-                m_records.erase(fingerprint); // dropped by another daemon
-            } else if (write.status == kv_status::Conflict) {
-                takeRecord(write.current); // another home was faster; the next look adds what is missing
+    m_kvClient.compareAndSwap(recordPrefix + fingerprint, revision, encode(record), 0,
+        [this, fingerprint, record, done = std::move(done)](const kv_write &result) {
+            if (result.status == kv_status::Ok) {
+                m_records[fingerprint] = {record, result.revision};
+            } else if (result.status == kv_status::Conflict && result.current.modRevision == 0) {
+                m_records.erase(fingerprint); // removed by another daemon
+            } else if (result.status == kv_status::Conflict) {
+                // Another home wrote first. The task's next check adds what is missing.
+                applyEntry(result.current);
             }
-            done(write.status == kv_status::Ok);
+            done(result.status == kv_status::Ok);
         });
 }
 
-void crash_records::drop(const std::string &fingerprint)
+void crash_records::remove(const std::string &fingerprint)
 {
     const auto known = m_records.find(fingerprint);
     if (known == m_records.end()) {
         return;
     }
-    m_store.compareAndRemove(
-        recordPrefix + fingerprint, known->second.revision, [this, fingerprint](const kv_write &write) {
-            const bool absent = write.status == kv_status::Conflict && write.current.modRevision == 0;
-            if (write.status == kv_status::Ok || absent) {
+    m_kvClient.compareAndRemove(
+        recordPrefix + fingerprint, known->second.revision, [this, fingerprint](const kv_write &result) {
+            const bool absent = result.status == kv_status::Conflict && result.current.modRevision == 0;
+            if (result.status == kv_status::Ok || absent) {
                 m_records.erase(fingerprint);
-            } else if (write.status == kv_status::Conflict) {
-                m_records[fingerprint].revision = write.current.modRevision;
+            } else if (result.status == kv_status::Conflict) {
+                m_records[fingerprint].revision = result.current.modRevision;
             }
         });
 }
--- a/packages/daemon/daemon.cpp
+++ b/packages/daemon/daemon.cpp
@@ -26,25 +26,26 @@
 
 namespace {
 
-/// New callers are still taken in for this long after readiness went false, until the balancer has noticed.
+/// New connections are still accepted for this long after the daemon has become unready, until the load
+/// balancer has noticed.
 constexpr millis balancerGrace{2'000};
-constexpr std::int64_t drainCheckMs = 50;
+constexpr std::int64_t drainCheckIntervalMs = 50;
 
-class whole_daemon : public daemon
+class daemon_implementation : public daemon
 {
 public:
-    explicit whole_daemon(const settings &given)
-        : m_settings(given)
+    explicit daemon_implementation(const settings &daemonSettings)
+        : m_settings(daemonSettings)
         , m_incarnation(static_cast<std::uint64_t>(wallNow().count))
         , m_bus(m_loop)
-        , m_runs(m_loop)
-        , m_guarded(m_loop)
-        , m_platform(m_loop)
-        , m_kv(m_loop, given.kvUrls, given.kvTimeout)
-        , m_liveList(m_loop, m_platform, given.liveListUrl, given.region)
-        , m_router(m_bus, given.instance, m_incarnation)
-        , m_crashRecords(m_bus, m_loop, m_kv, given.instance)
-        , m_crashes(m_loop, m_bus, m_crashRecords.links())
+        , m_requestClient(m_loop)
+        , m_fencedClient(m_loop)
+        , m_platformClient(m_loop)
+        , m_kvClient(m_loop, daemonSettings.kvUrls, daemonSettings.kvTimeout)
+        , m_liveList(m_loop, m_platformClient, daemonSettings.liveListUrl, daemonSettings.region)
+        , m_router(m_bus, daemonSettings.instance, m_incarnation)
+        , m_crashRecords(m_bus, m_loop, m_kvClient, daemonSettings.instance)
+        , m_crashes(m_loop, m_bus, m_crashRecords.callbacks())
     {
     }
 
@@ -61,8 +62,8 @@
             return false;
         }
         m_router.attach(*m_link);
-        // The sockets of orders that must not leave after the lease's end.
-        m_guarded.onSocket([this](int fd, bool opened) {
+        // The sockets of orders to backend servers, which must not be sent after the lease has expired.
+        m_fencedClient.onSocket([this](int fd, bool opened) {
             if (opened) {
                 m_fence.addSocket(fd);
             } else {
@@ -74,7 +75,7 @@
         m_server = http_server::listen(
             m_loop, m_settings.callerAddress, m_settings.callerPort, m_settings.bodyLimitBytes,
             [this](const http_request &request, std::shared_ptr<http_reply> reply) {
-                if (admin_task::concerns(request.path)) {
+                if (admin_task::handlesPath(request.path)) {
                     m_admin->onRequest(request, reply);
                 } else {
                     m_entry->onRequest(request, std::move(reply));
@@ -94,13 +95,14 @@
         m_bus.on<owner_drained>([this](const owner_drained &) {
             m_ownerDrained = true;
         });
-        m_bus.on<received<drain_request>>([this](const received<drain_request> &news) {
-            // An order that is repeated, since its answer was lost, must not cut what a second signal would.
-            if (news.body.server.empty() && news.body.drain && !m_shuttingDown) {
+        m_bus.on<received<drain_request>>([this](const received<drain_request> &event) {
+            // A drain request may be repeated because its response was lost. Unlike a second signal, it must
+            // not cut off requests.
+            if (event.body.server.empty() && event.body.drain && !m_shuttingDown) {
                 shutDown();
             }
         });
-        spdlog::info("daemon: {} takes callers on {}:{}, peers on port {}.", m_settings.instance,
+        spdlog::info("daemon: {} accepts callers on {}:{} and peers on port {}.", m_settings.instance,
             m_settings.callerAddress, m_server->port(), m_link->port());
         return true;
     }
@@ -122,20 +124,20 @@
         self.incarnation = m_incarnation;
         m_keys = std::make_unique<key_task>(m_bus, m_loop, m_settings.instance);
         m_budget = std::make_unique<budget_task>(m_bus, m_loop);
-        m_owner = std::make_unique<owner_task>(m_bus, m_loop, m_runs, m_guarded, m_crashes,
+        m_owner = std::make_unique<owner_task>(m_bus, m_loop, m_requestClient, m_fencedClient, m_crashes,
             owner_task::options{m_settings.instance, m_settings.routing});
-        m_ownership = std::make_unique<ownership_task>(m_bus, m_loop, m_kv, m_runs, m_fence,
+        m_ownership = std::make_unique<ownership_task>(m_bus, m_loop, m_kvClient, m_requestClient, m_fence,
             ownership_task::options{m_settings.instance, m_incarnation, m_settings.leaseTtl});
         entry_task::options entry;
         entry.self = m_settings.instance;
         entry.incarnation = m_incarnation;
         entry.failureDomain = m_settings.failureDomain;
         entry.routing = routingKindOf(m_settings.routing).value_or(routing_kind::Briarhead);
-        m_entry = std::make_unique<entry_task>(m_bus, m_loop, m_runs, m_crashes, m_metrics, entry);
+        m_entry = std::make_unique<entry_task>(m_bus, m_loop, m_requestClient, m_crashes, m_metrics, entry);
         config_task::options configuration;
         configuration.self = m_settings.instance;
         configuration.failureDomain = m_settings.failureDomain;
-        m_configuration = std::make_unique<config_task>(m_bus, m_loop, m_kv, configuration);
+        m_configuration = std::make_unique<config_task>(m_bus, m_loop, m_kvClient, configuration);
         admin_task::options admin;
         admin.self = m_settings.instance;
         admin.operatorKeyHashes = m_settings.operatorKeyHashes;
@@ -156,9 +158,9 @@
     std::string metricsText()
     {
         exportPeerCounters(m_metrics, m_link->counters());
-        exportKvCounters(m_metrics, m_kv.counters());
+        exportKvCounters(m_metrics, m_kvClient.counters());
         exportProcess(m_metrics);
-        exportServers(m_metrics, m_owner->hints(), m_exported);
+        exportServers(m_metrics, m_owner->hints(), m_exportedServers);
         setGauge(m_metrics, "config_version",
             m_configuration->current() ? static_cast<double>(m_configuration->current()->version) : 0);
         setGauge(m_metrics, "requests_blocked", static_cast<double>(m_crashes.counters().blocked));
@@ -167,33 +169,33 @@
         return prometheusText(m_metrics);
     }
 
-    /// The first signal shuts down in order: readiness goes false, owned servers are handed over, streams go
-    /// on to their end. A second one, or the time limit, is the only thing that cuts requests in progress.
+    /// The first signal starts a graceful shutdown: the daemon becomes unready, hands over its owned servers,
+    /// and finishes the requests in progress. Only a second signal or the time limit cuts those off.
     void shutDown()
     {
         if (m_shuttingDown) {
-            cut("a second signal");
+            stopAtOnce("a second signal");
             return;
         }
-        spdlog::info("daemon: Shutting down. Requests in progress go on to their end.");
+        spdlog::info("daemon: Shutting down. Requests in progress may finish within the drain time limit.");
         m_shuttingDown = true;
         m_bus.post(drain_began{});
-        m_grace = m_loop.timer(balancerGrace, {}, [this] {
+        m_graceTimer = m_loop.timer(balancerGrace, {}, [this] {
             m_server->stopListening();
             m_graceOver = true;
         });
-        m_limit = m_loop.timer(m_settings.drainTimeout, {}, [this] {
-            cut("the time limit");
+        m_drainTimer = m_loop.timer(m_settings.drainTimeout, {}, [this] {
+            stopAtOnce("the time limit");
         });
-        m_check = m_loop.timer({drainCheckMs}, {drainCheckMs}, [this] {
+        m_drainCheckTimer = m_loop.timer({drainCheckIntervalMs}, {drainCheckIntervalMs}, [this] {
             if (m_graceOver && m_ownerDrained && m_entry->open() == 0 && m_server->busy() == 0) {
-                spdlog::info("daemon: Nothing is in progress. Bye.");
+                spdlog::info("daemon: All requests have finished; exiting.");
                 m_loop.stop();
             }
         });
     }
 
-    void cut(const char *reason)
+    void stopAtOnce(const char *reason)
     {
         if (m_entry->open() != 0 || !m_ownerDrained) {
             spdlog::error("daemon: Cut short by {} with {} requests open.", reason, m_entry->open());
@@ -207,13 +209,13 @@
     loop m_loop;
     bus m_bus;
     fence m_fence;
-    http_client m_runs;
-    http_client m_guarded;
-    http_client m_platform;
-    kv_client m_kv;
+    http_client m_requestClient;
+    http_client m_fencedClient;
+    http_client m_platformClient;
+    kv_client m_kvClient;
     live_list m_liveList;
     metrics m_metrics;
-    std::set<std::string> m_exported; ///< servers with gauges
+    std::set<std::string> m_exportedServers; ///< owned servers whose gauges were last exported
     peer_router m_router;
     crash_records m_crashRecords;
     crash_task m_crashes;
@@ -228,9 +230,9 @@
     std::unique_ptr<membership_task> m_membership;
     std::unique_ptr<http_server> m_server;
     std::vector<std::shared_ptr<void>> m_signals;
-    std::shared_ptr<void> m_grace;
-    std::shared_ptr<void> m_limit;
-    std::shared_ptr<void> m_check;
+    std::shared_ptr<void> m_graceTimer;
+    std::shared_ptr<void> m_drainTimer;
+    std::shared_ptr<void> m_drainCheckTimer;
     bool m_shuttingDown = false;
     bool m_graceOver = false;
     bool m_ownerDrained = false;
@@ -239,13 +241,13 @@
 
 }
 
-std::unique_ptr<daemon> daemon::start(const settings &given, error &why)
+std::unique_ptr<daemon> daemon::start(const settings &daemonSettings, error &why)
 {
-    auto whole = std::make_unique<whole_daemon>(given);
-    if (!whole->open(why)) {
+    auto instance = std::make_unique<daemon_implementation>(daemonSettings);
+    if (!instance->open(why)) {
         return {};
     }
-    return whole;
+    return instance;
 }
 
 }
--- a/packages/daemon/daemon.h
+++ b/packages/daemon/daemon.h
@@ -7,14 +7,15 @@
 
 namespace briarhead {
 
-/// One daemon: all of its tasks, wired to each other by the bus.
+/// One daemon: all of its tasks, connected by the bus.
 class daemon
 {
 public:
-    /// Opens the ports and starts the tasks; `why` tells what failed.
-    static std::unique_ptr<daemon> start(const settings &given, error &why);
+    /// Opens the ports and starts the tasks. On failure, returns nullptr and sets `why`.
+    static std::unique_ptr<daemon> start(const settings &daemonSettings, error &why);
     virtual ~daemon() = default;
-    /// Runs until a graceful shutdown ended (0) or was cut short (1).
+    /// Runs until the daemon has shut down. Returns the exit code: 0 after a graceful shutdown, 1 if requests
+    /// were cut off.
     virtual int run() = 0;
 };
 
--- a/packages/daemon/entry_admit.cpp
+++ b/packages/daemon/entry_admit.cpp
@@ -1,8 +1,9 @@
-// How the entry task takes a request in: who it is from, what it asks for, and whether it may.
+// Admission of requests by the entry task: authentication, headers, rules and limits, idempotency keys. Also
+// routing to plain services.
 #include "coordination/rendezvous.h"
 #include "coordination/request_fingerprint.h"
-#include "daemon/answers.h"
 #include "daemon/entry_task.h"
+#include "daemon/responses.h"
 #include "state/key_hash.h"
 #include "transport/answer_words.h"
 
@@ -18,22 +19,22 @@
 
 namespace {
 
-/// The part of a prompt that decides prefix affinity.
+/// The length of the prompt prefix that is hashed for prefix affinity.
 constexpr std::size_t prefixBytes = 256;
 constexpr std::size_t maxKeyBytes = 256;
-/// Of a refusal by a plain service where nothing tells a better time.
-constexpr millis usualComeBack{1'000};
-/// A plain server that said it leaves is tried again after this long: nobody tells whether it has started
-/// anew.
-constexpr millis plainLeavingKept{60'000};
+/// Sent when no plain service instance can take a request and none has announced a pause.
+constexpr millis defaultRetryAfter{1'000};
+/// A plain server that announced that it is leaving is tried again after this long, because nothing tells
+/// this daemon whether it has restarted.
+constexpr millis serviceLeavingRetention{60'000};
 
-std::string headerOf(const http_request &request, const char *name)
+std::string headerOf(const http_request &httpRequest, const char *name)
 {
-    const auto found = request.headers.find(name);
-    return found == request.headers.end() ? std::string{} : found->second;
+    const auto found = httpRequest.headers.find(name);
+    return found == httpRequest.headers.end() ? std::string{} : found->second;
 }
 
-std::optional<std::int64_t> numberOf(const std::string &text)
+std::optional<std::int64_t> parseNumber(const std::string &text)
 {
     std::int64_t value = 0;
     const auto end = text.data() + text.size();
@@ -48,39 +49,40 @@
 
 bool hasVersion(const adapter_config &adapter, std::int64_t version)
 {
-    const auto &all = adapter.versions;
-    return std::any_of(all.begin(), all.end(), [version](std::uint32_t one) {
-        return one == version;
+    const auto &versions = adapter.versions;
+    return std::any_of(versions.begin(), versions.end(), [version](std::uint32_t configured) {
+        return configured == version;
     });
 }
 
-/// Percent-encodes what a URL can't carry as it is. The server hands out decoded text: sent on without this,
-/// a space or '&' in a caller's query would change the meaning of the call, or break it.
-std::string percentEncoded(std::string_view text, std::string_view alsoKept)
+/// Percent-encodes all but the unreserved URL characters and those in `unescaped`. The HTTP server decodes
+/// paths and queries: forwarded without encoding, a space or '&' in a caller's query would change the meaning
+/// of the call or break it.
+std::string percentEncoded(std::string_view text, std::string_view unescaped)
 {
-    constexpr std::string_view digits = "0123456789ABCDEF";
+    constexpr std::string_view hexDigits = "0123456789ABCDEF";
     std::string encoded;
     for (const char c : text) {
         const auto byte = static_cast<unsigned char>(c);
-        const bool plain =
+        const bool unreserved =
             std::isalnum(byte) != 0 || std::string_view("-._~").find(c) != std::string_view::npos;
-        if (plain || alsoKept.find(c) != std::string_view::npos) {
+        if (unreserved || unescaped.find(c) != std::string_view::npos) {
             encoded += c;
             continue;
         }
         encoded += '%';
-        encoded += digits[byte >> 4U];
-        encoded += digits[byte & 15U];
+        encoded += hexDigits[byte >> 4U];
+        encoded += hexDigits[byte & 15U];
     }
     return encoded;
 }
 
-/// The path and query of a request as they go on to a service.
-std::string urlPath(const http_request &request)
+/// The encoded path and query to forward to a service.
+std::string urlPath(const http_request &httpRequest)
 {
-    std::string url = percentEncoded(request.path, "/");
+    std::string url = percentEncoded(httpRequest.path, "/");
     char separator = '?';
-    for (const auto &[key, value] : request.query) {
+    for (const auto &[key, value] : httpRequest.query) {
         url += separator;
         url += percentEncoded(key, "");
         url += '=';
@@ -90,232 +92,236 @@
     return url;
 }
 
-std::string bearerOf(const http_request &request)
+std::string bearerToken(const http_request &httpRequest)
 {
     constexpr std::string_view scheme = "Bearer ";
-    const std::string text = headerOf(request, "authorization");
+    const std::string text = headerOf(httpRequest, "authorization");
     return text.substr(0, scheme.size()) == scheme ? text.substr(scheme.size()) : std::string{};
 }
 
 std::uint64_t prefixHash(const nlohmann::json &body)
 {
-    std::string head;
+    std::string start;
     if (body.contains("prompt")) {
-        head = body["prompt"].is_string() ? body["prompt"].get<std::string>() : body["prompt"].dump();
+        start = body["prompt"].is_string() ? body["prompt"].get<std::string>() : body["prompt"].dump();
     } else if (body.contains("messages")) {
-        head = body["messages"].dump();
+        start = body["messages"].dump();
     }
-    head.resize(std::min(head.size(), prefixBytes));
-    return head.empty() ? 0 : XXH3_64bits(head.data(), head.size());
+    start.resize(std::min(start.size(), prefixBytes));
+    return start.empty() ? 0 : XXH3_64bits(start.data(), start.size());
 }
 
 }
 
-void entry_task::onRequest(const http_request &request, std::shared_ptr<http_reply> reply)
+void entry_task::onRequest(const http_request &httpRequest, std::shared_ptr<http_reply> reply)
 {
-    auto one = std::make_shared<pending>();
-    one->reply = std::move(reply);
-    one->arrived = bootNow();
-    one->path = request.path;
-    one->method = request.method;
-    if (request.tooLarge) {
-        refuse(*one->reply, error_kind::TooLarge, request.path, "the body is larger than the limit");
+    auto request = std::make_shared<pending_request>();
+    request->reply = std::move(reply);
+    request->receivedAt = bootNow();
+    request->path = httpRequest.path;
+    request->method = httpRequest.method;
+    if (httpRequest.tooLarge) {
+        refuse(*request->reply, error_kind::TooLarge, httpRequest.path, "the body is larger than the limit");
         return;
     }
     if (!ready()) {
-        respondError(*one->reply,
+        respondError(*request->reply,
             {outcome::NotRun, {error_kind::NotReady, m_options.self, "no configuration yet"}, {1'000}});
         return;
     }
-    one->config = m_config;
-    if (request.path == "/v1/models") {
-        listModels(request, one->reply);
+    request->config = m_config;
+    if (httpRequest.path == "/v1/models") {
+        listModels(httpRequest, request->reply);
         return;
     }
-    if (request.path == "/v1/completions" || request.path == "/v1/chat/completions") {
-        if (request.method != "POST") {
-            refuse(*one->reply, error_kind::BadRequest, request.path, "the method is not POST");
+    if (httpRequest.path == "/v1/completions" || httpRequest.path == "/v1/chat/completions") {
+        if (httpRequest.method != "POST") {
+            refuse(*request->reply, error_kind::BadRequest, httpRequest.path, "the method is not POST");
             return;
         }
-        admitModel(one, request);
+        admitModel(request, httpRequest);
         return;
     }
     std::string name;
-    if (findService(*m_config, request.path, name) != nullptr) {
-        admitService(one, request, name);
+    if (findService(*m_config, httpRequest.path, name) != nullptr) {
+        admitService(request, httpRequest, name);
         return;
     }
-    refuse(*one->reply, error_kind::UnknownService, request.path, "no service has this path");
+    refuse(*request->reply, error_kind::UnknownService, httpRequest.path, "no service has this path");
 }
 
-bool entry_task::authenticate(pending &one, const http_request &request)
+bool entry_task::authenticate(pending_request &request, const http_request &httpRequest)
 {
-    const std::string key = bearerOf(request);
-    const std::string *caller = key.empty() ? nullptr : findCaller(*one.config, keyHash(key));
+    const std::string key = bearerToken(httpRequest);
+    const std::string *caller = key.empty() ? nullptr : findCaller(*request.config, keyHash(key));
     if (caller == nullptr) {
-        refuse(*one.reply, error_kind::Unauthorised, "Authorization", "no known key");
+        refuse(*request.reply, error_kind::Unauthorised, "Authorization", "no known key");
         return false;
     }
-    one.caller = *caller;
+    request.caller = *caller;
     return true;
 }
 
-bool entry_task::applyRule(pending &one, const rule_config *rule, const std::string &what)
+bool entry_task::applyRule(pending_request &request, const rule_config *rule, const std::string &target)
 {
     if (rule == nullptr) {
-        refuse(*one.reply, error_kind::Forbidden, what, "no rule lets " + one.caller + " reach it");
+        refuse(*request.reply, error_kind::Forbidden, target, "no rule lets " + request.caller + " reach it");
         return false;
     }
-    // A caller may ask for a worse priority than the rule's, never for a better one.
-    one.rank = std::max(one.rank, rule->bestPriority);
+    // A caller may request a lower priority than the rule's, but not a higher one.
+    request.rank = std::max(request.rank, rule->bestPriority);
     const std::string limitKey =
-        one.caller + "\n" + rule->callers + "\n" + rule->adapters + "\n" + rule->service;
-    if (const auto wait = acquireCallerLimit(m_limits[limitKey], *rule, bootNow())) {
+        request.caller + "\n" + rule->callers + "\n" + rule->adapters + "\n" + rule->service;
+    if (const auto wait = acquireCallerLimit(m_callerLimits[limitKey], *rule, bootNow())) {
         const request_result end{
-            outcome::NotRun, {error_kind::Overloaded, one.caller, "the rule's limit is reached"}, *wait};
-        record(one, end.result, end.why.kind);
-        respondError(*one.reply, end);
+            outcome::NotRun, {error_kind::Overloaded, request.caller, "the rule's limit is reached"}, *wait};
+        recordResult(request, end.result, end.why.kind);
+        respondError(*request.reply, end);
         return false;
     }
-    one.limitKey = limitKey;
+    request.limitKey = limitKey;
     return true;
 }
 
-bool entry_task::readHeaders(pending &one, const http_request &request)
+bool entry_task::readHeaders(pending_request &request, const http_request &httpRequest)
 {
-    const policy_config &policy = one.config->policy;
-    one.deadline = one.arrived + policy.defaultDeadline;
-    if (const std::string text = headerOf(request, "x-deadline-ms"); !text.empty()) {
-        const auto value = numberOf(text);
+    const policy_config &policy = request.config->policy;
+    request.deadline = request.receivedAt + policy.defaultDeadline;
+    if (const std::string text = headerOf(httpRequest, "x-deadline-ms"); !text.empty()) {
+        const auto value = parseNumber(text);
         if (!value || *value <= 0 || *value > policy.maxDeadline.count) {
-            refuse(*one.reply, error_kind::BadRequest, "X-Deadline-Ms",
+            refuse(*request.reply, error_kind::BadRequest, "X-Deadline-Ms",
                 "'" + text + "' is not a number from 1 to " + std::to_string(policy.maxDeadline.count));
             return false;
         }
-        one.deadline = one.arrived + millis{*value};
+        request.deadline = request.receivedAt + millis{*value};
     }
-    one.rank = priority::Urgent;
-    if (const std::string text = headerOf(request, "x-priority"); !text.empty()) {
+    request.rank = priority::Urgent;
+    if (const std::string text = headerOf(httpRequest, "x-priority"); !text.empty()) {
         const auto value = priorityOf(text);
         if (!value) {
-            refuse(*one.reply, error_kind::BadRequest, "X-Priority",
+            refuse(*request.reply, error_kind::BadRequest, "X-Priority",
                 "'" + text + "' is not urgent, high, normal or low");
             return false;
         }
-        one.rank = *value;
+        request.rank = *value;
     }
-    const std::string key = headerOf(request, "idempotency-key");
+    const std::string key = headerOf(httpRequest, "idempotency-key");
     if (key.size() > maxKeyBytes) {
-        refuse(*one.reply, error_kind::BadRequest, "Idempotency-Key", "longer than 256 bytes");
+        refuse(*request.reply, error_kind::BadRequest, "Idempotency-Key", "longer than 256 bytes");
         return false;
     }
     if (!key.empty()) {
-        one.key = one.caller + "\n" + key;
-        one.idempotent = false;
-    }
-    // Whatever is not a plain no counts: a mark written in another way must not let a request run twice.
-    const std::string mark = headerOf(request, "x-non-idempotent");
-    if (!mark.empty() && mark != "false" && mark != "0" && mark != "no") {
-        one.idempotent = false;
-    }
-    // Attempt numbers: our own header, or the retry count that common client libraries send by themselves.
-    if (const auto value = numberOf(headerOf(request, "idempotency-attempt")); value && *value > 0) {
-        one.attemptSaid = static_cast<std::uint32_t>(*value);
-    } else if (const auto retries = numberOf(headerOf(request, "x-stainless-retry-count"));
+        request.key = request.caller + "\n" + key;
+        request.idempotent = false;
+    }
+    // Any value but an explicit "no" marks the request: an unexpected spelling must not let it run twice.
+    const std::string nonIdempotent = headerOf(httpRequest, "x-non-idempotent");
+    if (!nonIdempotent.empty() && nonIdempotent != "false" && nonIdempotent != "0" && nonIdempotent != "no") {
+        request.idempotent = false;
+    }
+    // The attempt number, from our own header or from the retry count that common client libraries send.
+    if (const auto value = parseNumber(headerOf(httpRequest, "idempotency-attempt")); value && *value > 0) {
+        request.declaredAttempt = static_cast<std::uint32_t>(*value);
+    } else if (const auto retries = parseNumber(headerOf(httpRequest, "x-stainless-retry-count"));
                retries && *retries >= 0) {
-        one.attemptSaid = static_cast<std::uint32_t>(*retries) + 1;
+        request.declaredAttempt = static_cast<std::uint32_t>(*retries) + 1;
     }
     return true;
 }
 
-void entry_task::admitModel(const pending_ptr &one, const http_request &request)
+void entry_task::admitModel(const request_ptr &request, const http_request &httpRequest)
 {
-    if (!authenticate(*one, request) || !readHeaders(*one, request)) {
+    if (!authenticate(*request, httpRequest) || !readHeaders(*request, httpRequest)) {
         return;
     }
-    nlohmann::json body = nlohmann::json::parse(request.body, nullptr, false);
+    nlohmann::json body = nlohmann::json::parse(httpRequest.body, nullptr, false);
     if (!body.is_object() || !body.contains("model") || !body["model"].is_string()) {
-        refuse(*one->reply, error_kind::BadRequest, "model",
+        refuse(*request->reply, error_kind::BadRequest, "model",
             "the body is not a JSON object with a string 'model'");
         return;
     }
     const std::string model = body["model"];
     const auto colon = model.find(':');
     const std::string name = model.substr(0, colon);
-    const adapter_config *adapter = findAdapter(*one->config, name);
-    // "name" runs on the active version, "name:2" on that one if it is configured.
-    const std::int64_t asked =
-        colon == std::string::npos ? 0 : numberOf(model.substr(colon + 1)).value_or(-1);
-    if (adapter == nullptr || (asked != 0 && !hasVersion(*adapter, asked))) {
-        refuse(*one->reply, error_kind::UnknownAdapter, "model", "'" + model + "' is not configured");
+    const adapter_config *adapter = findAdapter(*request->config, name);
+    // "name" selects the active version, "name:2" version 2 if it is configured.
+    const std::int64_t requestedVersion =
+        colon == std::string::npos ? 0 : parseNumber(model.substr(colon + 1)).value_or(-1);
+    if (adapter == nullptr || (requestedVersion != 0 && !hasVersion(*adapter, requestedVersion))) {
+        refuse(*request->reply, error_kind::UnknownAdapter, "model", "'" + model + "' is not configured");
         return;
     }
-    one->adapter = {name, asked == 0 ? adapter->active : static_cast<std::uint32_t>(asked)};
-    one->baseModel = adapter->baseModel;
-    if (!applyRule(*one, findAdapterRule(*one->config, one->caller, name), name)) {
+    request->adapter = {
+        name, requestedVersion == 0 ? adapter->active : static_cast<std::uint32_t>(requestedVersion)};
+    request->baseModel = adapter->baseModel;
+    if (!applyRule(*request, findAdapterRule(*request->config, request->caller, name), name)) {
         return;
     }
-    one->fingerprint = fingerprintOf({one->caller, one->method, {}, one->path, request.body});
-    one->chat = request.path == "/v1/chat/completions";
-    one->stream = body.contains("stream") && body["stream"].is_boolean() && body["stream"].get<bool>();
-    one->answerType = one->stream ? "text/event-stream" : "application/json";
-    one->prefix = prefixHash(body);
-    body["model"] = toString(one->adapter);
+    request->fingerprint =
+        fingerprintOf({request->caller, request->method, {}, request->path, httpRequest.body});
+    request->chat = httpRequest.path == "/v1/chat/completions";
+    request->stream = body.contains("stream") && body["stream"].is_boolean() && body["stream"].get<bool>();
+    request->responseType = request->stream ? "text/event-stream" : "application/json";
+    request->prefix = prefixHash(body);
+    body["model"] = toString(request->adapter);
     body["stream"] = true;
-    one->body = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    one->reply->onClosed([this, weak = std::weak_ptr<pending>(one)] {
-        if (const auto still = weak.lock()) {
-            closed(still);
+    request->body = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+    request->reply->onClosed([this, weak = std::weak_ptr<pending_request>(request)] {
+        if (const auto pending = weak.lock()) {
+            onCallerDisconnected(pending);
         }
     });
-    if (one->key.empty()) {
-        route(one);
+    if (request->key.empty()) {
+        route(request);
     } else {
-        beginKeyed(one);
+        claimKey(request);
     }
 }
 
-void entry_task::admitService(const pending_ptr &one, const http_request &request, const std::string &name)
+void entry_task::admitService(
+    const request_ptr &request, const http_request &httpRequest, const std::string &name)
 {
-    if (!authenticate(*one, request) || !readHeaders(*one, request)) {
+    if (!authenticate(*request, httpRequest) || !readHeaders(*request, httpRequest)) {
         return;
     }
-    if (!applyRule(*one, findServiceRule(*one->config, one->caller, name), name)) {
+    if (!applyRule(*request, findServiceRule(*request->config, request->caller, name), name)) {
         return;
     }
-    const service_config &service = one->config->services.find(name)->second;
-    one->service = name;
-    one->body = request.body;
-    one->contentType = headerOf(request, "content-type");
-    one->deadline = std::min(one->deadline, one->arrived + service.timeout);
-    const bool safeMethod = request.method == "GET" || request.method == "HEAD";
-    one->idempotent = one->idempotent && (safeMethod || service.idempotent);
-    one->path = urlPath(request);
-    one->fingerprint = fingerprintOf({one->caller, one->method, {}, one->path, one->body});
-    one->reply->onClosed([this, weak = std::weak_ptr<pending>(one)] {
-        if (const auto still = weak.lock()) {
-            closed(still);
+    const service_config &service = request->config->services.find(name)->second;
+    request->service = name;
+    request->body = httpRequest.body;
+    request->contentType = headerOf(httpRequest, "content-type");
+    request->deadline = std::min(request->deadline, request->receivedAt + service.timeout);
+    const bool safeMethod = httpRequest.method == "GET" || httpRequest.method == "HEAD";
+    request->idempotent = request->idempotent && (safeMethod || service.idempotent);
+    request->path = urlPath(httpRequest);
+    request->fingerprint =
+        fingerprintOf({request->caller, request->method, {}, request->path, request->body});
+    request->reply->onClosed([this, weak = std::weak_ptr<pending_request>(request)] {
+        if (const auto pending = weak.lock()) {
+            onCallerDisconnected(pending);
         }
     });
-    if (one->key.empty()) {
-        routeService(one);
+    if (request->key.empty()) {
+        routeService(request);
     } else {
-        beginKeyed(one);
+        claimKey(request);
     }
 }
 
-void entry_task::listModels(const http_request &request, const std::shared_ptr<http_reply> &reply)
+void entry_task::listModels(const http_request &httpRequest, const std::shared_ptr<http_reply> &reply)
 {
-    pending one;
-    one.config = m_config;
-    one.reply = reply;
-    if (!authenticate(one, request)) {
+    pending_request request;
+    request.config = m_config;
+    request.reply = reply;
+    if (!authenticate(request, httpRequest)) {
         return;
     }
     nlohmann::json list = nlohmann::json::array();
     for (const adapter_shard &shard : m_config->adapters) {
         for (const auto &[name, adapter] : shard) {
-            if (findAdapterRule(*m_config, one.caller, name) != nullptr) {
+            if (findAdapterRule(*m_config, request.caller, name) != nullptr) {
                 list.push_back({{"id", name}, {"object", "model"},
                     {"owned_by", std::string(adapter.baseModel)}, {"version", adapter.active}});
             }
@@ -327,80 +333,81 @@
 
 // ---- idempotency keys
 
-void entry_task::beginKeyed(const pending_ptr &one)
+void entry_task::claimKey(const request_ptr &request)
 {
-    one->home = rendezvousFirst(one->key, m_daemons);
-    one->askingHome = true;
-    one->id = {m_options.self, m_options.incarnation, ++m_sequence};
-    m_pending[one->id] = one;
-    key_begin ask;
-    ask.id = one->id;
-    ask.key = one->key;
-    ask.attempt = one->attemptSaid;
-    ask.retentionMs = one->config->policy.idempotencyRetention.count;
-    m_bus.post(send_to{one->home, ask});
+    request->keyHome = rendezvousFirst(request->key, m_daemons);
+    request->awaitingKeyHome = true;
+    request->id = {m_options.self, m_options.incarnation, ++m_sequence};
+    m_pending[request->id] = request;
+    key_begin begin;
+    begin.id = request->id;
+    begin.key = request->key;
+    begin.attempt = request->declaredAttempt;
+    begin.retentionMs = request->config->policy.idempotencyRetention.count;
+    m_bus.post(send_to{request->keyHome, begin});
 }
 
-void entry_task::homeLost(const pending_ptr &one)
+void entry_task::onKeyHomeLost(const request_ptr &request)
 {
-    one->askingHome = false;
-    // This attempt was not run. Whether an earlier one was, only its home could tell, unless the caller says
-    // that there is no earlier one.
-    const outcome known = one->attemptSaid == 1 ? outcome::NotRun : outcome::Unknown;
-    answer(one, {known, {error_kind::KeyUnknown, one->home, "the home of the key was lost"}, {1'000}});
+    request->awaitingKeyHome = false;
+    // This attempt did not run. Whether an earlier one did, only the key's home knows, unless the caller
+    // declares this attempt to be the first.
+    const outcome requestOutcome = request->declaredAttempt == 1 ? outcome::NotRun : outcome::Unknown;
+    respondFailure(request,
+        {requestOutcome, {error_kind::KeyUnknown, request->keyHome, "the home of the key was lost"},
+            {1'000}});
 }
 
-void entry_task::onKeyVerdict(const std::string &, const key_response &verdictOfHome)
+void entry_task::onKeyResponse(const std::string &, const key_response &response)
 {
-    const pending_ptr one = take(verdictOfHome.id);
-    if (!one) {
-        // The caller went away or the deadline passed before anything was run.
+    const request_ptr request = removePending(response.id);
+    if (!request) {
+        // The caller disconnected or the deadline passed before anything was run.
         return;
     }
-    one->askingHome = false;
-    switch (verdictOfHome.state) {
+    request->awaitingKeyHome = false;
+    switch (response.state) {
     case key_state::Fresh:
-        one->keyHeld = true;
-        one->keyId = verdictOfHome.id;
-        // Guards against: the caller hangs up while its key's home is asked, nothing is run, and each repeat
-        // hears that the outcome is unknown. The home is told, so that the next attempt may run.
-        if (one->gone) {
-            answer(
-                one, {outcome::NotRun, {error_kind::ConnectionLost, "caller", "gone before it was run"}, {}});
+        request->keyClaimed = true;
+        request->keyAttemptId = response.id;
+        // The caller disconnected while the key's home was being queried. Nothing is run, and the home is
+        // notified so that the next attempt may run. Otherwise each repetition would get an unknown outcome.
+        if (request->callerDisconnected) {
+            respondFailure(request,
+                {outcome::NotRun, {error_kind::ConnectionLost, "caller", "gone before it was run"}, {}});
             return;
         }
-        if (one->service.empty()) {
-            route(one);
+        if (request->service.empty()) {
+            route(request);
         } else {
-            routeService(one);
+            routeService(request);
         }
         return;
     case key_state::Finished:
-        one->reply->respond(verdictOfHome.status,
-            {{"Content-Type", verdictOfHome.contentType}, {"X-Briarhead-Replayed", "true"}},
-            verdictOfHome.answer);
-        record(*one, outcome::Done, error_kind::None);
+        request->reply->respond(response.status,
+            {{"Content-Type", response.contentType}, {"X-Briarhead-Replayed", "true"}}, response.answer);
+        recordResult(*request, outcome::Done, error_kind::None);
         return;
     case key_state::Started:
-        answer(one,
+        respondFailure(request,
             {outcome::Unknown,
                 {error_kind::KeyInProgress, "Idempotency-Key", "an earlier attempt may be running"},
                 {1'000}});
         return;
     case key_state::NotHome:
-        if (++one->redirects < 20 && bootNow() < one->deadline) {
-            m_pending[one->id = {m_options.self, m_options.incarnation, ++m_sequence}] = one;
-            one->retryTimer = m_loop.timer({50}, {}, [this, id = one->id] {
-                if (const pending_ptr again = take(id)) {
-                    beginKeyed(again);
+        if (++request->redirects < 20 && bootNow() < request->deadline) {
+            m_pending[request->id = {m_options.self, m_options.incarnation, ++m_sequence}] = request;
+            request->retryTimer = m_loop.timer({50}, {}, [this, id = request->id] {
+                if (const request_ptr retried = removePending(id)) {
+                    claimKey(retried);
                 }
             });
             return;
         }
-        homeLost(one);
+        onKeyHomeLost(request);
         return;
     case key_state::Undetermined:
-        answer(one,
+        respondFailure(request,
             {outcome::Unknown,
                 {error_kind::KeyUnknown, "Idempotency-Key",
                     "its home has no record, and only an attempt said to be the first may run then"},
@@ -409,157 +416,166 @@
     }
 }
 
-void entry_task::finishKeyed(const pending &one, outcome result, int status, const std::string &answerBody)
+void entry_task::reportToKeyHome(
+    const pending_request &request, outcome result, int status, const std::string &responseBody)
 {
-    if (!one.keyHeld) {
+    if (!request.keyClaimed) {
         return;
     }
     key_finish end;
-    end.id = one.keyId;
-    end.key = one.key;
+    end.id = request.keyAttemptId;
+    end.key = request.key;
     end.result = result;
     end.status = status;
-    end.contentType = one.answerType;
-    end.answer = answerBody;
-    if (answerBody.size() > maxStoredResponseBytes) {
-        // Too long to keep: a repeat is told that the outcome is unknown rather than given an empty answer.
+    end.contentType = request.responseType;
+    end.answer = responseBody;
+    if (responseBody.size() > maxStoredResponseBytes) {
+        // Too long to store: a repetition gets an unknown outcome rather than an empty response.
         end.result = outcome::Unknown;
         end.answer.clear();
     }
-    m_bus.post(send_to{one.home, std::move(end)});
+    m_bus.post(send_to{request.keyHome, std::move(end)});
 }
 
 // ---- plain services
 
-void entry_task::routeService(const pending_ptr &one)
+void entry_task::routeService(const request_ptr &request)
 {
-    if (holdBlocked(one)) {
+    if (holdIfBlocked(request)) {
         return;
     }
     const millis now = bootNow();
-    std::vector<std::string> fit;
-    std::uint32_t least = 0;
+    std::vector<std::string> candidates;
+    std::uint32_t minSentHere = 0;
     for (auto &[name, server] : m_serviceServers) {
-        const bool tried = std::find(one->tried.begin(), one->tried.end(), name) != one->tried.end();
-        const bool closed = server.where.leaving || isLeaving(m_words, name)
-            || pauseLeft(m_words, name, m_options.self, now) > millis{};
-        if (server.where.service != one->service || closed || tried || breakerOpen(server.health, now)) {
+        const bool tried =
+            std::find(request->tried.begin(), request->tried.end(), name) != request->tried.end();
+        const bool unavailable = server.instance.leaving || isLeaving(m_notices, name)
+            || pauseLeft(m_notices, name, m_options.self, now) > millis{};
+        if (server.instance.service != request->service || unavailable || tried
+            || breakerOpen(server.circuitBreaker, now)) {
             continue;
         }
-        if (fit.empty() || server.sentHere < least) {
-            fit.clear();
-            least = server.sentHere;
+        if (candidates.empty() || server.sentHere < minSentHere) {
+            candidates.clear();
+            minSentHere = server.sentHere;
         }
-        if (server.sentHere == least) {
-            fit.push_back(name);
+        if (server.sentHere == minSentHere) {
+            candidates.push_back(name);
         }
     }
-    if (fit.empty()) {
-        const error why = one->lastWhy.kind == error_kind::None ? error{error_kind::NoServer, one->service,
-                              "no backend server of the service can take the request"}
-                                                                : one->lastWhy;
-        answer(one, {outcome::NotRun, why, firstPauseEnd(one->service)});
+    if (candidates.empty()) {
+        const error why = request->lastError.kind == error_kind::None ? error{error_kind::NoServer,
+                              request->service, "no backend server of the service can take the request"}
+                                                                      : request->lastError;
+        respondFailure(request, {outcome::NotRun, why, serviceRetryAfter(request->service)});
         return;
     }
-    one->server = fit[m_random() % fit.size()];
-    server_state &server = m_serviceServers[one->server];
-    breakerAllows(server.health, now);
+    request->server = candidates[m_random() % candidates.size()];
+    server_state &server = m_serviceServers[request->server];
+    breakerAllows(server.circuitBreaker, now);
     ++server.sentHere;
-    ++one->attempts;
-    one->placed = true;
-    one->id = {m_options.self, m_options.incarnation, ++m_sequence};
-    m_pending[one->id] = one;
+    ++request->attempts;
+    request->sentToServer = true;
+    request->id = {m_options.self, m_options.incarnation, ++m_sequence};
+    m_pending[request->id] = request;
     http_call call;
-    call.method = one->method;
-    call.url = "http://" + server.where.address + ":" + std::to_string(server.where.port) + one->path;
-    call.body = one->body;
-    call.timeout = std::max(millis{1}, one->deadline - now);
-    // A kept connection that died is resent on by the HTTP library; a call that may not be repeated must not
-    // be.
-    call.freshConnection = !one->idempotent;
-    call.headers = {"X-Request-Id: " + toString(one->id)};
-    if (!one->contentType.empty()) {
-        call.headers.push_back("Content-Type: " + one->contentType);
-    }
-    if (!one->key.empty()) {
-        call.headers.push_back("Idempotency-Key: " + one->key.substr(one->key.find('\n') + 1));
-    }
-    one->call = m_services.start(call, [this, id = one->id](const http_result &result) {
-        onService(id, result);
+    call.method = request->method;
+    call.url =
+        "http://" + server.instance.address + ":" + std::to_string(server.instance.port) + request->path;
+    call.body = request->body;
+    call.timeout = std::max(millis{1}, request->deadline - now);
+    // The HTTP library resends a call when a kept-alive connection turns out to be closed, which must not
+    // happen to a call that is not idempotent.
+    call.freshConnection = !request->idempotent;
+    call.headers = {"X-Request-Id: " + toString(request->id)};
+    if (!request->contentType.empty()) {
+        call.headers.push_back("Content-Type: " + request->contentType);
+    }
+    if (!request->key.empty()) {
+        call.headers.push_back("Idempotency-Key: " + request->key.substr(request->key.find('\n') + 1));
+    }
+    request->serviceCall = m_serviceClient.start(call, [this, id = request->id](const http_result &result) {
+        onServiceResult(id, result);
     });
 }
 
-/// When a caller may find a server again that now wants a pause, apart from other callers.
-millis entry_task::firstPauseEnd(const std::string &service)
+/// The retry time for callers when every instance of the service is unavailable: the time until the first
+/// announced pause ends, randomized so that callers do not all return at once.
+millis entry_task::serviceRetryAfter(const std::string &service)
 {
-    std::optional<millis> first;
+    std::optional<millis> shortest;
     for (const auto &[name, server] : m_serviceServers) {
-        const millis left = pauseLeft(m_words, name, m_options.self, bootNow());
-        if (server.where.service == service && left > millis{}) {
-            first = std::min(first.value_or(left), left);
+        const millis remaining = pauseLeft(m_notices, name, m_options.self, bootNow());
+        if (server.instance.service == service && remaining > millis{}) {
+            shortest = std::min(shortest.value_or(remaining), remaining);
         }
     }
-    const double share = std::uniform_real_distribution<double>(1, 1 + retryAfterSpread)(m_random);
-    return first ? millis{static_cast<std::int64_t>(static_cast<double>(first->count) * share)}
-                 : usualComeBack;
+    const double spread = std::uniform_real_distribution<double>(1, 1 + retryAfterSpread)(m_random);
+    return shortest ? millis{static_cast<std::int64_t>(static_cast<double>(shortest->count) * spread)}
+                    : defaultRetryAfter;
 }
 
-void entry_task::onService(const request_id &id, const http_result &result)
+void entry_task::onServiceResult(const request_id &id, const http_result &result)
 {
-    const pending_ptr one = take(id);
-    if (!one) {
+    const request_ptr request = removePending(id);
+    if (!request) {
         return;
     }
-    one->call = 0;
-    const answer_words said = wordsOf(result);
-    std::erase_if(m_words.leaving, [](const auto &each) {
-        return bootNow() - each.second > plainLeavingKept;
+    request->serviceCall = 0;
+    const answer_words notice = wordsOf(result);
+    std::erase_if(m_notices.leaving, [](const auto &entry) {
+        return bootNow() - entry.second > serviceLeavingRetention;
     });
-    if (said.leaving && recordLeaving(m_words, one->server, bootNow())) {
-        spdlog::info("entry: {} says that it is leaving.", one->server);
+    if (notice.leaving && recordLeaving(m_notices, request->server, bootNow())) {
+        spdlog::info(
+            "entry: Server {} announced that it is leaving; it gets no new requests.", request->server);
     }
-    if (recordPause(m_words, one->server, m_options.self, said.pause, bootNow())) {
-        spdlog::info("entry: {} wants nothing for {} ms.", one->server, said.pause.count);
+    if (recordPause(m_notices, request->server, m_options.self, notice.pause, bootNow())) {
+        spdlog::info("entry: Server {} asked for a pause of {} ms; no requests are sent to it until it ends.",
+            request->server, notice.pause.count);
     }
-    const auto server = m_serviceServers.find(one->server);
+    const auto server = m_serviceServers.find(request->server);
     if (result.complete) {
-        m_crashes.onResponseComplete(one->fingerprint);
+        m_crashes.onResponseComplete(request->fingerprint);
         const auto type = result.headers.find("content-type");
-        one->answerType = type == result.headers.end() ? "application/octet-stream" : type->second;
+        request->responseType = type == result.headers.end() ? "application/octet-stream" : type->second;
         if (server != m_serviceServers.end()) {
-            breakerSuccess(server->second.health);
+            breakerSuccess(server->second.circuitBreaker);
         }
-        countSuccess(m_budget);
-        finishKeyed(*one, outcome::Done, result.status, result.body);
-        one->reply->respond(result.status,
-            {{"Content-Type", one->answerType}, {"X-Briarhead-Server", one->server},
+        countSuccess(m_retryBudget);
+        reportToKeyHome(*request, outcome::Done, result.status, result.body);
+        request->reply->respond(result.status,
+            {{"Content-Type", request->responseType}, {"X-Briarhead-Server", request->server},
                 {"X-Request-Id", toString(id)}},
             result.body);
-        record(*one, outcome::Done, error_kind::None);
+        recordResult(*request, outcome::Done, error_kind::None);
         return;
     }
     if (server != m_serviceServers.end()) {
-        breakerFailure(server->second.health, bootNow());
-        if (result.sent && !server->second.where.leaving) {
-            // The list tells no starts of plain services: one that ends twice under its name counts once.
-            m_crashes.onResponseBroken(one->fingerprint,
-                {one->server, one->server, {server->second.where.address, server->second.where.port}});
+        breakerFailure(server->second.circuitBreaker, bootNow());
+        if (result.sent && !server->second.instance.leaving) {
+            // The platform's list has no start times of plain servers, so the name stands for the
+            // incarnation: a server that crashes twice under its name counts once.
+            m_crashes.onResponseBroken(request->fingerprint,
+                {request->server, request->server,
+                    {server->second.instance.address, server->second.instance.port}});
         }
     }
     attempt_result end;
     end.result = result.sent ? outcome::Unknown : outcome::NotRun;
     end.why = result.why.kind;
-    end.idempotent = one->idempotent;
-    end.attempts = one->attempts;
-    end.deadlineLeft = one->deadline - bootNow();
-    one->mayHaveRun = one->mayHaveRun || result.sent;
-    one->lastWhy = {result.why.kind, one->server, result.why.detail};
-    if (decideRetry(end, m_budget) == retry_decision::RetryOtherServer) {
-        one->tried.push_back(one->server);
-        routeService(one);
+    end.idempotent = request->idempotent;
+    end.attempts = request->attempts;
+    end.deadlineLeft = request->deadline - bootNow();
+    request->mayHaveRun = request->mayHaveRun || result.sent;
+    request->lastError = {result.why.kind, request->server, result.why.detail};
+    if (decideRetry(end, m_retryBudget) == retry_decision::RetryOtherServer) {
+        request->tried.push_back(request->server);
+        routeService(request);
         return;
     }
-    answer(one, {end.result, one->lastWhy, {1'000}});
+    respondFailure(request, {end.result, request->lastError, {1'000}});
 }
 
 }
--- a/packages/daemon/entry_task.cpp
+++ b/packages/daemon/entry_task.cpp
@@ -2,7 +2,7 @@
 
 #include "coordination/key_task.h"
 #include "coordination/rendezvous.h"
-#include "daemon/answers.h"
+#include "daemon/responses.h"
 
 #include <spdlog/spdlog.h>
 
@@ -12,60 +12,60 @@
 
 namespace {
 
-constexpr std::int64_t tickMs = 100;
-/// An owner enforces the deadline itself; the entry answers on its own this much later, for an owner that
-/// can't be heard.
-constexpr std::int64_t deadlineSlackMs = 250;
-constexpr std::int64_t replicaHintMs = 10'000;
-/// A server that said it takes no work is asked again after this.
-constexpr std::int64_t closedHintMs = 2'000;
-/// A caller's limit that was not used for this long has filled up again, whatever its rate.
-constexpr std::int64_t limitIdleMs = 60'000;
-constexpr std::int64_t lostServerRetryMs = 500;
-/// Pause before asking again while a server changes hands.
+constexpr std::int64_t tickIntervalMs = 100;
+/// The owner enforces the deadline. The entry responds itself this long after it, in case the owner cannot be
+/// reached.
+constexpr std::int64_t ownerResponseGraceMs = 250;
+constexpr std::int64_t replicaHintRetentionMs = 10'000;
+/// A server whose hint says that it accepts no requests is considered again after this.
+constexpr std::int64_t closedHintRetentionMs = 2'000;
+/// An unused caller limit is dropped after this, when its token bucket is full again whatever its rate.
+constexpr std::int64_t idleLimitRetentionMs = 60'000;
+constexpr std::int64_t defaultRetryAfterMs = 500;
+/// Pause before a request is rerouted while a server changes its owner.
 constexpr std::int64_t redirectPauseMs = 50;
 constexpr std::uint32_t maxRedirects = 40;
 
 }
 
-entry_task::entry_task(bus &messages, loop &eventLoop, http_client &services, crash_task &crashes,
-    metrics &counts, options given)
+entry_task::entry_task(bus &messages, loop &eventLoop, http_client &serviceClient, crash_task &crashes,
+    metrics &daemonMetrics, options taskOptions)
     : m_bus(messages)
     , m_loop(eventLoop)
-    , m_services(services)
+    , m_serviceClient(serviceClient)
     , m_crashes(crashes)
-    , m_metrics(counts)
-    , m_options(std::move(given))
+    , m_metrics(daemonMetrics)
+    , m_options(std::move(taskOptions))
     , m_random(std::random_device{}())
 {
-    m_bus.on<config_changed>([this](const config_changed &news) {
-        m_config = news.current;
+    m_bus.on<config_changed>([this](const config_changed &event) {
+        m_config = event.current;
         followConfig(m_metrics, *m_config, bootNow());
     });
-    m_bus.on<members_changed>([this](const members_changed &news) {
-        m_members = news.members;
-        m_daemons = keyHomeCandidates(news.members);
+    m_bus.on<members_changed>([this](const members_changed &event) {
+        m_members = event.members;
+        m_daemons = keyHomeCandidates(event.members);
     });
-    m_bus.on<live_list_changed>([this](const live_list_changed &news) {
-        onLiveList(news.view);
+    m_bus.on<live_list_changed>([this](const live_list_changed &event) {
+        onLiveList(event.view);
     });
-    m_bus.on<received<run_started>>([this](const received<run_started> &news) {
-        onStarted(news.body);
+    m_bus.on<received<run_started>>([this](const received<run_started> &event) {
+        onStarted(event.body);
     });
-    m_bus.on<received<run_bytes>>([this](const received<run_bytes> &news) {
-        onBytes(news.body);
+    m_bus.on<received<run_bytes>>([this](const received<run_bytes> &event) {
+        onBytes(event.body);
     });
-    m_bus.on<received<run_end>>([this](const received<run_end> &news) {
-        onEnd(news.body);
+    m_bus.on<received<run_end>>([this](const received<run_end> &event) {
+        onEnd(event.body);
     });
-    m_bus.on<received<key_response>>([this](const received<key_response> &news) {
-        onKeyVerdict(news.from, news.body);
+    m_bus.on<received<key_response>>([this](const received<key_response> &event) {
+        onKeyResponse(event.from, event.body);
     });
-    m_bus.on<peer_unreachable>([this](const peer_unreachable &news) {
-        onBroken(news.peer);
+    m_bus.on<peer_unreachable>([this](const peer_unreachable &event) {
+        onPeerUnreachable(event.peer);
     });
-    m_timer = m_loop.timer({tickMs}, {tickMs}, [this] {
-        tick();
+    m_timer = m_loop.timer({tickIntervalMs}, {tickIntervalMs}, [this] {
+        onTick();
     });
 }
 
@@ -76,28 +76,29 @@
 
 bool entry_task::ready() const
 {
-    return m_config != nullptr && m_config->version > 0 && !m_members.empty() && m_listHeard;
+    return m_config != nullptr && m_config->version > 0 && !m_members.empty() && m_listReceived;
 }
 
 void entry_task::onLiveList(const live_view &view)
 {
-    m_listHeard = true;
-    const auto keep = [this, &view](std::map<std::string, server_state> &servers, instance_kind kind) {
+    m_listReceived = true;
+    const auto updateServers = [this, &view](
+                                   std::map<std::string, server_state> &servers, instance_kind kind) {
         for (const auto &[name, instance] : view.instances) {
             if (instance.kind == kind) {
-                servers[name].where = instance;
+                servers[name].instance = instance;
             }
         }
         for (auto entry = servers.begin(); entry != servers.end();) {
-            const bool gone = view.instances.count(entry->first) == 0;
-            if (gone && !entry->second.where.leaving) {
+            const bool removed = view.instances.count(entry->first) == 0;
+            if (removed && !entry->second.instance.leaving) {
                 m_crashes.onServerCrashed(entry->first);
             }
-            entry = gone ? servers.erase(entry) : std::next(entry);
+            entry = removed ? servers.erase(entry) : std::next(entry);
         }
     };
-    keep(m_servers, instance_kind::Engine);
-    keep(m_serviceServers, instance_kind::Service);
+    updateServers(m_servers, instance_kind::Engine);
+    updateServers(m_serviceServers, instance_kind::Service);
 }
 
 // ---- routing to the owner of an engine
@@ -111,469 +112,473 @@
     return rendezvousFirst("server/" + server, m_daemons);
 }
 
-std::vector<server_view> entry_task::views(const std::string &baseModel) const
+std::vector<server_view> entry_task::serverViews(const std::string &baseModel) const
 {
     const millis now = bootNow();
     std::vector<server_view> list;
     for (const auto &[name, server] : m_servers) {
-        if (server.where.service != baseModel) {
+        if (server.instance.service != baseModel) {
             continue;
         }
         server_view view;
         view.name = name;
-        view.failureDomain = server.where.failureDomain;
-        view.baseModel = server.where.service;
-        const bool closed = server.hint.closed && now - server.hintAt < millis{closedHintMs};
-        view.leaving = server.where.leaving || closed;
-        view.unavailable = breakerOpen(server.health, now);
+        view.failureDomain = server.instance.failureDomain;
+        view.baseModel = server.instance.service;
+        const bool closed = server.hint.closed && now - server.hintReceivedAt < millis{closedHintRetentionMs};
+        view.leaving = server.instance.leaving || closed;
+        view.unavailable = breakerOpen(server.circuitBreaker, now);
         view.sentHere = server.sentHere;
         view.sentSinceHint = server.sentSinceHint;
         view.hintedInFlight = server.hint.inFlight;
         view.hintedWaiting = server.hint.waiting;
         view.batchLimit = std::max<std::uint32_t>(1, server.hint.batchLimit);
         view.freeSlots = server.hint.freeSlots;
-        view.hintAge = server.hintAt == millis{} ? millis{1'000'000} : now - server.hintAt;
+        view.hintAge = server.hintReceivedAt == millis{} ? millis{1'000'000} : now - server.hintReceivedAt;
         list.push_back(std::move(view));
     }
     return list;
 }
 
-/// Before each hand-over, first or repeated: a request under which servers ended goes to no further one,
-/// unless its wait is over and this daemon is the one that tries it. Whether it is held for that answer, or
-/// refused.
-bool entry_task::holdBlocked(const pending_ptr &one)
+/// Called before each attempt. A request under which servers crashed is not sent to another one, unless it is
+/// due for a probe and this daemon is chosen to send it. Returns true if the request is blocked; it is then
+/// held until that is decided, and routed or refused.
+bool entry_task::holdIfBlocked(const request_ptr &request)
 {
-    if (one->trial || !m_crashes.isBlocked(one->fingerprint)) {
+    if (request->isProbe || !m_crashes.isBlocked(request->fingerprint)) {
         return false;
     }
-    // Kept in the table, so that a deadline or a closed connection finds it meanwhile.
-    one->id = {m_options.self, m_options.incarnation, ++m_sequence};
-    m_pending[one->id] = one;
-    m_crashes.requestProbe(one->fingerprint, [this, id = one->id](bool granted) {
-        onTrial(id, granted);
+    // Keeps the request in m_pending, so that a deadline or a closed connection is handled meanwhile.
+    request->id = {m_options.self, m_options.incarnation, ++m_sequence};
+    m_pending[request->id] = request;
+    m_crashes.requestProbe(request->fingerprint, [this, id = request->id](bool granted) {
+        onProbeDecision(id, granted);
     });
     return true;
 }
 
-void entry_task::onTrial(const request_id &id, bool granted)
+void entry_task::onProbeDecision(const request_id &id, bool granted)
 {
-    const pending_ptr one = take(id);
-    if (!one) {
+    const request_ptr request = removePending(id);
+    if (!request) {
         return;
     }
-    one->trial = granted;
+    request->isProbe = granted;
     if (!granted) {
-        answer(one,
-            {outcome::NotRun, {error_kind::EndsServers, one->path, "servers ended under this request"},
-                m_crashes.blockedRetryAfter(one->fingerprint)});
-    } else if (one->service.empty()) {
-        route(one);
+        respondFailure(request,
+            {outcome::NotRun, {error_kind::EndsServers, request->path, "servers ended under this request"},
+                m_crashes.blockedRetryAfter(request->fingerprint)});
+    } else if (request->service.empty()) {
+        route(request);
     } else {
-        routeService(one);
+        routeService(request);
     }
 }
 
-void entry_task::route(const pending_ptr &one)
+void entry_task::route(const request_ptr &request)
 {
-    if (holdBlocked(one)) {
+    if (holdIfBlocked(request)) {
         return;
     }
     const millis now = bootNow();
     route_query query;
-    query.adapter = one->adapter;
-    query.baseModel = one->baseModel;
+    query.adapter = request->adapter;
+    query.baseModel = request->baseModel;
     query.failureDomain = m_options.failureDomain;
-    query.prefix = one->prefix;
-    query.tried = one->tried;
-    const auto hint = m_replicas.find(one->adapter.adapter);
-    if (hint != m_replicas.end() && now - hint->second.at < millis{replicaHintMs}) {
+    query.prefix = request->prefix;
+    query.tried = request->tried;
+    const auto hint = m_replicaHints.find(request->adapter.adapter);
+    if (hint != m_replicaHints.end() && now - hint->second.receivedAt < millis{replicaHintRetentionMs}) {
         query.replicas = hint->second.servers;
     }
-    const auto servers = views(one->baseModel);
+    const auto servers = serverViews(request->baseModel);
     const auto server =
-        chooseServer(query, servers, one->config->policy.stallWeight, m_options.routing, m_random);
+        chooseServer(query, servers, request->config->policy.stallWeight, m_options.routing, m_random);
     if (!server) {
-        request_result end{outcome::NotRun, one->lastWhy, one->lastRetryAfter};
+        request_result end{outcome::NotRun, request->lastError, request->lastRetryAfter};
         if (end.why.kind == error_kind::None) {
-            end.why = {error_kind::NoServer, one->baseModel, "no backend server can take the request"};
+            end.why = {error_kind::NoServer, request->baseModel, "no backend server can take the request"};
         }
         if (end.retryAfter.count == 0) {
             end.retryAfter = {1'000};
         }
-        answer(one, end);
+        respondFailure(request, end);
         return;
     }
-    one->server = *server;
-    send(one, ownerOf(*server));
+    request->server = *server;
+    sendToOwner(request, ownerOf(*server));
 }
 
-void entry_task::send(const pending_ptr &one, const std::string &owner)
+void entry_task::sendToOwner(const request_ptr &request, const std::string &owner)
 {
     const bool reachable = std::find(m_daemons.begin(), m_daemons.end(), owner) != m_daemons.end();
     if (!reachable) {
-        m_servers[one->server].owner.clear();
-        retryLater(one, redirectPauseMs);
+        m_servers[request->server].owner.clear();
+        rerouteAfter(request, redirectPauseMs);
         return;
     }
-    server_state &server = m_servers[one->server];
-    breakerAllows(server.health, bootNow());
-    one->id = {m_options.self, m_options.incarnation, ++m_sequence};
-    one->owner = owner;
-    one->running = false;
-    one->placed = true;
-    ++one->attempts;
+    server_state &server = m_servers[request->server];
+    breakerAllows(server.circuitBreaker, bootNow());
+    request->id = {m_options.self, m_options.incarnation, ++m_sequence};
+    request->owner = owner;
+    request->engineStarted = false;
+    request->sentToServer = true;
+    ++request->attempts;
     ++server.sentHere;
     ++server.sentSinceHint;
-    m_pending[one->id] = one;
-    run_request request;
-    request.id = one->id;
-    request.server = one->server;
-    request.adapter = one->adapter;
-    request.configVersion = one->config->version;
-    request.caller = one->caller;
-    request.rank = one->rank;
-    request.deadlineMs = std::max<std::int64_t>(1, (one->deadline - bootNow()).count);
-    request.idempotent = one->idempotent;
-    request.prefix = one->prefix;
-    request.path = one->path;
-    request.body = one->body;
-    request.fingerprint = one->fingerprint;
-    request.isProbe = one->trial;
-    m_bus.post(send_to{owner, std::move(request)});
+    m_pending[request->id] = request;
+    run_request message;
+    message.id = request->id;
+    message.server = request->server;
+    message.adapter = request->adapter;
+    message.configVersion = request->config->version;
+    message.caller = request->caller;
+    message.rank = request->rank;
+    message.deadlineMs = std::max<std::int64_t>(1, (request->deadline - bootNow()).count);
+    message.idempotent = request->idempotent;
+    message.prefix = request->prefix;
+    message.path = request->path;
+    message.body = request->body;
+    message.fingerprint = request->fingerprint;
+    message.isProbe = request->isProbe;
+    m_bus.post(send_to{owner, std::move(message)});
 }
 
-void entry_task::retryLater(const pending_ptr &one, std::int64_t pauseMs)
+void entry_task::rerouteAfter(const request_ptr &request, std::int64_t pauseMs)
 {
-    if (++one->redirects > maxRedirects || bootNow() + millis{pauseMs} >= one->deadline) {
-        answer(one,
-            {outcome::NotRun, {error_kind::NoServer, one->server, "its owner can't be reached"}, {1'000}});
+    if (++request->redirects > maxRedirects || bootNow() + millis{pauseMs} >= request->deadline) {
+        respondFailure(request,
+            {outcome::NotRun, {error_kind::NoServer, request->server, "its owner can't be reached"},
+                {1'000}});
         return;
     }
-    // Keeps the request in the table, so that a deadline or a closed connection finds it while it pauses.
-    one->id = {m_options.self, m_options.incarnation, ++m_sequence};
-    m_pending[one->id] = one;
-    one->retryTimer = m_loop.timer({pauseMs}, {}, [this, id = one->id] {
-        if (const pending_ptr again = take(id)) {
-            route(again);
+    // Keeps the request in m_pending, so that a deadline or a closed connection is handled during the pause.
+    request->id = {m_options.self, m_options.incarnation, ++m_sequence};
+    m_pending[request->id] = request;
+    request->retryTimer = m_loop.timer({pauseMs}, {}, [this, id = request->id] {
+        if (const request_ptr rerouted = removePending(id)) {
+            route(rerouted);
         }
     });
 }
 
-entry_task::pending_ptr entry_task::take(const request_id &id)
+entry_task::request_ptr entry_task::removePending(const request_id &id)
 {
     const auto found = m_pending.find(id);
     if (found == m_pending.end()) {
         return {};
     }
-    pending_ptr one = found->second;
+    request_ptr request = found->second;
     m_pending.erase(found);
-    release(*one);
-    return one;
+    releaseServer(*request);
+    return request;
 }
 
-void entry_task::release(pending &one)
+void entry_task::releaseServer(pending_request &request)
 {
-    if (!one.placed) {
+    if (!request.sentToServer) {
         return;
     }
-    one.placed = false;
-    auto &servers = one.service.empty() ? m_servers : m_serviceServers;
-    const auto server = servers.find(one.server);
+    request.sentToServer = false;
+    auto &servers = request.service.empty() ? m_servers : m_serviceServers;
+    const auto server = servers.find(request.server);
     if (server != servers.end() && server->second.sentHere > 0) {
         --server->second.sentHere;
     }
 }
 
-void entry_task::learn(const server_hint &hint)
+void entry_task::applyHint(const server_hint &hint)
 {
     const auto found = m_servers.find(hint.server);
     if (found != m_servers.end()) {
         found->second.hint = hint;
-        found->second.hintAt = bootNow();
+        found->second.hintReceivedAt = bootNow();
         found->second.sentSinceHint = 0;
     }
 }
 
-// ---- what owners answer
+// ---- responses from owners
 
-void entry_task::onStarted(const run_started &news)
+void entry_task::onStarted(const run_started &event)
 {
-    const auto found = m_pending.find(news.id);
-    // A late or stray answer matches no attempt under way and is dropped.
+    const auto found = m_pending.find(event.id);
+    // A late or stray response matches no current attempt and is dropped.
     if (found == m_pending.end()) {
         return;
     }
-    pending &one = *found->second;
-    one.running = true;
-    one.stall = {news.stallMs};
-    one.queued = {news.queuedMs};
-    // Guards against: an answer from another adapter or version. The owner has checked the engine's word;
-    // this checks the owner's, against what the request was bound to at admission, before the first byte goes
-    // out.
-    if (news.adapter != toString(one.adapter)) {
-        spdlog::error("entry: {} answered with {} for {}.", one.owner, news.adapter, toString(one.adapter));
-        const pending_ptr wrong = take(news.id);
-        m_bus.post(send_to{wrong->owner, run_cancel{news.id}});
-        attemptEnded(wrong, outcome::Unknown, error_kind::Internal, "wrong adapter", {});
+    pending_request &request = *found->second;
+    request.engineStarted = true;
+    request.stall = {event.stallMs};
+    request.queued = {event.queuedMs};
+    // Guards against a response from another adapter or version. The owner has checked what the engine
+    // reported; this checks the owner's report against the version that the request was bound to at
+    // admission, before the first byte is sent to the caller.
+    if (event.adapter != toString(request.adapter)) {
+        spdlog::error("entry: Owner {} reported adapter {} for a request to {}; attempt canceled.",
+            request.owner, event.adapter, toString(request.adapter));
+        const request_ptr mismatched = removePending(event.id);
+        m_bus.post(send_to{mismatched->owner, run_cancel{event.id}});
+        onAttemptEnd(mismatched, outcome::Unknown, error_kind::Internal, "wrong adapter", {});
     }
 }
 
-void entry_task::onBytes(const run_bytes &news)
+void entry_task::onBytes(const run_bytes &event)
 {
-    const auto found = m_pending.find(news.id);
+    const auto found = m_pending.find(event.id);
     if (found == m_pending.end()) {
         return;
     }
-    pending &one = *found->second;
-    if (one.firstByte == millis{}) {
-        one.firstByte = bootNow();
+    pending_request &request = *found->second;
+    if (request.firstByteAt == millis{}) {
+        request.firstByteAt = bootNow();
     }
-    one.tokens += countTokens(news.bytes);
-    if (!one.stream || !one.key.empty()) {
-        one.collected += news.bytes;
+    request.tokens += countTokens(event.bytes);
+    if (!request.stream || !request.key.empty()) {
+        request.responseEvents += event.bytes;
     }
-    if (!one.stream) {
+    if (!request.stream) {
         return;
     }
-    if (!one.begun) {
-        one.begun = true;
-        one.reply->begin(200,
+    if (!request.responseStarted) {
+        request.responseStarted = true;
+        request.reply->begin(200,
             {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-cache"},
-                {"X-Briarhead-Adapter", toString(one.adapter)}, {"X-Briarhead-Server", one.server},
-                {"X-Request-Id", toString(one.id)}});
+                {"X-Briarhead-Adapter", toString(request.adapter)}, {"X-Briarhead-Server", request.server},
+                {"X-Request-Id", toString(request.id)}});
     }
-    one.reply->write(news.bytes);
+    request.reply->write(event.bytes);
 }
 
-void entry_task::onEnd(const run_end &news)
+void entry_task::onEnd(const run_end &event)
 {
-    learn(news.hint);
-    const pending_ptr one = take(news.id);
-    if (!one) {
+    applyHint(event.hint);
+    const request_ptr request = removePending(event.id);
+    if (!request) {
         return;
     }
-    if (!news.replicas.empty()) {
-        m_replicas[one->adapter.adapter] = {news.replicas, bootNow()};
+    if (!event.replicas.empty()) {
+        m_replicaHints[request->adapter.adapter] = {event.replicas, bootNow()};
     }
-    if (news.why == error_kind::NotOwner) {
-        m_servers[one->server].owner = news.owner == one->owner ? "" : news.owner;
+    if (event.why == error_kind::NotOwner) {
+        m_servers[request->server].owner = event.owner == request->owner ? "" : event.owner;
     }
-    attemptEnded(one, news.result, news.why, news.detail, {news.retryAfterMs});
+    onAttemptEnd(request, event.result, event.why, event.detail, {event.retryAfterMs});
 }
 
-void entry_task::attemptEnded(
-    const pending_ptr &one, outcome result, error_kind why, const std::string &detail, millis retryAfter)
+void entry_task::onAttemptEnd(
+    const request_ptr &request, outcome result, error_kind why, const std::string &detail, millis retryAfter)
 {
     const millis now = bootNow();
-    server_state *server = m_servers.count(one->server) != 0 ? &m_servers[one->server] : nullptr;
+    server_state *server = m_servers.count(request->server) != 0 ? &m_servers[request->server] : nullptr;
     if (result == outcome::Done) {
         if (server != nullptr) {
-            breakerSuccess(server->health);
+            breakerSuccess(server->circuitBreaker);
         }
-        countSuccess(m_budget);
-        answerDone(one);
+        countSuccess(m_retryBudget);
+        respondComplete(request);
         return;
     }
     const bool serverFailed = result == outcome::Unknown || why == error_kind::ConnectionLost;
     if (server != nullptr && serverFailed) {
-        breakerFailure(server->health, now);
+        breakerFailure(server->circuitBreaker, now);
     }
-    one->mayHaveRun = one->mayHaveRun || result == outcome::Unknown;
-    one->lastWhy = {why, one->server, detail};
-    one->lastRetryAfter = retryAfter;
+    request->mayHaveRun = request->mayHaveRun || result == outcome::Unknown;
+    request->lastError = {why, request->server, detail};
+    request->lastRetryAfter = retryAfter;
     attempt_result end;
     end.result = result;
     end.why = why;
-    end.idempotent = one->idempotent;
-    end.responseStarted = one->begun;
-    end.attempts = one->attempts;
-    end.deadlineLeft = one->deadline - now;
-    switch (decideRetry(end, m_budget)) {
+    end.idempotent = request->idempotent;
+    end.responseStarted = request->responseStarted;
+    end.attempts = request->attempts;
+    end.deadlineLeft = request->deadline - now;
+    switch (decideRetry(end, m_retryBudget)) {
     case retry_decision::RetryNamedOwner:
-        --one->attempts;
-        retryLater(one, m_servers[one->server].owner.empty() ? redirectPauseMs : 0);
+        --request->attempts;
+        rerouteAfter(request, m_servers[request->server].owner.empty() ? redirectPauseMs : 0);
         return;
     case retry_decision::RetryOtherServer:
-        one->tried.push_back(one->server);
-        one->collected.clear();
-        one->tokens = 0;
-        route(one);
+        request->tried.push_back(request->server);
+        request->responseEvents.clear();
+        request->tokens = 0;
+        route(request);
         return;
     case retry_decision::Stop:
         break;
     }
-    answer(one, {result, one->lastWhy, retryAfter});
+    respondFailure(request, {result, request->lastError, retryAfter});
 }
 
-void entry_task::onBroken(const std::string &peer)
+void entry_task::onPeerUnreachable(const std::string &peer)
 {
-    std::vector<request_id> lost;
-    std::vector<request_id> keyed;
-    for (const auto &[id, one] : m_pending) {
-        if (one->placed && one->owner == peer) {
-            lost.push_back(id);
-        } else if (one->askingHome && one->home == peer) {
-            keyed.push_back(id);
+    std::vector<request_id> sentToPeer;
+    std::vector<request_id> awaitingPeer;
+    for (const auto &[id, request] : m_pending) {
+        if (request->sentToServer && request->owner == peer) {
+            sentToPeer.push_back(id);
+        } else if (request->awaitingKeyHome && request->keyHome == peer) {
+            awaitingPeer.push_back(id);
         }
     }
-    for (const request_id &id : lost) {
-        const pending_ptr one = take(id);
+    for (const request_id &id : sentToPeer) {
+        const request_ptr request = removePending(id);
         for (auto &entry : m_servers) {
             if (entry.second.owner == peer) {
                 entry.second.owner.clear();
             }
         }
-        one->redirects = 0;
-        attemptEnded(
-            one, outcome::Unknown, error_kind::ConnectionLost, "the owner " + peer + " was lost", {});
+        request->redirects = 0;
+        onAttemptEnd(
+            request, outcome::Unknown, error_kind::ConnectionLost, "the owner " + peer + " was lost", {});
     }
-    for (const request_id &id : keyed) {
-        if (const pending_ptr one = take(id)) {
-            homeLost(one);
+    for (const request_id &id : awaitingPeer) {
+        if (const request_ptr request = removePending(id)) {
+            onKeyHomeLost(request);
         }
     }
 }
 
-// ---- the one answer
+// ---- responses to callers
 
-void entry_task::answerDone(const pending_ptr &one)
+void entry_task::respondComplete(const request_ptr &request)
 {
-    if (one->stream) {
-        finishKeyed(*one, outcome::Done, 200, one->collected);
-        if (!one->begun) {
-            one->reply->begin(200, {{"Content-Type", "text/event-stream"}});
+    if (request->stream) {
+        reportToKeyHome(*request, outcome::Done, 200, request->responseEvents);
+        if (!request->responseStarted) {
+            request->reply->begin(200, {{"Content-Type", "text/event-stream"}});
         }
-        one->reply->end();
+        request->reply->end();
     } else {
-        const std::string body = assembleCompletion(one->collected, one->chat, toString(one->adapter));
+        const std::string body =
+            assembleCompletion(request->responseEvents, request->chat, toString(request->adapter));
         if (body.empty()) {
-            answer(one,
-                {outcome::Unknown, {error_kind::Internal, one->server, "the engine's answer can't be read"},
-                    {}});
+            respondFailure(request,
+                {outcome::Unknown,
+                    {error_kind::Internal, request->server, "the engine's answer can't be read"}, {}});
             return;
         }
-        finishKeyed(*one, outcome::Done, 200, body);
-        one->reply->respond(200,
-            {{"Content-Type", "application/json"}, {"X-Briarhead-Adapter", toString(one->adapter)},
-                {"X-Briarhead-Server", one->server}, {"X-Request-Id", toString(one->id)},
-                {"X-Briarhead-Stall-Ms", std::to_string(one->stall.count)}},
+        reportToKeyHome(*request, outcome::Done, 200, body);
+        request->reply->respond(200,
+            {{"Content-Type", "application/json"}, {"X-Briarhead-Adapter", toString(request->adapter)},
+                {"X-Briarhead-Server", request->server}, {"X-Request-Id", toString(request->id)},
+                {"X-Briarhead-Stall-Ms", std::to_string(request->stall.count)}},
             body);
     }
-    record(*one, outcome::Done, error_kind::None);
+    recordResult(*request, outcome::Done, error_kind::None);
 }
 
-void entry_task::answer(const pending_ptr &one, const request_result &last)
+void entry_task::respondFailure(const request_ptr &request, const request_result &attempt)
 {
-    // Guards against: an idempotent request runs on a server that is lost, is sent again and refused, and its
-    // caller is told that it was not run. The last attempt's outcome is the request's only if none before it
-    // may have run.
-    request_result end = last;
-    if (one->mayHaveRun && end.result == outcome::NotRun) {
+    // An idempotent request may run on a server that is then lost, be retried and be refused. Its outcome
+    // must not be reported as "not run": the last attempt's outcome is that of the request only if no earlier
+    // attempt may have run.
+    request_result end = attempt;
+    if (request->mayHaveRun && end.result == outcome::NotRun) {
         end.result = outcome::Unknown;
     }
-    // A server that was lost says nothing of when to come back; without a time, callers come back at once.
+    // A lost server announces no retry time, and without one callers retry at once.
     if (end.result == outcome::NotRun && end.retryAfter.count <= 0) {
-        end.retryAfter = {lostServerRetryMs};
+        end.retryAfter = {defaultRetryAfterMs};
     }
-    finishKeyed(*one, end.result, 0, "");
-    record(*one, end.result, end.why.kind);
-    if (!one->begun) {
-        respondError(*one->reply, end);
+    reportToKeyHome(*request, end.result, 0, "");
+    recordResult(*request, end.result, end.why.kind);
+    if (!request->responseStarted) {
+        respondError(*request->reply, end);
         return;
     }
-    // Part of a stream is out: the error goes into it as an event, and the connection breaks off without the
-    // closing chunk, so that no client takes the part for the whole.
-    one->reply->write("data: " + errorBody(end) + "\n\n");
-    one->reply->abort();
+    // Part of the stream has been sent: the error is appended as an event, and the connection is closed
+    // without the final chunk, so that no client takes the partial response for a complete one.
+    request->reply->write("data: " + errorBody(end) + "\n\n");
+    request->reply->abort();
 }
 
-void entry_task::record(const pending &one, outcome result, error_kind why)
+void entry_task::recordResult(const pending_request &request, outcome result, error_kind why)
 {
     const millis now = bootNow();
-    const auto limit = m_limits.find(one.limitKey);
-    if (!one.limitKey.empty() && limit != m_limits.end()) {
-        releaseCallerLimit(limit->second, now - one.arrived);
-    }
-    request_record entry;
-    entry.caller = one.caller;
-    entry.adapter = one.adapter.adapter;
-    entry.server = one.server;
-    entry.service = !one.service.empty();
-    entry.result = result;
-    entry.why = why;
-    entry.rank = one.rank;
-    entry.firstToken = one.firstByte == millis{} ? millis{} : one.firstByte - one.arrived;
-    entry.whole = now - one.arrived;
-    entry.stall = one.stall;
-    entry.queued = one.queued;
-    entry.tokens = one.tokens;
-    observe(m_metrics, entry, *one.config, now);
+    const auto limit = m_callerLimits.find(request.limitKey);
+    if (!request.limitKey.empty() && limit != m_callerLimits.end()) {
+        releaseCallerLimit(limit->second, now - request.receivedAt);
+    }
+    request_record completed;
+    completed.caller = request.caller;
+    completed.adapter = request.adapter.adapter;
+    completed.server = request.server;
+    completed.service = !request.service.empty();
+    completed.result = result;
+    completed.why = why;
+    completed.rank = request.rank;
+    completed.firstToken =
+        request.firstByteAt == millis{} ? millis{} : request.firstByteAt - request.receivedAt;
+    completed.whole = now - request.receivedAt;
+    completed.stall = request.stall;
+    completed.queued = request.queued;
+    completed.tokens = request.tokens;
+    observe(m_metrics, completed, *request.config, now);
 }
 
-void entry_task::closed(const pending_ptr &one)
+void entry_task::onCallerDisconnected(const request_ptr &request)
 {
-    const auto found = m_pending.find(one->id);
-    if (found == m_pending.end() || found->second != one) {
+    const auto found = m_pending.find(request->id);
+    if (found == m_pending.end() || found->second != request) {
         return;
     }
-    // Guards against: a caller whose connection broke repeats a request that may not run twice. It shows as
-    // an answer lost for good. The run goes on to its end and its answer is kept at the key's home for the
-    // repeat.
-    if (one->keyHeld || one->askingHome) {
-        one->gone = true;
+    // A caller whose connection broke may repeat a request that must not run twice. The run continues, and
+    // its response is stored at the key's home for the repetition; canceling it would lose the response for
+    // good.
+    if (request->keyClaimed || request->awaitingKeyHome) {
+        request->callerDisconnected = true;
         return;
     }
-    // Nobody will read the answer, so the engine's place is freed for others.
-    const bool handedOver = one->placed;
-    take(one->id);
-    if (one->call != 0) {
-        m_services.cancel(one->call);
-    } else if (handedOver) {
-        m_bus.post(send_to{one->owner, run_cancel{one->id}});
+    // Nobody will read the response, so the attempt is canceled to free the engine for other requests.
+    const bool sentToServer = request->sentToServer;
+    removePending(request->id);
+    if (request->serviceCall != 0) {
+        m_serviceClient.cancel(request->serviceCall);
+    } else if (sentToServer) {
+        m_bus.post(send_to{request->owner, run_cancel{request->id}});
     }
-    const auto limit = m_limits.find(one->limitKey);
-    if (!one->limitKey.empty() && limit != m_limits.end()) {
-        releaseCallerLimit(limit->second, bootNow() - one->arrived);
+    const auto limit = m_callerLimits.find(request->limitKey);
+    if (!request->limitKey.empty() && limit != m_callerLimits.end()) {
+        releaseCallerLimit(limit->second, bootNow() - request->receivedAt);
     }
 }
 
-/// Drops what is kept by adapter or by caller and no longer of use, so that memory follows use and not the
-/// number of adapters ever asked for.
-void entry_task::forget(millis now)
+/// Drops expired replica hints and idle caller limits, so that memory depends on current use and not on the
+/// number of adapters and callers ever seen.
+void entry_task::dropExpired(millis now)
 {
-    m_forgetAt = now + millis{replicaHintMs};
-    std::erase_if(m_replicas, [now](const auto &entry) {
-        return now - entry.second.at >= millis{replicaHintMs};
+    m_nextCleanupAt = now + millis{replicaHintRetentionMs};
+    std::erase_if(m_replicaHints, [now](const auto &entry) {
+        return now - entry.second.receivedAt >= millis{replicaHintRetentionMs};
     });
-    std::erase_if(m_limits, [now](const auto &entry) {
-        return entry.second.inFlight == 0 && now - entry.second.filledAt >= millis{limitIdleMs};
+    std::erase_if(m_callerLimits, [now](const auto &entry) {
+        return entry.second.inFlight == 0 && now - entry.second.filledAt >= millis{idleLimitRetentionMs};
     });
 }
 
-void entry_task::tick()
+void entry_task::onTick()
 {
     const millis now = bootNow();
-    if (now >= m_forgetAt) {
-        forget(now);
+    if (now >= m_nextCleanupAt) {
+        dropExpired(now);
     }
-    std::vector<request_id> over;
-    for (const auto &[id, one] : m_pending) {
-        if (now > one->deadline + millis{deadlineSlackMs}) {
-            over.push_back(id);
+    std::vector<request_id> overdue;
+    for (const auto &[id, request] : m_pending) {
+        if (now > request->deadline + millis{ownerResponseGraceMs}) {
+            overdue.push_back(id);
         }
     }
-    for (const request_id &id : over) {
-        const bool handedOver = m_pending.at(id)->placed;
-        const pending_ptr one = take(id);
-        if (handedOver && one->service.empty()) {
-            m_bus.post(send_to{one->owner, run_cancel{id}});
+    for (const request_id &id : overdue) {
+        const bool sentToServer = m_pending.at(id)->sentToServer;
+        const request_ptr request = removePending(id);
+        if (sentToServer && request->service.empty()) {
+            m_bus.post(send_to{request->owner, run_cancel{id}});
         }
-        if (one->call != 0) {
-            m_services.cancel(one->call);
+        if (request->serviceCall != 0) {
+            m_serviceClient.cancel(request->serviceCall);
         }
-        answer(one,
-            {handedOver ? outcome::Unknown : outcome::NotRun,
-                {error_kind::Timeout, one->server, "no answer by the deadline"}, {}});
+        respondFailure(request,
+            {sentToServer ? outcome::Unknown : outcome::NotRun,
+                {error_kind::Timeout, request->server, "no answer by the deadline"}, {}});
     }
 }
 
--- a/packages/daemon/entry_task.h
+++ b/packages/daemon/entry_task.h
@@ -23,9 +23,9 @@
 
 namespace briarhead {
 
-/// The task that faces callers: authenticates, binds a request to the configuration, routes it to the owner
-/// of a backend server (or a plain service), retries where that is safe, and gives each request exactly one
-/// answer.
+/// The task that serves callers: it authenticates a request, binds it to a configuration version, routes it
+/// to the owner of a backend server or to a plain service, retries where that is safe, and sends each caller
+/// exactly one response.
 class entry_task
 {
 public:
@@ -37,131 +37,144 @@
         routing_kind routing = routing_kind::Briarhead;
     };
 
-    entry_task(bus &messages, loop &eventLoop, http_client &services, crash_task &crashes, metrics &counts,
-        options given);
+    entry_task(bus &messages, loop &eventLoop, http_client &serviceClient, crash_task &crashes,
+        metrics &daemonMetrics, options taskOptions);
 
-    /// A caller's request; anything under a path that is neither /v1/ nor a service's prefix gets 404.
-    void onRequest(const http_request &request, std::shared_ptr<http_reply> reply);
-    /// Requests that have no answer yet.
+    /// Handles a caller's request. A path that is neither under /v1/ nor under a service's prefix gets 404.
+    void onRequest(const http_request &httpRequest, std::shared_ptr<http_reply> reply);
+    /// The number of requests that have no response yet.
     std::size_t open() const;
+    /// Whether a configuration, the members and the platform's server list are known.
     bool ready() const;
 
 private:
-    /// One caller's request between its arrival and its one answer.
-    struct pending
+    /// A caller's request between its arrival and its response.
+    struct pending_request
     {
-        request_id id; ///< of the attempt under way
+        request_id id; ///< of the current attempt
         std::shared_ptr<http_reply> reply;
         config_ptr config; ///< the version it was admitted under
         std::string caller;
-        std::string fingerprint; ///< of what the caller sends again with each attempt
+        std::string fingerprint; ///< the same for every repetition by the caller
         std::string path;
         std::string method;
         std::string body;
         std::string contentType; ///< of the request
-        std::string answerType = "application/json"; ///< content type of the answer
+        std::string responseType = "application/json"; ///< content type of the response
         adapter_ref adapter;
         std::string baseModel;
-        std::string service;
+        std::string service; ///< empty: a request to an adapter
         priority rank = priority::Normal;
-        millis arrived;
+        millis receivedAt;
         millis deadline;
-        millis firstByte;
-        millis stall;
-        millis queued;
+        millis firstByteAt; ///< when the first byte of a response arrived; 0: none yet
+        millis stall; ///< time spent waiting for the adapter to be loaded
+        millis queued; ///< time spent waiting otherwise
         bool stream = false;
         bool chat = false;
         bool idempotent = true;
         std::string key; ///< caller and idempotency key; empty: none
-        std::uint32_t attemptSaid = 0;
-        std::string home; ///< daemon that answers for the key
-        request_id keyId; ///< as the home knows this attempt
-        bool askingHome = false;
-        bool gone = false; ///< the caller's connection broke while the home was asked
-        bool keyHeld = false; ///< the home recorded this attempt as started
-        bool placed = false; ///< counted in its server's sentHere
+        std::uint32_t declaredAttempt = 0; ///< the caller's attempt number; 0: not given
+        std::string keyHome; ///< daemon that is responsible for the key
+        request_id keyAttemptId; ///< the ID under which the key's home recorded this attempt
+        bool awaitingKeyHome = false;
+        bool callerDisconnected =
+            false; ///< the caller's connection closed, but the key's home needs the result
+        bool keyClaimed = false; ///< the key's home recorded this attempt as started
+        bool sentToServer = false; ///< counted in its server's sentHere
         std::string server;
-        std::string owner;
-        std::vector<std::string> tried;
+        std::string owner; ///< daemon that the current attempt was sent to
+        std::vector<std::string> tried; ///< servers that earlier attempts were sent to
         std::uint32_t attempts = 0;
         std::uint32_t redirects = 0;
-        std::uint64_t prefix = 0;
-        bool begun = false; ///< the status line went out
-        bool trial = false; ///< handed over though it is blocked
-        bool mayHaveRun = false; ///< an attempt before the one under way ended unknown
-        bool running = false; ///< the engine began on the attempt under way
-        std::string collected; ///< SSE text of a plain answer, or all of it for the key's home
+        std::uint64_t prefix = 0; ///< hash of the prompt's beginning; 0: none
+        bool responseStarted = false; ///< the status line was sent
+        bool isProbe = false; ///< sent although it is blocked
+        bool mayHaveRun = false; ///< an earlier attempt ended with an unknown outcome
+        bool engineStarted = false; ///< the engine has started the current attempt
+        std::string
+            responseEvents; ///< SSE text, collected for non-streaming responses and for the key's home
         std::uint32_t tokens = 0;
-        std::string limitKey;
-        http_client::call_id call = 0;
+        std::string limitKey; ///< key in m_callerLimits; empty: not counted there
+        http_client::call_id serviceCall = 0; ///< 0: none is open
         std::shared_ptr<void> retryTimer;
-        error lastWhy;
+        error lastError; ///< of the last attempt
         millis lastRetryAfter;
     };
-    using pending_ptr = std::shared_ptr<pending>;
+    using request_ptr = std::shared_ptr<pending_request>;
 
     /// What this entry knows of a backend server.
     struct server_state
     {
-        live_instance where;
+        live_instance instance;
         server_hint hint;
-        millis hintAt;
-        std::uint32_t sentHere = 0;
+        millis hintReceivedAt; ///< 0: no hint yet
+        std::uint32_t sentHere = 0; ///< requests from this entry in flight there
         std::uint32_t sentSinceHint = 0;
-        breaker health;
-        std::string owner; ///< as a redirect told; empty: the one proposed by rendezvous hash
+        breaker circuitBreaker;
+        std::string owner; ///< named by a redirect; empty: the first daemon by rendezvous hash
     };
 
-    /// The owner's word on where an adapter is spread.
+    /// The servers that hold an adapter, as last reported by an owner.
     struct replica_hint
     {
         std::vector<std::string> servers;
-        millis at;
+        millis receivedAt;
     };
 
-    void admitModel(const pending_ptr &one, const http_request &request);
-    void admitService(const pending_ptr &one, const http_request &request, const std::string &name);
-    bool authenticate(pending &one, const http_request &request);
-    bool readHeaders(pending &one, const http_request &request);
-    bool applyRule(pending &one, const rule_config *rule, const std::string &what);
+    // Admission. The functions that return bool respond with an error themselves before they return false.
+    void admitModel(const request_ptr &request, const http_request &httpRequest);
+    void admitService(const request_ptr &request, const http_request &httpRequest, const std::string &name);
+    bool authenticate(pending_request &request, const http_request &httpRequest);
+    bool readHeaders(pending_request &request, const http_request &httpRequest);
+    /// Checks the rule for `target`, an adapter or a service, and acquires the caller's limit under it.
+    bool applyRule(pending_request &request, const rule_config *rule, const std::string &target);
     void onLiveList(const live_view &view);
-    void listModels(const http_request &request, const std::shared_ptr<http_reply> &reply);
-
-    void beginKeyed(const pending_ptr &one);
-    void homeLost(const pending_ptr &one);
-    void onKeyVerdict(const std::string &from, const key_response &verdict);
-    void finishKeyed(const pending &one, outcome result, int status, const std::string &answer);
-
-    void route(const pending_ptr &one);
-    void routeService(const pending_ptr &one);
-    void onService(const request_id &id, const http_result &result);
-    millis firstPauseEnd(const std::string &service);
-    void send(const pending_ptr &one, const std::string &owner);
-    void retryLater(const pending_ptr &one, std::int64_t pauseMs);
+    void listModels(const http_request &httpRequest, const std::shared_ptr<http_reply> &reply);
+
+    // Idempotency keys.
+    void claimKey(const request_ptr &request);
+    void onKeyHomeLost(const request_ptr &request);
+    void onKeyResponse(const std::string &from, const key_response &response);
+    void reportToKeyHome(
+        const pending_request &request, outcome result, int status, const std::string &responseBody);
+
+    // Routing and attempts.
+    void route(const request_ptr &request);
+    void routeService(const request_ptr &request);
+    void onServiceResult(const request_id &id, const http_result &result);
+    millis serviceRetryAfter(const std::string &service);
+    void sendToOwner(const request_ptr &request, const std::string &owner);
+    /// Routes the request again after a pause, or responds with an error after maxRedirects.
+    void rerouteAfter(const request_ptr &request, std::int64_t pauseMs);
     std::string ownerOf(const std::string &server) const;
-    std::vector<server_view> views(const std::string &baseModel) const;
-    void onStarted(const run_started &news);
-    void onBytes(const run_bytes &news);
-    void onEnd(const run_end &news);
-    void attemptEnded(
-        const pending_ptr &one, outcome result, error_kind why, const std::string &detail, millis retryAfter);
-    void onBroken(const std::string &peer);
-    void learn(const server_hint &hint);
-    void release(pending &one);
-    pending_ptr take(const request_id &id);
-
-    bool holdBlocked(const pending_ptr &one);
-    void onTrial(const request_id &id, bool granted);
-    void answerDone(const pending_ptr &one);
-    void answer(const pending_ptr &one, const request_result &end);
-    void record(const pending &one, outcome result, error_kind why);
-    void closed(const pending_ptr &one);
-    void tick();
-    void forget(millis now);
+    std::vector<server_view> serverViews(const std::string &baseModel) const;
+    void onStarted(const run_started &event);
+    void onBytes(const run_bytes &event);
+    void onEnd(const run_end &event);
+    void onAttemptEnd(const request_ptr &request, outcome result, error_kind why, const std::string &detail,
+        millis retryAfter);
+    void onPeerUnreachable(const std::string &peer);
+    void applyHint(const server_hint &hint);
+    void releaseServer(pending_request &request);
+    /// Removes a request from m_pending and from its server's count; returns nullptr if it is not there.
+    request_ptr removePending(const request_id &id);
+
+    bool holdIfBlocked(const request_ptr &request);
+    void onProbeDecision(const request_id &id, bool granted);
+
+    // Responses to callers.
+    void respondComplete(const request_ptr &request);
+    void respondFailure(const request_ptr &request, const request_result &attempt);
+    /// Releases the caller's limit and counts the request in the metrics.
+    void recordResult(const pending_request &request, outcome result, error_kind why);
+    void onCallerDisconnected(const request_ptr &request);
+    void onTick();
+    void dropExpired(millis now);
 
     bus &m_bus;
     loop &m_loop;
-    http_client &m_services;
+    http_client &m_serviceClient;
     crash_task &m_crashes;
     metrics &m_metrics;
     options m_options;
@@ -170,14 +183,14 @@
     std::vector<std::string> m_daemons; ///< alive or suspect: may own servers and be homes of keys
     std::map<std::string, server_state> m_servers; ///< engines
     std::map<std::string, server_state> m_serviceServers;
-    server_notices m_words; ///< of plain servers; the list tells no starts of them, so by name
-    std::map<std::string, replica_hint> m_replicas; ///< by adapter
-    std::map<request_id, pending_ptr> m_pending;
-    std::map<std::string, caller_limit> m_limits;
-    bool m_listHeard = false; ///< without the platform's list there is no server to route to
-    millis m_forgetAt;
-    retry_budget m_budget;
-    std::uint64_t m_sequence = 0;
+    server_notices m_notices; ///< of plain servers, by name, since the platform's list has no start times
+    std::map<std::string, replica_hint> m_replicaHints; ///< by adapter
+    std::map<request_id, request_ptr> m_pending;
+    std::map<std::string, caller_limit> m_callerLimits; ///< by caller and rule
+    bool m_listReceived = false; ///< without the platform's list there is no server to route to
+    millis m_nextCleanupAt;
+    retry_budget m_retryBudget;
+    std::uint64_t m_sequence = 0; ///< of the last request ID
     std::mt19937_64 m_random;
     std::shared_ptr<void> m_timer;
 };
--- a/packages/daemon/judgement.cpp
+++ b/packages/daemon/judgement.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view groupPrefix = "group:";
 
-bool isCaller(std::string_view pattern, const config &at, const std::string &caller)
+bool matchesCaller(std::string_view pattern, const config &configuration, const std::string &caller)
 {
     if (pattern == "*" || pattern == caller) {
         return true;
@@ -17,15 +17,15 @@
     if (!pattern.starts_with(groupPrefix)) {
         return false;
     }
-    const auto found = at.callers.find(caller);
-    if (found == at.callers.end()) {
+    const auto found = configuration.callers.find(caller);
+    if (found == configuration.callers.end()) {
         return false;
     }
     const auto &groups = found->second.groups;
     return std::find(groups.begin(), groups.end(), pattern.substr(groupPrefix.size())) != groups.end();
 }
 
-bool isAdapter(std::string_view pattern, std::string_view adapter)
+bool matchesAdapter(std::string_view pattern, std::string_view adapter)
 {
     if (pattern.ends_with('*')) {
         return adapter.starts_with(pattern.substr(0, pattern.size() - 1));
@@ -33,8 +33,8 @@
     return pattern == adapter;
 }
 
-/// Failures that the caller brought about. KeyUnknown and KeyInProgress answer a repetition of a request
-/// that counts on its own.
+/// Whether the caller caused the failure. KeyUnknown and KeyInProgress are responses to the repetition of a
+/// request that is counted itself.
 bool isCallersFault(error_kind why)
 {
     switch (why) {
@@ -57,7 +57,8 @@
     return request.stall > request.queued ? burn_cause::LoadStall : burn_cause::Queueing;
 }
 
-/// A request that no engine began, or that mostly waited, was not failed by its server.
+/// A timeout counts against the server unless no engine started the request or it waited at least half its
+/// time.
 burn_cause timeoutCause(const request_record &request)
 {
     const millis waited = request.stall + request.queued;
@@ -84,29 +85,29 @@
     }
 }
 
-/// By how much the request was late, 0 if it was in time. Plain services have no first token.
+/// By how much the request exceeded the target, 0 if it met it. Plain services have no first token.
 millis lateness(const target_config &target, const request_record &request)
 {
-    millis late;
+    millis excess;
     if (target.firstToken > millis{0} && !request.service) {
-        // An answer without tokens reached its caller only at its end.
+        // A response without tokens reached its caller only when it was complete.
         const millis first = request.firstToken > millis{0} ? request.firstToken : request.whole;
-        late = std::max(late, first - target.firstToken);
+        excess = std::max(excess, first - target.firstToken);
     }
     if (target.endToEnd > millis{0}) {
-        late = std::max(late, request.whole - target.endToEnd);
+        excess = std::max(excess, request.whole - target.endToEnd);
     }
-    return late;
+    return excess;
 }
 
 }
 
-bool concerns(const target_config &target, const config &at, const request_record &request)
+bool concerns(const target_config &target, const config &configuration, const request_record &request)
 {
-    if (!isCaller(target.callers, at, request.caller)) {
+    if (!matchesCaller(target.callers, configuration, request.caller)) {
         return false;
     }
-    return target.adapters.empty() || (!request.service && isAdapter(target.adapters, request.adapter));
+    return target.adapters.empty() || (!request.service && matchesAdapter(target.adapters, request.adapter));
 }
 
 std::optional<judgement> judge(const target_config &target, const request_record &request)
@@ -117,12 +118,12 @@
         }
         return judgement{true, failureCause(request)};
     }
-    const millis late = lateness(target, request);
-    if (late <= millis{0}) {
+    const millis excess = lateness(target, request);
+    if (excess <= millis{0}) {
         return judgement{};
     }
-    // Waiting is the cause if the request would have been in time without it.
-    const bool waited = request.stall + request.queued >= late;
+    // Waiting is the cause if the request would have met the target without it.
+    const bool waited = request.stall + request.queued >= excess;
     return judgement{true, waited ? waitCause(request) : burn_cause::Other};
 }
 
--- a/packages/daemon/judgement.h
+++ b/packages/daemon/judgement.h
@@ -9,19 +9,19 @@
 
 namespace briarhead {
 
-/// Whether a request that counts for a target met it.
+/// Whether a request met a target, and if not, why.
 struct judgement
 {
     bool missed = false;
-    burn_cause cause = burn_cause::Other; ///< of the miss
+    burn_cause cause = burn_cause::Other; ///< why it missed the target
 };
 
-/// Whether a target speaks of this request. A target without an adapter pattern speaks of plain services
-/// too; "*" takes in every adapter and no service.
-bool concerns(const target_config &target, const config &at, const request_record &request);
+/// Whether a target applies to this request. A target without an adapter pattern also applies to plain
+/// services; "*" matches every adapter and no service.
+bool concerns(const target_config &target, const config &configuration, const request_record &request);
 
-/// Judges a request by a target; nothing for one that failed by the caller's own fault, which no server
-/// could have answered. Such a request must not dilute the share of misses either.
+/// Evaluates a request against a target. Returns nothing for a request that failed by the caller's own fault:
+/// no server could have completed it, and it must not dilute the fraction of misses either.
 std::optional<judgement> judge(const target_config &target, const request_record &request);
 
 }
--- a/packages/daemon/main/main.cpp
+++ b/packages/daemon/main/main.cpp
@@ -43,7 +43,7 @@
         std::cout << "briarheadd 0.1.0\n";
         return 0;
     } catch (const std::runtime_error &) {
-        std::cerr << "briarheadd: The arguments don't fit. 'briarheadd --help' lists them.\n";
+        std::cerr << "briarheadd: Invalid arguments. 'briarheadd --help' lists the valid ones.\n";
         return exitBadSettings;
     }
     briarhead::error why;
--- a/packages/daemon/metrics.cpp
+++ b/packages/daemon/metrics.cpp
@@ -8,133 +8,136 @@
 
 namespace {
 
-constexpr std::string_view otherName = "other";
+constexpr std::string_view sharedEntryName = "other";
 
 template <class value>
-void dropGone(std::map<std::string, value, std::less<>> &from, const auto &present)
+void dropRemoved(std::map<std::string, value, std::less<>> &from, const auto &present)
 {
     std::erase_if(from, [&present](const auto &entry) {
-        return !present.contains(entry.first) && entry.first != otherName;
+        return !present.contains(entry.first) && entry.first != sharedEntryName;
     });
 }
 
-/// The entry of a name, or the shared one of all names past the bound.
+/// The entry of a name, or the shared entry if the limit is reached.
 template <class value>
 value &boundedEntry(std::map<std::string, value, std::less<>> &in, const std::string &name, std::size_t limit)
 {
     if (const auto found = in.find(name); found != in.end()) {
         return found->second;
     }
-    return in[in.size() < limit ? name : std::string(otherName)];
+    return in[in.size() < limit ? name : std::string(sharedEntryName)];
 }
 
-caller_metrics &callerEntry(metrics &into, const std::string &name)
+caller_metrics &callerEntry(metrics &daemonMetrics, const std::string &name)
 {
-    // Names that are not configured come from outside and could be without number.
-    const bool configured = into.configured.contains(name);
-    return boundedEntry(into.callers, configured ? name : std::string(otherName), maxMetricCallers);
+    // Names that are not configured come from requests, so their number is unbounded.
+    const bool configured = daemonMetrics.knownCallers.contains(name);
+    return boundedEntry(
+        daemonMetrics.callers, configured ? name : std::string(sharedEntryName), maxMetricCallers);
 }
 
-void countOutcome(metrics &into, const request_record &request)
+void countOutcome(metrics &daemonMetrics, const request_record &request)
 {
-    auto &table = request.service ? into.serviceRequests : into.adapterRequests;
+    auto &table = request.service ? daemonMetrics.serviceRequests : daemonMetrics.adapterRequests;
     ++table.at(static_cast<std::size_t>(request.result)).at(static_cast<std::size_t>(request.why));
 }
 
-void countCaller(metrics &into, const request_record &request)
+void countCaller(metrics &daemonMetrics, const request_record &request)
 {
-    caller_metrics &caller = callerEntry(into, request.caller);
+    caller_metrics &caller = callerEntry(daemonMetrics, request.caller);
     ++caller.byOutcome.at(static_cast<std::size_t>(request.result));
     caller.tokens += request.tokens;
     if (request.result == outcome::Done) {
-        record(caller.whole, static_cast<double>(request.whole.count));
+        record(caller.endToEnd, static_cast<double>(request.whole.count));
     }
 }
 
-void countServer(metrics &into, const request_record &request)
+void countServer(metrics &daemonMetrics, const request_record &request)
 {
     if (request.result == outcome::Done || request.server.empty()) {
         return;
     }
     if (request.why == error_kind::ConnectionLost || request.why == error_kind::Timeout) {
-        ++boundedEntry(into.serverFailures, request.server, maxMetricServers);
+        ++boundedEntry(daemonMetrics.serverFailures, request.server, maxMetricServers);
     }
 }
 
-void recordLatencies(request_latencies &into, const request_record &request)
+void recordLatencies(request_latencies &latencies, const request_record &request)
 {
     if (request.tokens > 0) {
-        record(into.firstToken, static_cast<double>(request.firstToken.count));
+        record(latencies.firstToken, static_cast<double>(request.firstToken.count));
     }
     if (request.tokens > 1) {
         const auto streaming = static_cast<double>((request.whole - request.firstToken).count);
-        record(into.tokenGap, streaming / (request.tokens - 1));
+        record(latencies.tokenGap, streaming / (request.tokens - 1));
     }
     if (request.result == outcome::Done) {
-        record(into.whole, static_cast<double>(request.whole.count));
+        record(latencies.endToEnd, static_cast<double>(request.whole.count));
     }
-    record(into.stall, static_cast<double>(request.stall.count));
-    record(into.queued, static_cast<double>(request.queued.count));
+    record(latencies.stall, static_cast<double>(request.stall.count));
+    record(latencies.queued, static_cast<double>(request.queued.count));
 }
 
-void countTargets(metrics &into, const request_record &request, const config &at, millis now)
+void countTargets(
+    metrics &daemonMetrics, const request_record &request, const config &configuration, millis now)
 {
-    for (auto &[name, track] : into.targets) {
-        const auto target = at.targets.find(name);
-        if (target == at.targets.end() || !concerns(target->second, at, request)) {
+    for (auto &[name, track] : daemonMetrics.targets) {
+        const auto target = configuration.targets.find(name);
+        if (target == configuration.targets.end() || !concerns(target->second, configuration, request)) {
             continue;
         }
-        if (const auto verdict = judge(target->second, request)) {
-            add(track, request, *verdict, now);
+        if (const auto targetResult = judge(target->second, request)) {
+            add(track, request, *targetResult, now);
         }
     }
 }
 
 }
 
-void followConfig(metrics &into, const config &at, millis now)
+void followConfig(metrics &daemonMetrics, const config &configuration, millis now)
 {
-    // A request that was admitted under an older version must not bring back what was removed since.
-    if (into.following && at.version <= into.configVersion) {
+    // A request that was admitted under an older version must not restore callers or targets removed since.
+    if (daemonMetrics.hasConfig && configuration.version <= daemonMetrics.configVersion) {
         return;
     }
-    into.following = true;
-    into.configVersion = at.version;
-    into.configured = at.callers;
-    dropGone(into.callers, at.callers);
-    dropGone(into.targets, at.targets);
-    for (const auto &[name, target] : at.targets) {
-        if (into.targets.size() < maxMetricTargets && !into.targets.contains(name)) {
-            into.targets[name].since = now;
+    daemonMetrics.hasConfig = true;
+    daemonMetrics.configVersion = configuration.version;
+    daemonMetrics.knownCallers = configuration.callers;
+    dropRemoved(daemonMetrics.callers, configuration.callers);
+    dropRemoved(daemonMetrics.targets, configuration.targets);
+    for (const auto &[name, target] : configuration.targets) {
+        if (daemonMetrics.targets.size() < maxMetricTargets && !daemonMetrics.targets.contains(name)) {
+            daemonMetrics.targets[name].since = now;
         }
     }
 }
 
-void observe(metrics &into, const request_record &request, const config &at, millis now)
+void observe(metrics &daemonMetrics, const request_record &request, const config &configuration, millis now)
 {
-    followConfig(into, at, now);
-    countOutcome(into, request);
-    countCaller(into, request);
-    countServer(into, request);
-    recordLatencies(request.service ? into.serviceLatencies
-                                    : into.adapterLatencies.at(static_cast<std::size_t>(request.rank)),
+    followConfig(daemonMetrics, configuration, now);
+    countOutcome(daemonMetrics, request);
+    countCaller(daemonMetrics, request);
+    countServer(daemonMetrics, request);
+    recordLatencies(request.service
+            ? daemonMetrics.serviceLatencies
+            : daemonMetrics.adapterLatencies.at(static_cast<std::size_t>(request.rank)),
         request);
-    countTargets(into, request, at, now);
+    countTargets(daemonMetrics, request, configuration, now);
 }
 
-void setGauge(metrics &into, std::string_view name, double value)
+void setGauge(metrics &daemonMetrics, std::string_view name, double value)
 {
-    const auto found = into.gauges.find(name);
-    if (found != into.gauges.end()) {
+    const auto found = daemonMetrics.gauges.find(name);
+    if (found != daemonMetrics.gauges.end()) {
         found->second = value;
-    } else if (into.gauges.size() < maxGauges) {
-        into.gauges.emplace(name, value);
+    } else if (daemonMetrics.gauges.size() < maxGauges) {
+        daemonMetrics.gauges.emplace(name, value);
     }
 }
 
-void setServerGauge(metrics &into, std::string_view name, std::string_view server, double value)
+void setServerGauge(metrics &daemonMetrics, std::string_view name, std::string_view server, double value)
 {
-    auto &servers = into.serverGauges[std::string(name)];
+    auto &servers = daemonMetrics.serverGauges[std::string(name)];
     const auto found = servers.find(server);
     if (found != servers.end()) {
         found->second = value;
@@ -143,25 +146,25 @@
     }
 }
 
-void dropServerGauges(metrics &into, std::string_view server)
+void dropServerGauges(metrics &daemonMetrics, std::string_view server)
 {
-    for (auto &[name, servers] : into.serverGauges) {
+    for (auto &[name, servers] : daemonMetrics.serverGauges) {
         if (const auto found = servers.find(server); found != servers.end()) {
             servers.erase(found);
         }
     }
 }
 
-std::string burnJson(const metrics &of, const config &at, millis now)
+std::string burnJson(const metrics &daemonMetrics, const config &configuration, millis now)
 {
     burn_report report;
-    report.configVersion = at.version;
+    report.configVersion = configuration.version;
     report.answered = 1;
     report.known = 1;
-    for (const auto &[name, target] : at.targets) {
-        const auto track = of.targets.find(name);
+    for (const auto &[name, target] : configuration.targets) {
+        const auto track = daemonMetrics.targets.find(name);
         report.targets.push_back(
-            describe(name, target, track == of.targets.end() ? nullptr : &track->second, now));
+            describe(name, target, track == daemonMetrics.targets.end() ? nullptr : &track->second, now));
     }
     return toJson(report);
 }
--- a/packages/daemon/peer_router.cpp
+++ b/packages/daemon/peer_router.cpp
@@ -9,41 +9,41 @@
     , m_self(std::move(self))
     , m_incarnation(incarnation)
 {
-    m_bus.on<members_changed>([this](const members_changed &news) {
-        std::map<std::string, member> now;
-        for (const member &one : news.members) {
-            now[one.name] = one;
+    m_bus.on<members_changed>([this](const members_changed &event) {
+        std::map<std::string, member> current;
+        for (const member &peer : event.members) {
+            current[peer.name] = peer;
         }
-        // A peer that died or was replaced does not answer any more: whoever waits for it hears so at once
-        // instead of at a timeout.
-        for (const auto &[name, before] : m_members) {
-            const auto found = now.find(name);
-            if (before.state == peer_state::Dead || name == m_self) {
+        // A peer that died or was replaced no longer responds. Tasks that wait for it are notified at once,
+        // not only at a timeout.
+        for (const auto &[name, previous] : m_members) {
+            const auto found = current.find(name);
+            if (previous.state == peer_state::Dead || name == m_self) {
                 continue;
             }
-            const bool gone = found == now.end() || found->second.state == peer_state::Dead;
+            const bool dead = found == current.end() || found->second.state == peer_state::Dead;
             const bool replaced =
-                !gone && before.incarnation != 0 && found->second.incarnation != before.incarnation;
-            if (gone) {
+                !dead && previous.incarnation != 0 && found->second.incarnation != previous.incarnation;
+            if (dead) {
                 m_link->close(name);
             } else if (replaced) {
-                // The new process may be linked already; only the old one's requests are lost.
+                // The new process may be connected already; only requests to the old one are lost.
                 m_link->closeOlder(name, found->second.incarnation);
             }
-            if (gone || replaced) {
+            if (dead || replaced) {
                 m_bus.post(peer_unreachable{name});
             }
         }
-        m_members = std::move(now);
+        m_members = std::move(current);
     });
-    m_bus.on<send_to>([this](const send_to &news) {
-        if (news.to == m_self) {
-            deliver(m_self, m_incarnation, news.body);
+    m_bus.on<send_to>([this](const send_to &message) {
+        if (message.to == m_self) {
+            deliver(m_self, m_incarnation, message.body);
             return;
         }
-        const auto found = m_members.find(news.to);
-        if (found == m_members.end() || !m_link->send(news.to, found->second.address, news.body)) {
-            m_bus.post(peer_unreachable{news.to});
+        const auto found = m_members.find(message.to);
+        if (found == m_members.end() || !m_link->send(message.to, found->second.address, message.body)) {
+            m_bus.post(peer_unreachable{message.to});
         }
     });
 }
@@ -51,25 +51,25 @@
 peer_link::handlers peer_router::handlers(
     std::function<void(const peer_address &, const peer_datagram &)> onDatagram)
 {
-    peer_link::handlers calls;
-    calls.onMessage = [this](const std::string &from, std::uint64_t incarnation, peer_message message) {
+    peer_link::handlers callbacks;
+    callbacks.onMessage = [this](const std::string &from, std::uint64_t incarnation, peer_message message) {
         deliver(from, incarnation, std::move(message));
     };
-    calls.onDatagram = std::move(onDatagram);
-    // A request that never left for its owner certainly did not run there: its caller is told so, or it is
-    // sent elsewhere, whatever its kind. Without this each request to an owner that has just died would be
-    // unknown.
-    calls.onUnsent = [this](const std::string &name, const peer_message &message) {
+    callbacks.onDatagram = std::move(onDatagram);
+    // A request that was never sent to its owner certainly did not run, so it may be retried elsewhere even
+    // if it is not idempotent, or is reported as not run. Without this, the outcome of each request to an
+    // owner that has just died would be unknown.
+    callbacks.onUnsent = [this](const std::string &name, const peer_message &message) {
         if (const auto *request = std::get_if<run_request>(&message)) {
             const run_end end{
                 request->id, outcome::NotRun, error_kind::ConnectionLost, name + " was not reached"};
             m_bus.post(received<run_end>{name, 0, end});
         }
     };
-    calls.onBroken = [this](const std::string &name) {
+    callbacks.onBroken = [this](const std::string &name) {
         m_bus.post(peer_unreachable{name});
     };
-    return calls;
+    return callbacks;
 }
 
 void peer_router::attach(peer_link &link)
--- a/packages/daemon/peer_router.h
+++ b/packages/daemon/peer_router.h
@@ -9,14 +9,14 @@
 
 namespace briarhead {
 
-/// The task that owns the peer link: carries send_to messages to daemons by name, and brings frames from
-/// peers to the task they concern as received<message>.
+/// The task that connects the bus to the peer link: it sends the body of each send_to message to the named
+/// daemon, and posts each message from a peer as received<message>.
 class peer_router
 {
 public:
     peer_router(bus &messages, std::string self, std::uint64_t incarnation);
 
-    /// Handlers for the link, which is opened after this task.
+    /// The handlers for opening the link. The link is opened later than this task and set by attach().
     peer_link::handlers handlers(std::function<void(const peer_address &, const peer_datagram &)> onDatagram);
     void attach(peer_link &link);
 
--- a/packages/daemon/process_stats.cpp
+++ b/packages/daemon/process_stats.cpp
@@ -6,10 +6,10 @@
 
 namespace briarhead {
 
-void exportPeerCounters(metrics &into, const peer_counters &counters)
+void exportPeerCounters(metrics &daemonMetrics, const peer_counters &counters)
 {
-    const auto set = [&into](const char *name, std::uint64_t value) {
-        setGauge(into, name, static_cast<double>(value));
+    const auto set = [&daemonMetrics](const char *name, std::uint64_t value) {
+        setGauge(daemonMetrics, name, static_cast<double>(value));
     };
     set("peer_datagrams_out", counters.datagramsOut);
     set("peer_datagrams_in", counters.datagramsIn);
@@ -24,10 +24,10 @@
     set("peer_dropped", counters.dropped);
 }
 
-void exportKvCounters(metrics &into, const kv_counters &counters)
+void exportKvCounters(metrics &daemonMetrics, const kv_counters &counters)
 {
-    const auto set = [&into](const char *name, std::uint64_t value) {
-        setGauge(into, name, static_cast<double>(value));
+    const auto set = [&daemonMetrics](const char *name, std::uint64_t value) {
+        setGauge(daemonMetrics, name, static_cast<double>(value));
     };
     set("kv_reads", counters.reads);
     set("kv_writes", counters.writes);
@@ -36,39 +36,40 @@
     set("kv_failed", counters.failed);
 }
 
-void exportServers(metrics &into, const std::vector<server_hint> &owned, std::set<std::string> &exported)
+void exportServers(
+    metrics &daemonMetrics, const std::vector<server_hint> &owned, std::set<std::string> &exported)
 {
-    std::set<std::string> now;
+    std::set<std::string> ownedNames;
     for (const server_hint &hint : owned) {
-        now.insert(hint.server);
-        setServerGauge(into, "server_in_flight", hint.server, hint.inFlight);
-        setServerGauge(into, "server_waiting", hint.server, hint.waiting);
-        setServerGauge(into, "server_batch_limit", hint.server, hint.batchLimit);
-        setServerGauge(into, "server_free_slots", hint.server, hint.freeSlots);
-        setServerGauge(into, "server_closed", hint.server, hint.closed ? 1 : 0);
+        ownedNames.insert(hint.server);
+        setServerGauge(daemonMetrics, "server_in_flight", hint.server, hint.inFlight);
+        setServerGauge(daemonMetrics, "server_waiting", hint.server, hint.waiting);
+        setServerGauge(daemonMetrics, "server_batch_limit", hint.server, hint.batchLimit);
+        setServerGauge(daemonMetrics, "server_free_slots", hint.server, hint.freeSlots);
+        setServerGauge(daemonMetrics, "server_closed", hint.server, hint.closed ? 1 : 0);
     }
     for (const std::string &name : exported) {
-        if (now.count(name) == 0) {
-            dropServerGauges(into, name);
+        if (ownedNames.count(name) == 0) {
+            dropServerGauges(daemonMetrics, name);
         }
     }
-    setGauge(into, "owned_servers", static_cast<double>(owned.size()));
-    exported = std::move(now);
+    setGauge(daemonMetrics, "owned_servers", static_cast<double>(owned.size()));
+    exported = std::move(ownedNames);
 }
 
-void exportProcess(metrics &into)
+void exportProcess(metrics &daemonMetrics)
 {
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
     const auto seconds = [](const timeval &time) {
         return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
     };
-    setGauge(into, "process_cpu_seconds", seconds(usage.ru_utime) + seconds(usage.ru_stime));
+    setGauge(daemonMetrics, "process_cpu_seconds", seconds(usage.ru_utime) + seconds(usage.ru_stime));
     std::ifstream statm("/proc/self/statm");
     std::uint64_t pages = 0;
     std::uint64_t resident = 0;
     if (statm >> pages >> resident) {
-        setGauge(into, "process_resident_bytes",
+        setGauge(daemonMetrics, "process_resident_bytes",
             static_cast<double>(resident) * static_cast<double>(sysconf(_SC_PAGESIZE)));
     }
 }
--- a/packages/daemon/process_stats.h
+++ b/packages/daemon/process_stats.h
@@ -10,17 +10,18 @@
 
 namespace briarhead {
 
-/// Gauges of the daemon's own ports: datagrams, frames, and control bytes apart from requests.
-void exportPeerCounters(metrics &into, const peer_counters &counters);
+/// Sets the gauges of traffic with peers: datagrams, frames, and control bytes, which exclude requests.
+void exportPeerCounters(metrics &daemonMetrics, const peer_counters &counters);
 
-/// Gauges of the calls made to the key-value service, by kind.
-void exportKvCounters(metrics &into, const kv_counters &counters);
+/// Sets the gauges of calls to the key-value store, by kind.
+void exportKvCounters(metrics &daemonMetrics, const kv_counters &counters);
 
-/// Gauges of the servers that this daemon owns; those of servers in `exported` that it no longer owns are
-/// dropped.
-void exportServers(metrics &into, const std::vector<server_hint> &owned, std::set<std::string> &exported);
+/// Sets the gauges of the servers that this daemon owns, and removes those of servers in `exported` that it
+/// no longer owns. `exported` is then set to the owned servers.
+void exportServers(
+    metrics &daemonMetrics, const std::vector<server_hint> &owned, std::set<std::string> &exported);
 
-/// Processor time and resident memory of this process, from the system.
-void exportProcess(metrics &into);
+/// Sets the gauges of CPU time and resident memory of this process.
+void exportProcess(metrics &daemonMetrics);
 
 }
--- a/packages/daemon/prometheus.cpp
+++ b/packages/daemon/prometheus.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr double msPerSecond = 1000;
-/// Prometheus gets every second edge of the histograms' doublings: 1 ms, 4 ms ... 262 s.
-constexpr std::size_t edgeStep = 2;
+/// Every second bucket boundary of the histograms is exported: 1 ms, 4 ms ... 262 s.
+constexpr std::size_t boundaryStep = 2;
 
 struct label
 {
@@ -19,39 +19,39 @@
     std::string_view value;
 };
 
-std::string escaped(std::string_view value)
+std::string escapeLabelValue(std::string_view value)
 {
     std::string out;
-    for (const char each : value) {
-        if (each == '\n') {
+    for (const char c : value) {
+        if (c == '\n') {
             out += "\\n";
             continue;
         }
-        if (each == '\\' || each == '"') {
+        if (c == '\\' || c == '"') {
             out += '\\';
         }
-        out += each;
+        out += c;
     }
     return out;
 }
 
-std::string joined(std::initializer_list<label> labels)
+std::string formatLabels(std::initializer_list<label> labels)
 {
     std::string out;
-    for (const label &each : labels) {
-        out += fmt::format("{}{}=\"{}\"", out.empty() ? "" : ",", each.name, escaped(each.value));
+    for (const label &entry : labels) {
+        out += fmt::format("{}{}=\"{}\"", out.empty() ? "" : ",", entry.name, escapeLabelValue(entry.value));
     }
     return out;
 }
 
-void writeHead(std::string &out, std::string_view name, std::string_view type, std::string_view help)
+void writeHeader(std::string &out, std::string_view name, std::string_view type, std::string_view help)
 {
     fmt::format_to(
         std::back_inserter(out), "# HELP briarhead_{0} {2}\n# TYPE briarhead_{0} {1}\n", name, type, help);
 }
 
 template <class value>
-void writeLine(std::string &out, std::string_view name, const std::string &labels, value number)
+void writeSample(std::string &out, std::string_view name, const std::string &labels, value number)
 {
     if (labels.empty()) {
         fmt::format_to(std::back_inserter(out), "briarhead_{} {}\n", name, number);
@@ -65,15 +65,15 @@
 {
     const std::string bucket = fmt::format("{}_bucket", name);
     const std::string separator = labels.empty() ? "" : ",";
-    for (std::size_t doublings = 0; doublings <= latencyDoublings; doublings += edgeStep) {
-        const double edge = minLatencyMs * static_cast<double>(1 << doublings) / msPerSecond;
-        writeLine(
-            out, bucket, fmt::format("{}{}le=\"{}\"", labels, separator, edge), countBelow(times, doublings));
+    for (std::size_t doublings = 0; doublings <= latencyDoublings; doublings += boundaryStep) {
+        const double boundary = minLatencyMs * static_cast<double>(1 << doublings) / msPerSecond;
+        writeSample(out, bucket, fmt::format("{}{}le=\"{}\"", labels, separator, boundary),
+            countBelow(times, doublings));
     }
     const std::uint64_t count = countOf(times);
-    writeLine(out, bucket, fmt::format("{}{}le=\"+Inf\"", labels, separator), count);
-    writeLine(out, fmt::format("{}_sum", name), labels, times.sumMs / msPerSecond);
-    writeLine(out, fmt::format("{}_count", name), labels, count);
+    writeSample(out, bucket, fmt::format("{}{}le=\"+Inf\"", labels, separator), count);
+    writeSample(out, fmt::format("{}_sum", name), labels, times.sumMs / msPerSecond);
+    writeSample(out, fmt::format("{}_count", name), labels, count);
 }
 
 void writeOutcomes(std::string &out, std::string_view kind,
@@ -84,114 +84,117 @@
             if (table[result][why] == 0) {
                 continue;
             }
-            writeLine(out, "requests_total",
-                joined({{"kind", kind}, {"outcome", nameOf(static_cast<outcome>(result))},
+            writeSample(out, "requests_total",
+                formatLabels({{"kind", kind}, {"outcome", nameOf(static_cast<outcome>(result))},
                     {"why", textOf(static_cast<error_kind>(why)).code}}),
                 table[result][why]);
         }
     }
 }
 
-/// One latency of every kind of request; plain services have no tokens and no loads.
-void writeLatency(std::string &out, const metrics &of, std::string_view name, std::string_view help,
-    latency_histogram request_latencies::*member, bool services)
+/// Writes one latency for every kind of request. `withServices` is false for latencies that plain services
+/// don't have: they have no tokens and no adapter loads.
+void writeLatency(std::string &out, const metrics &daemonMetrics, std::string_view name,
+    std::string_view help, latency_histogram request_latencies::*member, bool withServices)
 {
-    writeHead(out, name, "histogram", help);
+    writeHeader(out, name, "histogram", help);
     for (std::size_t rank = 0; rank < priorities; ++rank) {
         writeHistogram(out, name,
-            joined({{"kind", "adapter"}, {"priority", nameOf(static_cast<priority>(rank))}}),
-            of.adapterLatencies[rank].*member);
+            formatLabels({{"kind", "adapter"}, {"priority", nameOf(static_cast<priority>(rank))}}),
+            daemonMetrics.adapterLatencies[rank].*member);
     }
-    if (services) {
-        writeHistogram(out, name, joined({{"kind", "service"}}), of.serviceLatencies.*member);
+    if (withServices) {
+        writeHistogram(
+            out, name, formatLabels({{"kind", "service"}}), daemonMetrics.serviceLatencies.*member);
     }
 }
 
-void writeLatencies(std::string &out, const metrics &of)
+void writeLatencies(std::string &out, const metrics &daemonMetrics)
 {
-    writeLatency(
-        out, of, "first_token_seconds", "Time to the first token.", &request_latencies::firstToken, false);
-    writeLatency(out, of, "request_seconds", "Time to the whole answer.", &request_latencies::whole, true);
-    writeLatency(out, of, "load_stall_seconds", "Time spent waiting for an adapter to be loaded.",
+    writeLatency(out, daemonMetrics, "first_token_seconds", "Time to the first token.",
+        &request_latencies::firstToken, false);
+    writeLatency(out, daemonMetrics, "request_seconds", "Time to the whole answer.",
+        &request_latencies::endToEnd, true);
+    writeLatency(out, daemonMetrics, "load_stall_seconds", "Time spent waiting for an adapter to be loaded.",
         &request_latencies::stall, false);
-    writeLatency(
-        out, of, "queue_seconds", "Time spent waiting in a queue.", &request_latencies::queued, true);
-    writeLatency(out, of, "token_gap_seconds", "Mean time between two tokens of an answer.",
+    writeLatency(out, daemonMetrics, "queue_seconds", "Time spent waiting in a queue.",
+        &request_latencies::queued, true);
+    writeLatency(out, daemonMetrics, "token_gap_seconds", "Mean time between two tokens of an answer.",
         &request_latencies::tokenGap, false);
 }
 
-void writeCallers(std::string &out, const metrics &of)
+void writeCallers(std::string &out, const metrics &daemonMetrics)
 {
-    writeHead(out, "caller_requests_total", "counter", "Requests by caller and outcome.");
-    for (const auto &[name, caller] : of.callers) {
+    writeHeader(out, "caller_requests_total", "counter", "Requests by caller and outcome.");
+    for (const auto &[name, caller] : daemonMetrics.callers) {
         for (std::size_t result = 0; result < outcomes; ++result) {
-            writeLine(out, "caller_requests_total",
-                joined({{"caller", name}, {"outcome", nameOf(static_cast<outcome>(result))}}),
+            writeSample(out, "caller_requests_total",
+                formatLabels({{"caller", name}, {"outcome", nameOf(static_cast<outcome>(result))}}),
                 caller.byOutcome[result]);
         }
     }
-    writeHead(out, "caller_tokens_total", "counter", "Tokens delivered by caller.");
-    for (const auto &[name, caller] : of.callers) {
-        writeLine(out, "caller_tokens_total", joined({{"caller", name}}), caller.tokens);
+    writeHeader(out, "caller_tokens_total", "counter", "Tokens delivered by caller.");
+    for (const auto &[name, caller] : daemonMetrics.callers) {
+        writeSample(out, "caller_tokens_total", formatLabels({{"caller", name}}), caller.tokens);
     }
-    writeHead(out, "caller_request_seconds", "histogram", "Time to the whole answer, by caller.");
-    for (const auto &[name, caller] : of.callers) {
-        writeHistogram(out, "caller_request_seconds", joined({{"caller", name}}), caller.whole);
+    writeHeader(out, "caller_request_seconds", "histogram", "Time to the whole answer, by caller.");
+    for (const auto &[name, caller] : daemonMetrics.callers) {
+        writeHistogram(out, "caller_request_seconds", formatLabels({{"caller", name}}), caller.endToEnd);
     }
 }
 
-void writeTargets(std::string &out, const metrics &of)
+void writeTargets(std::string &out, const metrics &daemonMetrics)
 {
-    writeHead(out, "target_requests_total", "counter", "Requests that count for a target.");
-    for (const auto &[name, track] : of.targets) {
-        writeLine(out, "target_requests_total", joined({{"target", name}}), track.all.total);
+    writeHeader(out, "target_requests_total", "counter", "Requests that count for a target.");
+    for (const auto &[name, track] : daemonMetrics.targets) {
+        writeSample(out, "target_requests_total", formatLabels({{"target", name}}), track.all.total);
     }
-    writeHead(out, "target_missed_total", "counter", "Requests that missed a target, by cause.");
-    for (const auto &[name, track] : of.targets) {
+    writeHeader(out, "target_missed_total", "counter", "Requests that missed a target, by cause.");
+    for (const auto &[name, track] : daemonMetrics.targets) {
         for (std::size_t i = 0; i < burnCauses; ++i) {
-            writeLine(out, "target_missed_total",
-                joined({{"target", name}, {"cause", nameOf(static_cast<burn_cause>(i))}}),
+            writeSample(out, "target_missed_total",
+                formatLabels({{"target", name}, {"cause", nameOf(static_cast<burn_cause>(i))}}),
                 track.all.byCause[i]);
         }
     }
 }
 
-void writeServers(std::string &out, const metrics &of)
+void writeServers(std::string &out, const metrics &daemonMetrics)
 {
-    writeHead(
+    writeHeader(
         out, "server_failures_total", "counter", "Requests that a backend server lost or let time out.");
-    for (const auto &[name, count] : of.serverFailures) {
-        writeLine(out, "server_failures_total", joined({{"server", name}}), count);
+    for (const auto &[name, count] : daemonMetrics.serverFailures) {
+        writeSample(out, "server_failures_total", formatLabels({{"server", name}}), count);
     }
 }
 
-void writeGauges(std::string &out, const metrics &of)
+void writeGauges(std::string &out, const metrics &daemonMetrics)
 {
-    for (const auto &[name, value] : of.gauges) {
-        writeHead(out, name, "gauge", "Set by the daemon's tasks.");
-        writeLine(out, name, {}, value);
+    for (const auto &[name, value] : daemonMetrics.gauges) {
+        writeHeader(out, name, "gauge", "Set by the daemon's tasks.");
+        writeSample(out, name, {}, value);
     }
-    for (const auto &[name, servers] : of.serverGauges) {
-        writeHead(out, name, "gauge", "Set by the daemon's tasks, per backend server.");
+    for (const auto &[name, servers] : daemonMetrics.serverGauges) {
+        writeHeader(out, name, "gauge", "Set by the daemon's tasks, per backend server.");
         for (const auto &[server, value] : servers) {
-            writeLine(out, name, joined({{"server", server}}), value);
+            writeSample(out, name, formatLabels({{"server", server}}), value);
         }
     }
 }
 
 }
 
-std::string prometheusText(const metrics &of)
+std::string prometheusText(const metrics &daemonMetrics)
 {
     std::string out;
-    writeHead(out, "requests_total", "counter", "Requests by kind, outcome and reason.");
-    writeOutcomes(out, "adapter", of.adapterRequests);
-    writeOutcomes(out, "service", of.serviceRequests);
-    writeLatencies(out, of);
-    writeCallers(out, of);
-    writeTargets(out, of);
-    writeServers(out, of);
-    writeGauges(out, of);
+    writeHeader(out, "requests_total", "counter", "Requests by kind, outcome and reason.");
+    writeOutcomes(out, "adapter", daemonMetrics.adapterRequests);
+    writeOutcomes(out, "service", daemonMetrics.serviceRequests);
+    writeLatencies(out, daemonMetrics);
+    writeCallers(out, daemonMetrics);
+    writeTargets(out, daemonMetrics);
+    writeServers(out, daemonMetrics);
+    writeGauges(out, daemonMetrics);
     return out;
 }
 
--- a/packages/daemon/request_record.h
+++ b/packages/daemon/request_record.h
@@ -10,20 +10,20 @@
 
 namespace briarhead {
 
-/// What is known of a request once it has ended, as the entry that answered it saw it.
+/// The result of a request, as seen by the entry that responded to it.
 struct request_record
 {
-    std::string caller; ///< empty if it was not authenticated
-    std::string adapter; ///< empty for a plain service
-    std::string server; ///< the last backend server it was handed to, or empty
+    std::string caller; ///< empty: not authenticated
+    std::string adapter; ///< empty: a plain service
+    std::string server; ///< the last backend server it was sent to; empty: none
     bool service = false;
     outcome result = outcome::NotRun;
     error_kind why = error_kind::None;
     priority rank = priority::Normal;
-    millis firstToken; ///< from acceptance; meaningless without tokens
-    millis whole; ///< from acceptance to the end
-    millis stall; ///< spent waiting for an adapter to be loaded
-    millis queued; ///< spent waiting otherwise, before the engine took it
+    millis firstToken; ///< time from acceptance to the first token; meaningless without tokens
+    millis whole; ///< time from acceptance to the end
+    millis stall; ///< time spent waiting for the adapter to be loaded
+    millis queued; ///< time spent waiting otherwise, before the engine started it
     std::uint32_t tokens = 0;
 };
 
--- a/packages/daemon/answers.cpp
+++ b/packages/daemon/responses.cpp
@@ -1,4 +1,4 @@
-#include "daemon/answers.h"
+#include "daemon/responses.h"
 
 #include <nlohmann/json.hpp>
 
@@ -69,16 +69,16 @@
 
 namespace {
 
-/// Calls back with the text of each "data:" line.
+/// Calls `onData` with the text of each "data:" line.
 template <class callback>
-void eachEvent(std::string_view events, callback call)
+void forEachEvent(std::string_view events, callback onData)
 {
     constexpr std::string_view prefix = "data: ";
     while (!events.empty()) {
         const auto lineEnd = events.find('\n');
         const std::string_view line = events.substr(0, lineEnd);
         if (line.substr(0, prefix.size()) == prefix) {
-            call(line.substr(prefix.size()));
+            onData(line.substr(prefix.size()));
         }
         events = lineEnd == std::string_view::npos ? std::string_view{} : events.substr(lineEnd + 1);
     }
@@ -88,15 +88,15 @@
 
 namespace {
 
-/// One choice of a completion while its chunks come in.
-struct choice_parts
+/// One choice of a completion, assembled from chunks.
+struct partial_choice
 {
     std::string text;
-    std::string finish = "stop";
+    std::string finishReason = "stop";
 };
 
-/// Adds a chunk's choices to the parts by their index.
-void addChoices(const nlohmann::json &chunk, bool chat, std::map<int, choice_parts> &parts)
+/// Appends a chunk's choices to `parts`, by index.
+void addChoices(const nlohmann::json &chunk, bool chat, std::map<int, partial_choice> &parts)
 {
     const auto found = chunk.find("choices");
     if (found == chunk.end() || !found->is_array()) {
@@ -104,22 +104,22 @@
     }
     const char *field = chat ? "content" : "text";
     for (const auto &choice : *found) {
-        choice_parts &part = parts[choice.value("index", 0)];
+        partial_choice &part = parts[choice.value("index", 0)];
         if (choice.contains("finish_reason") && choice["finish_reason"].is_string()) {
-            part.finish = choice["finish_reason"];
+            part.finishReason = choice["finish_reason"];
         }
-        const auto &from = chat && choice.contains("delta") ? choice["delta"] : choice;
-        if (from.contains(field) && from[field].is_string()) {
-            part.text += from[field].get<std::string>();
+        const auto &source = chat && choice.contains("delta") ? choice["delta"] : choice;
+        if (source.contains(field) && source[field].is_string()) {
+            part.text += source[field].get<std::string>();
         }
     }
 }
 
-nlohmann::json choicesOf(const std::map<int, choice_parts> &parts, bool chat)
+nlohmann::json choicesOf(const std::map<int, partial_choice> &parts, bool chat)
 {
     auto choices = nlohmann::json::array();
     for (const auto &[index, part] : parts) {
-        nlohmann::json choice{{"index", index}, {"finish_reason", part.finish}};
+        nlohmann::json choice{{"index", index}, {"finish_reason", part.finishReason}};
         if (chat) {
             choice["message"] = {{"role", "assistant"}, {"content", part.text}};
         } else {
@@ -134,11 +134,11 @@
 
 std::string assembleCompletion(std::string_view events, bool chat, const std::string &model)
 {
-    nlohmann::json first;
+    nlohmann::json firstChunk;
     nlohmann::json usage;
-    std::map<int, choice_parts> parts;
+    std::map<int, partial_choice> parts;
     bool readable = true;
-    eachEvent(events, [&](std::string_view data) {
+    forEachEvent(events, [&](std::string_view data) {
         if (data.substr(0, 6) == "[DONE]") {
             return;
         }
@@ -147,29 +147,29 @@
             readable = false;
             return;
         }
-        first = first.is_null() ? chunk : first;
+        firstChunk = firstChunk.is_null() ? chunk : firstChunk;
         if (chunk.contains("usage") && chunk["usage"].is_object()) {
             usage = chunk["usage"];
         }
         addChoices(chunk, chat, parts);
     });
-    if (!readable || first.is_null()) {
+    if (!readable || firstChunk.is_null()) {
         return {};
     }
-    nlohmann::json whole{{"id", first.value("id", "")},
-        {"object", chat ? "chat.completion" : "text_completion"}, {"created", first.value("created", 0)},
+    nlohmann::json completion{{"id", firstChunk.value("id", "")},
+        {"object", chat ? "chat.completion" : "text_completion"}, {"created", firstChunk.value("created", 0)},
         {"model", model}, {"choices", choicesOf(parts, chat)}};
     if (!usage.is_null()) {
-        whole["usage"] = usage;
+        completion["usage"] = usage;
     }
-    return whole.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+    return completion.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
 std::uint32_t countTokens(std::string_view events)
 {
     std::uint32_t count = 0;
-    for (auto at = events.find("data: {"); at != std::string_view::npos;
-         at = events.find("data: {", at + 1)) {
+    for (auto position = events.find("data: {"); position != std::string_view::npos;
+         position = events.find("data: {", position + 1)) {
         ++count;
     }
     return count;
--- a/packages/daemon/answers.h
+++ b/packages/daemon/responses.h
@@ -8,23 +8,24 @@
 
 namespace briarhead {
 
-/// The HTTP status a verdict is told with.
+/// The HTTP status code for a failed request.
 int statusOf(const request_result &end);
 
-/// The error body in the shape that common clients parse:
+/// The error body, in the format that common clients parse:
 /// {"error": {"message", "type", "code", "outcome", "retry_after_ms"}}.
 std::string errorBody(const request_result &end);
 
-/// Headers of an error answer; Retry-After in whole seconds, rounded up, and Retry-After-Ms beside it.
+/// The headers of an error response. Retry-After is in seconds, rounded up; Retry-After-Ms is exact.
 header_list errorHeaders(const request_result &end);
 
-/// Answers a request with an error.
+/// Responds to a request with an error.
 void respondError(http_reply &reply, const request_result &end);
 
-/// One JSON completion assembled from the engine's server-sent events; empty if they can't be read.
+/// Assembles one JSON completion from the engine's server-sent events. Returns an empty string if an event
+/// can't be parsed or there is none.
 std::string assembleCompletion(std::string_view events, bool chat, const std::string &model);
 
-/// The number of token chunks in a piece of server-sent events.
+/// The number of token chunks in a sequence of server-sent events.
 std::uint32_t countTokens(std::string_view events);
 
 }
