--- a/packages/daemon/burn_track.cpp
+++ b/packages/daemon/burn_track.cpp
@@ -96,13 +96,13 @@
 
 }
 
-void add(burn_ring &ring, const judgement &verdict, millis now)
+void add(burn_ring &ring, const target_result &result, millis now)
 {
     advance(ring, bucketNumber(ring, now));
     burn_bucket &bucket = bucketAt(ring, ring.newest);
     ++bucket.total;
-    if (verdict.missed) {
-        ++bucket.byCause[static_cast<std::size_t>(verdict.cause)];
+    if (result.missed) {
+        ++bucket.byCause[static_cast<std::size_t>(result.cause)];
     }
 }
 
@@ -129,21 +129,21 @@
     return countsBetween(ring, span, millis{0}, now);
 }
 
-void add(burn_track &track, const request_record &request, const judgement &verdict, millis now)
+void add(burn_track &track, const request_record &request, const target_result &result, millis now)
 {
-    add(track.hour, verdict, now);
-    add(track.day, verdict, now);
-    add(track.month, verdict, now);
-    add(callerRing(track, request.caller, now), verdict, now);
+    add(track.hour, result, now);
+    add(track.day, result, now);
+    add(track.month, result, now);
+    add(callerRing(track, request.caller, now), result, now);
     ++track.all.total;
-    if (verdict.missed) {
-        ++track.all.byCause[static_cast<std::size_t>(verdict.cause)];
+    if (result.missed) {
+        ++track.all.byCause[static_cast<std::size_t>(result.cause)];
     }
     if (request.tokens > 0) {
         record(track.firstTokenTimes, static_cast<double>(request.firstToken.count));
     }
     if (request.result == outcome::Done) {
-        record(track.endToEndTimes, static_cast<double>(request.whole.count));
+        record(track.endToEndTimes, static_cast<double>(request.endToEnd.count));
     }
     if (!request.service) {
         record(track.stallTimes, static_cast<double>(request.stall.count));
--- a/packages/daemon/burn_track.h
+++ b/packages/daemon/burn_track.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "daemon/judgement.h"
 #include "daemon/request_record.h"
+#include "daemon/target_result.h"
 #include "state/burn.h"
 #include "state/clock.h"
 #include "state/config.h"
@@ -35,7 +35,7 @@
     std::int64_t newest = 0; ///< time of the newest bucket divided by `length`
 };
 
-void add(burn_ring &ring, const judgement &verdict, millis now);
+void add(burn_ring &ring, const target_result &result, millis now);
 /// The sum of the buckets that began between `from` and `to` before `now`, including the current one if `to`
 /// is 0.
 burn_counts countsBetween(const burn_ring &ring, millis from, millis to, millis now);
@@ -60,7 +60,7 @@
     latency_histogram stallTimes;
 };
 
-void add(burn_track &track, const request_record &request, const judgement &verdict, millis now);
+void add(burn_track &track, const request_record &request, const target_result &result, millis now);
 
 /// The burn report of a target; `track` is nullptr if nothing was counted for it.
 target_burn describe(
--- a/packages/daemon/entry_task.cpp
+++ b/packages/daemon/entry_task.cpp
@@ -508,7 +508,7 @@
     completed.rank = request.rank;
     completed.firstToken =
         request.firstByteAt == millis{} ? millis{} : request.firstByteAt - request.receivedAt;
-    completed.whole = now - request.receivedAt;
+    completed.endToEnd = now - request.receivedAt;
     completed.stall = request.stall;
     completed.queued = request.queued;
     completed.tokens = request.tokens;
--- a/packages/daemon/metrics.cpp
+++ b/packages/daemon/metrics.cpp
@@ -1,6 +1,6 @@
 #include "daemon/metrics.h"
 
-#include "daemon/judgement.h"
+#include "daemon/target_result.h"
 
 #include <algorithm>
 
@@ -48,7 +48,7 @@
     ++caller.byOutcome.at(static_cast<std::size_t>(request.result));
     caller.tokens += request.tokens;
     if (request.result == outcome::Done) {
-        record(caller.endToEnd, static_cast<double>(request.whole.count));
+        record(caller.endToEnd, static_cast<double>(request.endToEnd.count));
     }
 }
 
@@ -68,11 +68,11 @@
         record(latencies.firstToken, static_cast<double>(request.firstToken.count));
     }
     if (request.tokens > 1) {
-        const auto streaming = static_cast<double>((request.whole - request.firstToken).count);
+        const auto streaming = static_cast<double>((request.endToEnd - request.firstToken).count);
         record(latencies.tokenGap, streaming / (request.tokens - 1));
     }
     if (request.result == outcome::Done) {
-        record(latencies.endToEnd, static_cast<double>(request.whole.count));
+        record(latencies.endToEnd, static_cast<double>(request.endToEnd.count));
     }
     record(latencies.stall, static_cast<double>(request.stall.count));
     record(latencies.queued, static_cast<double>(request.queued.count));
@@ -83,10 +83,10 @@
 {
     for (auto &[name, track] : daemonMetrics.targets) {
         const auto target = configuration.targets.find(name);
-        if (target == configuration.targets.end() || !concerns(target->second, configuration, request)) {
+        if (target == configuration.targets.end() || !appliesTo(target->second, configuration, request)) {
             continue;
         }
-        if (const auto targetResult = judge(target->second, request)) {
+        if (const auto targetResult = evaluate(target->second, request)) {
             add(track, request, *targetResult, now);
         }
     }
--- a/packages/daemon/request_record.h
+++ b/packages/daemon/request_record.h
@@ -21,7 +21,7 @@
     error_kind why = error_kind::None;
     priority rank = priority::Normal;
     millis firstToken; ///< time from acceptance to the first token; meaningless without tokens
-    millis whole; ///< time from acceptance to the end
+    millis endToEnd; ///< time from acceptance to the end
     millis stall; ///< time spent waiting for the adapter to be loaded
     millis queued; ///< time spent waiting otherwise, before the engine started it
     std::uint32_t tokens = 0;
--- a/packages/daemon/judgement.cpp
+++ b/packages/daemon/target_result.cpp
@@ -1,4 +1,4 @@
-#include "daemon/judgement.h"
+#include "daemon/target_result.h"
 
 #include <algorithm>
 #include <string_view>
@@ -62,7 +62,7 @@
 burn_cause timeoutCause(const request_record &request)
 {
     const millis waited = request.stall + request.queued;
-    const bool mostlyWaited = waited > millis{0} && waited + waited >= request.whole;
+    const bool mostlyWaited = waited > millis{0} && waited + waited >= request.endToEnd;
     return request.result == outcome::NotRun || mostlyWaited ? waitCause(request) : burn_cause::FailedServer;
 }
 
@@ -91,18 +91,18 @@
     millis excess;
     if (target.firstToken > millis{0} && !request.service) {
         // A response without tokens reached its caller only when it was complete.
-        const millis first = request.firstToken > millis{0} ? request.firstToken : request.whole;
+        const millis first = request.firstToken > millis{0} ? request.firstToken : request.endToEnd;
         excess = std::max(excess, first - target.firstToken);
     }
     if (target.endToEnd > millis{0}) {
-        excess = std::max(excess, request.whole - target.endToEnd);
+        excess = std::max(excess, request.endToEnd - target.endToEnd);
     }
     return excess;
 }
 
 }
 
-bool concerns(const target_config &target, const config &configuration, const request_record &request)
+bool appliesTo(const target_config &target, const config &configuration, const request_record &request)
 {
     if (!matchesCaller(target.callers, configuration, request.caller)) {
         return false;
@@ -110,21 +110,21 @@
     return target.adapters.empty() || (!request.service && matchesAdapter(target.adapters, request.adapter));
 }
 
-std::optional<judgement> judge(const target_config &target, const request_record &request)
+std::optional<target_result> evaluate(const target_config &target, const request_record &request)
 {
     if (request.result != outcome::Done) {
         if (isCallersFault(request.why)) {
             return std::nullopt;
         }
-        return judgement{true, failureCause(request)};
+        return target_result{true, failureCause(request)};
     }
     const millis excess = lateness(target, request);
     if (excess <= millis{0}) {
-        return judgement{};
+        return target_result{};
     }
     // Waiting is the cause if the request would have met the target without it.
     const bool waited = request.stall + request.queued >= excess;
-    return judgement{true, waited ? waitCause(request) : burn_cause::Other};
+    return target_result{true, waited ? waitCause(request) : burn_cause::Other};
 }
 
 }
--- a/tests/unit/burn_test.cpp
+++ b/tests/unit/burn_test.cpp
@@ -1,7 +1,7 @@
 #include "ctl/burn_page.h"
 #include "ctl/burn_report.h"
 #include "daemon/burn_track.h"
-#include "daemon/judgement.h"
+#include "daemon/target_result.h"
 #include "state/burn.h"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
 /// The cause if the request misses the target `summaries`.
 std::optional<burn_cause> causeOf(const request_record &request)
 {
-    const auto result = judge(summaries, request);
+    const auto result = evaluate(summaries, request);
     return result && result->missed ? std::optional(result->cause) : std::nullopt;
 }
 
@@ -67,10 +67,10 @@
     request_record timedOut = failed(error_kind::Timeout);
     timedOut.result = outcome::Unknown;
     EXPECT_EQ(causeOf(timedOut), burn_cause::FailedServer);
-    timedOut.stall = timedOut.whole;
+    timedOut.stall = timedOut.endToEnd;
     EXPECT_EQ(causeOf(timedOut), burn_cause::LoadStall);
     EXPECT_EQ(causeOf(completed(0, 501)), burn_cause::Other);
-    EXPECT_FALSE(judge(summaries, failed(error_kind::Forbidden)).has_value());
+    EXPECT_FALSE(evaluate(summaries, failed(error_kind::Forbidden)).has_value());
 }
 
 TEST(Judgement, TargetConcernsOnlyItsCallersAndAdapters)
@@ -78,15 +78,15 @@
     config configuration;
     configuration.callers.mutableEntries()["ana"].groups = {"lecturers"};
     request_record request = completed(1, 1);
-    EXPECT_TRUE(concerns(summaries, configuration, request));
+    EXPECT_TRUE(appliesTo(summaries, configuration, request));
     request.adapter = "lists-biology";
-    EXPECT_FALSE(concerns(summaries, configuration, request));
+    EXPECT_FALSE(appliesTo(summaries, configuration, request));
     request.caller = "eve";
-    EXPECT_FALSE(concerns({"group:lecturers"}, configuration, request));
-    EXPECT_TRUE(concerns({"*"}, configuration, request));
+    EXPECT_FALSE(appliesTo({"group:lecturers"}, configuration, request));
+    EXPECT_TRUE(appliesTo({"*"}, configuration, request));
     request.service = true;
-    EXPECT_TRUE(concerns({"*"}, configuration, request));
-    EXPECT_FALSE(concerns({"*", "*"}, configuration, request));
+    EXPECT_TRUE(appliesTo({"*"}, configuration, request));
+    EXPECT_FALSE(appliesTo({"*", "*"}, configuration, request));
 }
 
 // The ring must count as many requests as a plain list of times, whatever the pauses between the requests.
