--- a/packages/coordination/config_store.cpp
+++ b/packages/coordination/config_store.cpp
@@ -174,7 +174,7 @@
     // Each daemon polls the head. Read whole each time, a head of many patches would take more than all of
     // the bytes that control may use, so the service is asked only for a change.
     const std::int64_t known = m_lastRead ? m_lastRead->revision : 0;
-    m_kv.getChanged(headKey, known + 1, [this, done = std::move(done)](const kv_read &read) {
+    m_kv.getIfChanged(headKey, known + 1, [this, done = std::move(done)](const kv_read &read) {
         if (read.status != kv_status::Ok) {
             done(std::nullopt, serviceDown(headKey, read.status));
             return;
--- a/packages/coordination/crash_task.cpp
+++ b/packages/coordination/crash_task.cpp
@@ -99,17 +99,17 @@
     if (m_connectionChecks.count(target.incarnation) != 0) {
         return;
     }
-    m_connectionChecks[target.incarnation] = probeConnect(
-        m_loop, target.address, connectTimeout, [this, incarnation = target.incarnation](reach result) {
+    m_connectionChecks[target.incarnation] = probeConnect(m_loop, target.address, connectTimeout,
+        [this, incarnation = target.incarnation](connect_result result) {
             onConnectResult(incarnation, result);
         });
 }
 
-void crash_task::onConnectResult(const std::string &incarnation, reach result)
+void crash_task::onConnectResult(const std::string &incarnation, connect_result result)
 {
     const auto handle =
         m_connectionChecks.extract(incarnation); // kept alive until the end of this call, which it made
-    if (result == reach::Refuses) {
+    if (result == connect_result::Refused) {
         countCrashes(extractSuspicions([&incarnation](const suspected_crash &each) {
             return each.target.incarnation == incarnation;
         }));
--- a/packages/coordination/crash_task.h
+++ b/packages/coordination/crash_task.h
@@ -136,7 +136,7 @@
 
     void addSuspicion(const std::string &fingerprint, const crash_target &target, bool checking);
     void checkConnection(const crash_target &target);
-    void onConnectResult(const std::string &incarnation, reach result);
+    void onConnectResult(const std::string &incarnation, connect_result result);
     std::vector<suspected_crash> extractSuspicions(
         const std::function<bool(const suspected_crash &)> &matches);
     void countCrashes(const std::vector<suspected_crash> &crashed);
--- a/packages/coordination/owner_engine.cpp
+++ b/packages/coordination/owner_engine.cpp
@@ -15,7 +15,7 @@
 
 /// Handles what an engine announces about itself, which any of its responses may contain. Waiting requests
 /// are refused at once, so that their entries can try other servers.
-void owner_task::onServerNotice(const std::string &name, const answer_words &notice)
+void owner_task::onServerNotice(const std::string &name, const response_notice &notice)
 {
     owned_server *server = find(name);
     if (server == nullptr) {
--- a/packages/coordination/owner_task.cpp
+++ b/packages/coordination/owner_task.cpp
@@ -178,7 +178,7 @@
     server.client = std::make_unique<engine_client>(m_http, url);
     server.guardedClient = std::make_unique<engine_client>(event.checksFencing ? m_http : m_guardedHttp, url);
     for (engine_client *client : {server.client.get(), server.guardedClient.get()}) {
-        client->onWords([this, name = event.server.name](const answer_words &notice) {
+        client->onResponseNotice([this, name = event.server.name](const response_notice &notice) {
             onServerNotice(name, notice);
         });
     }
--- a/packages/coordination/owner_task.h
+++ b/packages/coordination/owner_task.h
@@ -179,7 +179,7 @@
     bool acceptsWork(const owned_server &server) const;
     bool isServerLeaving(const owned_server &server) const;
     millis remainingPause(const owned_server &server) const;
-    void onServerNotice(const std::string &name, const answer_words &notice);
+    void onServerNotice(const std::string &name, const response_notice &notice);
     std::uint32_t usedSlots(const owned_server &server) const;
     std::uint32_t waitingForBatch(const owned_server &server) const;
     server_hint hintOf(const owned_server &server) const;
--- a/packages/daemon/entry_admit.cpp
+++ b/packages/daemon/entry_admit.cpp
@@ -4,7 +4,7 @@
 #include "daemon/answers.h"
 #include "daemon/entry_task.h"
 #include "state/key_hash.h"
-#include "transport/answer_words.h"
+#include "transport/response_notice.h"
 
 #include <nlohmann/json.hpp>
 #include <spdlog/spdlog.h>
@@ -511,7 +511,7 @@
         return;
     }
     one->call = 0;
-    const answer_words said = wordsOf(result);
+    const response_notice said = readResponseNotice(result);
     std::erase_if(m_words.leaving, [](const auto &each) {
         return bootNow() - each.second > plainLeavingKept;
     });
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -381,7 +381,7 @@
     callServer(m_loop, m_pool, {peer->ip, peer->port}, call, updateFetchTimeout,
         [done = std::move(done)](const call_result &result) {
             error why;
-            done(result.how == send_end::Whole ? decodeStoreUpdate(result.body, why) : std::nullopt);
+            done(result.how == send_result::Complete ? decodeStoreUpdate(result.body, why) : std::nullopt);
         });
 }
 
--- a/packages/serving/front_send.cpp
+++ b/packages/serving/front_send.cpp
@@ -87,7 +87,7 @@
             onResponseBody(locked, bytes);
         }
     };
-    handlers.onEnd = [this, weak](send_end end, const error &why) {
+    handlers.onEnd = [this, weak](send_result end, const error &why) {
         if (const auto locked = weak.lock()) {
             onSendEnd(locked, end, why);
         }
@@ -160,14 +160,14 @@
     pending->reply->write(events);
 }
 
-void front_task::onSendEnd(const request_ptr &pending, send_end end, const error &why)
+void front_task::onSendEnd(const request_ptr &pending, send_result end, const error &why)
 {
     const std::string server = pending->server;
     pending->activeSend.reset();
     pending->inactivityTimer.reset();
     --m_inFlight[server];
-    const bool answered =
-        end == send_end::Whole && (pending->responseMeta.signedByServer || pending->responseMeta.notExecuted);
+    const bool answered = end == send_result::Complete
+        && (pending->responseMeta.signedByServer || pending->responseMeta.notExecuted);
     const bool notExecuted = answered && pending->responseMeta.notExecuted;
     const bool failed = !answered || (pending->responseHead.status >= firstServerError && !notExecuted);
     // An overloaded server is avoided like a failing one: on a route that allows only one server, its
@@ -176,10 +176,10 @@
     if (overloaded || !notExecuted) {
         recordOutcome(m_serverHealth[server], failed || overloaded, bootNow());
     }
-    if (end == send_end::Unsent || notExecuted) {
+    if (end == send_result::NotSent || notExecuted) {
         pending->unitsHeld = std::exchange(pending->unitsSpent, 0); // the request did not run
     }
-    if (end == send_end::Unsent) {
+    if (end == send_result::NotSent) {
         ++pending->unsentCount;
         notifyOwner(*pending, slot_event::NotSent);
         m_log.important("request.unsent")
@@ -208,7 +208,7 @@
     pending->mayHaveRun = true;
     const server_access access = m_notices.accessOf(server);
     const bool staysListed = access != server_access::Leaving && access != server_access::Removed;
-    if (end == send_end::Broken && staysListed) {
+    if (end == send_result::Broken && staysListed) {
         m_crashes.onResponseBroken(pending->fingerprint, pending->target);
     }
     notifyOwner(*pending, slot_event::Failed);
@@ -323,7 +323,7 @@
         .add("server", server)
         .add("silent_ms", bootNow() - pending->lastEventAt);
     m_pool.cancel(*pending->activeSend);
-    onSendEnd(pending, send_end::Broken,
+    onSendEnd(pending, send_result::Broken,
         {error_kind::Timeout, server, "the server has sent nothing within the inactivity timeout"});
 }
 
--- a/packages/serving/front_task.h
+++ b/packages/serving/front_task.h
@@ -127,7 +127,7 @@
     bool onResponseHead(const request_ptr &pending, const http_head &head);
     void onResponseLimit(const pending_request &pending);
     void onResponseBody(const request_ptr &pending, const std::string &bytes);
-    void onSendEnd(const request_ptr &pending, send_end end, const error &why);
+    void onSendEnd(const request_ptr &pending, send_result end, const error &why);
     void onResponseComplete(const request_ptr &pending);
     void onServerUnresponsive(const request_ptr &pending);
     void onDeadline(const request_ptr &pending);
--- a/packages/serving/orderer_send.cpp
+++ b/packages/serving/orderer_send.cpp
@@ -88,7 +88,7 @@
 /// What the answer to a call of this daemon's own says of the server.
 void orderer_task::hearWords(const backend_server &server, const call_result &result)
 {
-    if (result.how == send_end::Whole) {
+    if (result.how == send_result::Complete) {
         m_words.onResponse("", server.id, incarnationOf(server), m_codec.readUnsignedResponse(result.head));
     }
 }
@@ -114,7 +114,7 @@
         }
         error why;
         const auto report =
-            result.how == send_end::Whole ? m_codec.readReport(result.body, why) : std::nullopt;
+            result.how == send_result::Complete ? m_codec.readReport(result.body, why) : std::nullopt;
         const millis now = bootNow();
         if (!report) {
             state.desk.ledger.notBefore = now + reportPause;
@@ -171,13 +171,13 @@
                             asked = server](const call_result &result) {
         hearWords(asked, result);
         switch (result.how) {
-        case send_end::Whole:
+        case send_result::Complete:
             onOrderEnd(id, startedAtMs, fence, sent, m_codec.readOrderResult(result.status));
             return;
-        case send_end::Unsent:
+        case send_result::NotSent:
             onOrderEnd(id, startedAtMs, fence, sent, order_result::Refused);
             return;
-        case send_end::Broken:
+        case send_result::Broken:
             onOrderEnd(id, startedAtMs, fence, sent, order_result::Unknown);
             return;
         }
--- a/packages/transport/backend_call.cpp
+++ b/packages/transport/backend_call.cpp
@@ -14,7 +14,7 @@
     std::function<void(const call_result &)> done;
     std::shared_ptr<void> timer;
 
-    void end(send_end how)
+    void end(send_result how)
     {
         timer.reset();
         if (const auto call = std::exchange(done, nullptr)) {
@@ -40,7 +40,7 @@
     calls.onBody = [one](const std::string &part) {
         one->result.body += part;
     };
-    calls.onEnd = [one](send_end how, const error &) {
+    calls.onEnd = [one](send_result how, const error &) {
         one->end(how);
     };
     const auto send = pool.start(to, std::move(bytes), false, std::move(calls));
@@ -49,7 +49,7 @@
     one->timer = eventLoop.timer(timeout, {}, [&pool, send, weak = std::weak_ptr<pending_call>(one)] {
         if (const auto late = weak.lock()) {
             pool.abort(send);
-            late->end(send_end::Broken);
+            late->end(send_result::Broken);
         }
     });
 }
--- a/packages/transport/backend_call.h
+++ b/packages/transport/backend_call.h
@@ -10,7 +10,7 @@
 /// The end of a short call: how it went, and the answer if it is whole.
 struct call_result
 {
-    send_end how = send_end::Broken;
+    send_result how = send_result::Broken;
     int status = 0;
     http_head head;
     std::string body;
--- a/packages/transport/backend_pool.cpp
+++ b/packages/transport/backend_pool.cpp
@@ -125,8 +125,8 @@
     void onReadable(send_id id, sending &one);
     bool parse(send_id id, sending &one);
     void tellHead(sending &one);
-    void end(send_id id, send_end how, const char *detail);
-    void endLater(send_id id, send_end how, std::string detail);
+    void end(send_id id, send_result how, const char *detail);
+    void endLater(send_id id, send_result how, std::string detail);
     void onWhole(send_id id, sending &one);
     void sweep();
 };
@@ -178,17 +178,17 @@
     connection &link = *one.on;
     const auto address = toSocketAddress(link.to);
     if (!address) {
-        endLater(id, send_end::Unsent, "its address is no IP number");
+        endLater(id, send_result::NotSent, "its address is no IP number");
         return;
     }
     link.fd = owned_fd(socket(address->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!link.fd) {
-        endLater(id, send_end::Unsent, std::string("socket: ") + std::strerror(errno));
+        endLater(id, send_result::NotSent, std::string("socket: ") + std::strerror(errno));
         return;
     }
     tune(link.fd.get());
     if (connect(link.fd.get(), address->raw(), address->size) != 0 && errno != EINPROGRESS) {
-        endLater(id, send_end::Unsent, std::string("connect: ") + std::strerror(errno));
+        endLater(id, send_result::NotSent, std::string("connect: ") + std::strerror(errno));
         return;
     }
     ++counts.opened;
@@ -228,7 +228,7 @@
     if (one.connecting) {
         const int code = pendingError(one.on->fd.get());
         if (code != 0) {
-            end(id, send_end::Unsent, std::strerror(code));
+            end(id, send_result::NotSent, std::strerror(code));
             return;
         }
         one.connecting = false;
@@ -244,7 +244,7 @@
             // An answer that came before the body was wholly sent may still be there to read.
             onReadable(id, one);
             if (sends.count(id) != 0) {
-                end(id, one.sent == 0 ? send_end::Unsent : send_end::Broken, std::strerror(errno));
+                end(id, one.sent == 0 ? send_result::NotSent : send_result::Broken, std::strerror(errno));
             }
             return;
         }
@@ -261,7 +261,7 @@
         return;
     }
     if (got < 0) {
-        end(id, send_end::Broken, std::strerror(errno));
+        end(id, send_result::Broken, std::strerror(errno));
         return;
     }
     if (got == 0) {
@@ -269,7 +269,7 @@
         if (whole) {
             onWhole(id, one);
         } else {
-            end(id, send_end::Broken, "the server closed the connection before its answer was whole");
+            end(id, send_result::Broken, "the server closed the connection before its answer was whole");
         }
         return;
     }
@@ -296,7 +296,7 @@
     const read_state state = one.reader.feed(one.in, used);
     one.in.erase(0, used);
     if (state == read_state::Bad) {
-        end(id, send_end::Broken, "the server's answer is no HTTP");
+        end(id, send_result::Broken, "the server's answer is no HTTP");
         return false;
     }
     if (state == read_state::Head) {
@@ -344,10 +344,10 @@
         link->watch.reset();
         keep(std::move(link), idleTimeOf(one.reader.head()));
     }
-    end(id, send_end::Whole, "");
+    end(id, send_result::Complete, "");
 }
 
-void backend_pool::impl::end(send_id id, send_end how, const char *detail)
+void backend_pool::impl::end(send_id id, send_result how, const char *detail)
 {
     const auto found = sends.find(id);
     if (found == sends.end()) {
@@ -359,13 +359,13 @@
         one->on->watch.reset();
     }
     error why;
-    if (how != send_end::Whole) {
+    if (how != send_result::Complete) {
         why = {error_kind::ConnectionLost, "backend server", detail};
     }
     one->calls.onEnd(how, why);
 }
 
-void backend_pool::impl::endLater(send_id id, send_end how, std::string detail)
+void backend_pool::impl::endLater(send_id id, send_result how, std::string detail)
 {
     events.post([this, live = alive, id, how, text = std::move(detail)] {
         if (*live) {
@@ -390,7 +390,7 @@
         }
     }
     for (const send_id id : late) {
-        end(id, send_end::Unsent, "the server did not take the connection in time");
+        end(id, send_result::NotSent, "the server did not take the connection in time");
     }
 }
 
--- a/packages/transport/backend_pool.h
+++ b/packages/transport/backend_pool.h
@@ -15,10 +15,10 @@
 namespace briarhead {
 
 /// How one send to a backend server ended.
-enum class send_end : std::uint8_t
+enum class send_result : std::uint8_t
 {
-    Whole, ///< the answer is complete
-    Unsent, ///< certain that no byte of the request left
+    Complete, ///< the answer is complete
+    NotSent, ///< certain that no byte of the request left
     Broken, ///< bytes left, and the answer is missing, cut off or no HTTP
 };
 
@@ -28,7 +28,7 @@
     /// The head of an answer. False: it answers something else and is dropped, the next one is waited for.
     std::function<bool(const http_head &)> onHead;
     std::function<void(std::string bytes)> onBody;
-    std::function<void(send_end, const error &)> onEnd;
+    std::function<void(send_result, const error &)> onEnd;
 };
 
 /// Counts for metrics.
--- a/packages/transport/connect_probe.cpp
+++ b/packages/transport/connect_probe.cpp
@@ -16,18 +16,18 @@
 struct connect_probe : std::enable_shared_from_this<connect_probe>
 {
     loop &events;
-    std::function<void(reach)> done;
+    std::function<void(connect_result)> done;
     owned_fd fd;
     std::shared_ptr<void> watch;
     std::shared_ptr<void> timer;
 
-    connect_probe(loop &eventLoop, std::function<void(reach)> call)
+    connect_probe(loop &eventLoop, std::function<void(connect_result)> call)
         : events(eventLoop)
         , done(std::move(call))
     {
     }
 
-    void end(reach result)
+    void end(connect_result result)
     {
         watch.reset();
         timer.reset();
@@ -36,7 +36,7 @@
             call(result);
         }
     }
-    void endLater(reach result)
+    void endLater(connect_result result)
     {
         events.post([weak = weak_from_this(), result] {
             if (const auto same = weak.lock()) {
@@ -51,20 +51,22 @@
             fd = owned_fd(socket(address->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
         }
         if (!fd) {
-            endLater(reach::Silent);
+            endLater(connect_result::Unknown);
             return;
         }
         if (connect(fd.get(), address->raw(), address->size) != 0 && errno != EINPROGRESS) {
-            endLater(errno == ECONNREFUSED ? reach::Refuses : reach::Silent);
+            endLater(errno == ECONNREFUSED ? connect_result::Refused : connect_result::Unknown);
             return;
         }
         watch = events.watch(fd.get(), eventWrite, [this](int) {
             const int code = pendingError(fd.get());
-            endLater(code == 0 ? reach::Accepts : code == ECONNREFUSED ? reach::Refuses : reach::Silent);
+            endLater(code == 0             ? connect_result::Accepted
+                    : code == ECONNREFUSED ? connect_result::Refused
+                                           : connect_result::Unknown);
             watch.reset();
         });
         timer = events.timer(patience, {}, [this] {
-            endLater(reach::Silent);
+            endLater(connect_result::Unknown);
         });
     }
 };
@@ -72,7 +74,7 @@
 }
 
 std::shared_ptr<void> probeConnect(
-    loop &eventLoop, const peer_address &to, millis patience, std::function<void(reach)> done)
+    loop &eventLoop, const peer_address &to, millis patience, std::function<void(connect_result)> done)
 {
     auto probe = std::make_shared<connect_probe>(eventLoop, std::move(done));
     probe->start(to, patience);
--- a/packages/transport/engine_client.cpp
+++ b/packages/transport/engine_client.cpp
@@ -103,8 +103,9 @@
         return {ms};
     }
     const auto header = result.headers.find("retry-after");
-    return header == result.headers.end() ? millis{}
-                                          : secondsOf(header->second, longestRetryAfter).value_or(millis{});
+    return header == result.headers.end()
+        ? millis{}
+        : parseSeconds(header->second, longestRetryAfter).value_or(millis{});
 }
 
 refusal readRefusal(const http_result &result, std::string_view body)
@@ -276,9 +277,9 @@
 }
 
 /// What an engine's answer says of it; its own codes count like the fields.
-answer_words engineWords(const http_result &result, std::string_view body)
+response_notice engineWords(const http_result &result, std::string_view body)
 {
-    answer_words words = wordsOf(result);
+    response_notice words = readResponseNotice(result);
     if (result.status == httpUnavailable) {
         const refusal read = readRefusal(result, body);
         words.leaving = words.leaving || read.code == "leaving";
@@ -374,17 +375,17 @@
 {
 }
 
-void engine_client::onWords(std::function<void(const answer_words &)> call)
+void engine_client::onResponseNotice(std::function<void(const response_notice &)> call)
 {
     m_onWords = std::move(call);
 }
 
 std::function<void(const http_result &, std::string_view)> engine_client::teller() const
 {
-    return [onWords = m_onWords](const http_result &result, std::string_view body) {
-        const answer_words words = engineWords(result, body);
-        if (onWords && (words.leaving || words.pause > millis{})) {
-            onWords(words);
+    return [onResponseNotice = m_onWords](const http_result &result, std::string_view body) {
+        const response_notice words = engineWords(result, body);
+        if (onResponseNotice && (words.leaving || words.pause > millis{})) {
+            onResponseNotice(words);
         }
     };
 }
--- a/packages/transport/engine_client.h
+++ b/packages/transport/engine_client.h
@@ -4,8 +4,8 @@
 #include "state/config.h"
 #include "state/error.h"
 #include "state/outcome.h"
-#include "transport/answer_words.h"
 #include "transport/http_client.h"
+#include "transport/response_notice.h"
 
 #include <cstdint>
 #include <functional>
@@ -102,7 +102,7 @@
 
     /// Calls a function with what an answer says of the engine, whatever it answers: as its head comes, and
     /// again at its end. Set before the first call.
-    void onWords(std::function<void(const answer_words &)> call);
+    void onResponseNotice(std::function<void(const response_notice &)> call);
 
     using on_order = std::function<void(const engine_order_end &)>;
     /// POST /v1/fence: puts a fencing number on the engine. Answered at once.
@@ -141,7 +141,7 @@
 
     http_client &m_http;
     std::string m_url;
-    std::function<void(const answer_words &)> m_onWords;
+    std::function<void(const response_notice &)> m_onWords;
 };
 
 }
--- a/packages/transport/http_exchange.cpp
+++ b/packages/transport/http_exchange.cpp
@@ -55,7 +55,7 @@
     }
     const std::size_t count = std::min(size, out.size() - taken);
     if (count == 0) {
-        if (phase == reply_phase::Answered) {
+        if (phase == reply_phase::Finished) {
             return MHD_CONTENT_READER_END_OF_STREAM;
         }
         suspend();
@@ -76,7 +76,7 @@
 reply_handle::~reply_handle()
 {
     const bool unfinished =
-        m_target->phase == reply_phase::Waiting || m_target->phase == reply_phase::Answering;
+        m_target->phase == reply_phase::Waiting || m_target->phase == reply_phase::Streaming;
     if (unfinished) {
         m_target->abort();
     }
@@ -90,7 +90,7 @@
     m_target->status = status;
     m_target->headers = headers;
     m_target->out = std::move(body);
-    m_target->phase = reply_phase::Answered;
+    m_target->phase = reply_phase::Finished;
     m_target->wake();
 }
 
@@ -102,13 +102,13 @@
     m_target->status = status;
     m_target->headers = headers;
     m_target->streamed = true;
-    m_target->phase = reply_phase::Answering;
+    m_target->phase = reply_phase::Streaming;
     m_target->wake();
 }
 
 void reply_handle::write(std::string_view bytes)
 {
-    if (!m_target->isOpen() || m_target->phase != reply_phase::Answering || bytes.empty()) {
+    if (!m_target->isOpen() || m_target->phase != reply_phase::Streaming || bytes.empty()) {
         return;
     }
     m_target->out.append(bytes);
@@ -117,10 +117,10 @@
 
 void reply_handle::end()
 {
-    if (!m_target->isOpen() || m_target->phase != reply_phase::Answering) {
+    if (!m_target->isOpen() || m_target->phase != reply_phase::Streaming) {
         return;
     }
-    m_target->phase = reply_phase::Answered;
+    m_target->phase = reply_phase::Finished;
     m_target->wake();
 }
 
--- a/packages/transport/http_exchange.h
+++ b/packages/transport/http_exchange.h
@@ -17,8 +17,8 @@
 {
     Reading, ///< the request is still coming in
     Waiting, ///< with the handler, nothing answered yet
-    Answering, ///< begin() was called
-    Answered, ///< respond() or end() was called; bytes may still be on their way
+    Streaming, ///< begin() was called
+    Finished, ///< respond() or end() was called; bytes may still be on their way
     Aborted,
 };
 
--- a/packages/transport/http_server.cpp
+++ b/packages/transport/http_server.cpp
@@ -298,7 +298,7 @@
     while (*alive && !m_lost.empty()) {
         const exchange_ptr one = std::move(m_lost.front());
         m_lost.pop_front();
-        if (one->isOpen() && one->phase == reply_phase::Answered) {
+        if (one->isOpen() && one->phase == reply_phase::Finished) {
             // Answered since the hangup was seen; whether it can be delivered shows when it is written.
             continue;
         }
@@ -333,7 +333,7 @@
 {
     peer.hungUp = true;
     exchange *one = peer.current;
-    if (one == nullptr || !one->isOpen() || one->phase == reply_phase::Answered) {
+    if (one == nullptr || !one->isOpen() || one->phase == reply_phase::Finished) {
         return;
     }
     // Whoever set no onClosed does not care whether the caller is still there. The answer is then tried
@@ -413,8 +413,8 @@
     case reply_phase::Waiting:
         one.suspend();
         return MHD_YES;
-    case reply_phase::Answering:
-    case reply_phase::Answered:
+    case reply_phase::Streaming:
+    case reply_phase::Finished:
         return queueAnswer(one);
     case reply_phase::Aborted:
         break;
--- a/packages/transport/kv_client.cpp
+++ b/packages/transport/kv_client.cpp
@@ -561,7 +561,7 @@
     m_impl->range({{"key", detail::toBase64(key)}}, std::move(done));
 }
 
-void kv_client::getChanged(
+void kv_client::getIfChanged(
     const std::string &key, std::int64_t minRevision, std::function<void(const kv_read &)> done)
 {
     m_impl->range(
--- a/packages/transport/kv_client.h
+++ b/packages/transport/kv_client.h
@@ -84,7 +84,7 @@
 
     void get(const std::string &key, std::function<void(const kv_read &)> done);
     /// The same, but without the entry where it has not changed since before `minRevision`.
-    void getChanged(
+    void getIfChanged(
         const std::string &key, std::int64_t minRevision, std::function<void(const kv_read &)> done);
     /// All keys that begin with `prefix`, at most `limit` (0: all).
     void list(const std::string &prefix, std::int64_t limit, std::function<void(const kv_read &)> done);
--- a/packages/transport/answer_words.cpp
+++ b/packages/transport/response_notice.cpp
@@ -1,4 +1,4 @@
-#include "transport/answer_words.h"
+#include "transport/response_notice.h"
 
 #include <algorithm>
 #include <charconv>
@@ -15,7 +15,7 @@
 
 }
 
-std::optional<double> decimalOf(std::string_view text)
+std::optional<double> parseDecimal(std::string_view text)
 {
     const std::size_t from = text.find_first_not_of(" \t");
     const std::size_t to = text.find_last_not_of(" \t");
@@ -30,9 +30,9 @@
     return whole && std::isfinite(value) && value >= 0 ? std::optional(value) : std::nullopt;
 }
 
-std::optional<millis> secondsOf(std::string_view text, millis most)
+std::optional<millis> parseSeconds(std::string_view text, millis most)
 {
-    const auto seconds = decimalOf(text);
+    const auto seconds = parseDecimal(text);
     if (!seconds) {
         return std::nullopt;
     }
@@ -40,14 +40,14 @@
     return millis{static_cast<std::int64_t>(ms)};
 }
 
-answer_words wordsOf(const http_result &answer)
+response_notice readResponseNotice(const http_result &answer)
 {
-    answer_words words;
+    response_notice words;
     const auto leaving = answer.headers.find("x-leaving");
-    words.leaving = leaving != answer.headers.end() && decimalOf(leaving->second) == 1.0;
+    words.leaving = leaving != answer.headers.end() && parseDecimal(leaving->second) == 1.0;
     const auto pause = answer.headers.find("retry-after");
     if (answer.status == unavailable && pause != answer.headers.end()) {
-        words.pause = secondsOf(pause->second, longestSaid).value_or(millis{});
+        words.pause = parseSeconds(pause->second, longestSaid).value_or(millis{});
     }
     return words;
 }
--- a/tests/serving/wire_test.cpp
+++ b/tests/serving/wire_test.cpp
@@ -222,7 +222,7 @@
     struct outcome_seen
     {
         bool done = false;
-        send_end how = send_end::Unsent;
+        send_result how = send_result::NotSent;
         int status = 0;
         std::string body;
     };
@@ -241,7 +241,7 @@
         calls.onBody = [seen](const std::string &bytes) {
             seen->body += bytes;
         };
-        calls.onEnd = [seen](send_end how, const error &) {
+        calls.onEnd = [seen](send_result how, const error &) {
             seen->done = true;
             seen->how = how;
         };
@@ -284,7 +284,7 @@
     ASSERT_TRUE(arrived(0, "a"));
     answer(0, whole("a", "one"));
     ASSERT_TRUE(ends(*first));
-    EXPECT_EQ(first->how, send_end::Whole);
+    EXPECT_EQ(first->how, send_result::Complete);
     EXPECT_EQ(first->body, "one");
     const auto second = send("b");
     ASSERT_TRUE(arrived(0, "b"));
@@ -318,7 +318,7 @@
     ASSERT_TRUE(arrived(0, "b"));
     answer(0, whole("a", "again") + whole("b", "two"));
     ASSERT_TRUE(ends(*second));
-    EXPECT_EQ(second->how, send_end::Whole);
+    EXPECT_EQ(second->how, send_result::Complete);
     EXPECT_EQ(second->body, "two");
     const auto third = send("c");
     EXPECT_TRUE(arrived(1, "c")) << "a connection that was out of step once isn't used again";
@@ -346,14 +346,14 @@
     answer(0, open);
     m_connections[0]->socket->hangUp();
     ASSERT_TRUE(ends(*orderly));
-    EXPECT_EQ(orderly->how, send_end::Whole);
+    EXPECT_EQ(orderly->how, send_result::Complete);
     const auto cut = send("a");
     ASSERT_TRUE(arrived(1, "a"));
     answer(1, open);
     runRounds(20);
     m_connections[1]->socket->reset();
     ASSERT_TRUE(ends(*cut));
-    EXPECT_EQ(cut->how, send_end::Broken);
+    EXPECT_EQ(cut->how, send_result::Broken);
 }
 
 TEST_F(pool_test, AnAnswerThatEndsEarlyIsBroken)
@@ -367,7 +367,7 @@
         answer(at, bytes);
         m_connections[at]->socket->hangUp();
         ASSERT_TRUE(ends(*seen));
-        EXPECT_EQ(seen->how, send_end::Broken) << bytes;
+        EXPECT_EQ(seen->how, send_result::Broken) << bytes;
     }
 }
 
@@ -383,7 +383,7 @@
     ASSERT_TRUE(arrived(0, "b"));
     m_connections[0]->socket->reset();
     ASSERT_TRUE(ends(*second));
-    EXPECT_EQ(second->how, send_end::Broken);
+    EXPECT_EQ(second->how, send_result::Broken);
     runRounds(50);
     takeConnections();
     EXPECT_EQ(m_connections.size(), 1U);
@@ -400,7 +400,7 @@
         return true;
     };
     calls.onBody = [](const std::string &) {};
-    calls.onEnd = [seen](send_end how, const error &) {
+    calls.onEnd = [seen](send_result how, const error &) {
         seen->done = true;
         seen->how = how;
     };
@@ -421,7 +421,7 @@
     ASSERT_TRUE(runUntil([&] {
         return seen->done;
     }));
-    EXPECT_EQ(seen->how, send_end::Whole);
+    EXPECT_EQ(seen->how, send_result::Complete);
     EXPECT_EQ(seen->status, 200);
     const auto next = send("b");
     ASSERT_TRUE(arrived(1, "b"));
@@ -435,7 +435,7 @@
     m_listener->hangUp();
     const auto seen = send("a");
     ASSERT_TRUE(ends(*seen));
-    EXPECT_EQ(seen->how, send_end::Unsent);
+    EXPECT_EQ(seen->how, send_result::NotSent);
 }
 
 TEST_F(pool_test, ACancelledSendClosesItsConnection)
@@ -445,7 +445,7 @@
         return true;
     };
     calls.onBody = [](const std::string &) {};
-    calls.onEnd = [](send_end, const error &) {
+    calls.onEnd = [](send_result, const error &) {
         FAIL() << "a cancelled send tells nothing";
     };
     const auto id =
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -151,7 +151,7 @@
     daemon.askedReady = bootNow();
     callServer(m_loop, m_pool, {"127.0.0.1", daemon.readyPort}, "GET /v1/ready HTTP/1.1\r\nHost: h\r\n\r\n",
         probeTimeout, [&daemon](const call_result &result) {
-            daemon.ready = result.how == send_end::Whole && result.status == 200;
+            daemon.ready = result.how == send_result::Complete && result.status == 200;
         });
 }
 
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -29,7 +29,7 @@
                 [this, &daemon, route, version, since](const call_result &result) {
                     const bool wrong = route == version
                         ? result.status == 404
-                        : result.how == send_end::Whole && result.status != 404;
+                        : result.how == send_result::Complete && result.status != 404;
                     if (wrong && daemon.disturbedUntil <= since && m_version == version) {
                         m_report.violations.push_back("CONFIG " + daemon.name + " answers "
                             + std::to_string(result.status) + " on the route of version "
@@ -61,7 +61,7 @@
     m_witness.sent(id, true, daemon.name, bootNow(), {});
     callServer(m_loop, m_pool, {"127.0.0.1", daemon.frontPort}, call, probeTimeout,
         [this, &daemon, version, since](const call_result &result) {
-            const bool wrong = result.how == send_end::Whole && result.status != 401;
+            const bool wrong = result.how == send_result::Complete && result.status != 401;
             if (wrong && daemon.disturbedUntil <= since && m_version == version) {
                 m_report.violations.push_back("CONFIG " + daemon.name + " answers "
                     + std::to_string(result.status) + " to a key that version " + std::to_string(version)
@@ -146,7 +146,7 @@
     calls.onBody = [answer](const std::string &bytes) {
         answer->body += bytes;
     };
-    calls.onEnd = [this, answer, id, model, &daemon](send_end how, const error &) {
+    calls.onEnd = [this, answer, id, model, &daemon](send_result how, const error &) {
         m_witness.answered({id, model, how, answer->head, answer->body}, bootNow(),
             bootNow() - deadline - overdue > daemon.disturbedUntil);
     };
--- a/tests/soak/witness.cpp
+++ b/tests/soak/witness.cpp
@@ -53,11 +53,11 @@
     }
     const int status = answer.head.status;
     const std::string who = answer.id + " at " + request.daemon + ": ";
-    if (answer.how != send_end::Whole) {
+    if (answer.how != send_result::Complete) {
         ++m_cut;
         checkStream(answer, false);
         const bool planned = request.ending && m_disturbedUntil + calmBefore < request.at;
-        if (planned && answer.how == send_end::Broken && at - request.at < millis{3'000}) {
+        if (planned && answer.how == send_result::Broken && at - request.at < millis{3'000}) {
             wrong("LOST " + who + "cut off while its daemon ends in order");
         }
         return;
--- a/tests/soak/witness.h
+++ b/tests/soak/witness.h
@@ -23,7 +23,7 @@
 {
     std::string id;
     bool stream = false;
-    send_end how = send_end::Broken;
+    send_result how = send_result::Broken;
     http_head head;
     std::string body;
 };
--- a/tests/unit/connect_probe_test.cpp
+++ b/tests/unit/connect_probe_test.cpp
@@ -12,10 +12,10 @@
 class connect_probe_test : public http_testing::http_fixture
 {
 protected:
-    std::optional<reach> probe(const peer_address &to)
+    std::optional<connect_result> probe(const peer_address &to)
     {
-        std::optional<reach> told;
-        const auto handle = probeConnect(m_loop, to, {200}, [&told](reach result) {
+        std::optional<connect_result> told;
+        const auto handle = probeConnect(m_loop, to, {200}, [&told](connect_result result) {
             told = result;
         });
         EXPECT_FALSE(told) << "told inside the call";
@@ -32,21 +32,21 @@
 {
     std::uint16_t port = 0;
     auto server = raw_socket::listening(port);
-    EXPECT_EQ(probe({http_testing::loopback, port}), reach::Accepts);
+    EXPECT_EQ(probe({http_testing::loopback, port}), connect_result::Accepted);
     server.reset();
-    EXPECT_EQ(probe({http_testing::loopback, port}), reach::Refuses);
+    EXPECT_EQ(probe({http_testing::loopback, port}), connect_result::Refused);
 }
 
 TEST_F(connect_probe_test, SaysNothingOfWhatIsNoAddress)
 {
-    EXPECT_EQ(probe({"no address", 1}), reach::Silent);
+    EXPECT_EQ(probe({"no address", 1}), connect_result::Unknown);
 }
 
 TEST_F(connect_probe_test, IsNotToldOnceItsHandleIsGone)
 {
     bool told = false;
     auto handle =
-        probeConnect(m_loop, {http_testing::loopback, http_testing::freePort()}, {200}, [&told](reach) {
+        probeConnect(m_loop, {http_testing::loopback, http_testing::freePort()}, {200}, [&told](connect_result) {
             told = true;
         });
     handle.reset();
--- a/tests/unit/server_notices_test.cpp
+++ b/tests/unit/server_notices_test.cpp
@@ -1,5 +1,5 @@
 #include "coordination/server_notices.h"
-#include "transport/answer_words.h"
+#include "transport/response_notice.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -92,24 +92,24 @@
 
 TEST(AnswerWords, SecondsMayBeFractionsAndAreCutToTheMaximum)
 {
-    EXPECT_EQ(secondsOf("1.5", {10'000}), millis{1'500});
-    EXPECT_EQ(secondsOf(" 0.0004 ", {10'000}), millis{1}) << "rounded up";
-    EXPECT_EQ(secondsOf("0", {10'000}), millis{0});
-    EXPECT_EQ(secondsOf("99999999999999999999", {10'000}), millis{10'000});
+    EXPECT_EQ(parseSeconds("1.5", {10'000}), millis{1'500});
+    EXPECT_EQ(parseSeconds(" 0.0004 ", {10'000}), millis{1}) << "rounded up";
+    EXPECT_EQ(parseSeconds("0", {10'000}), millis{0});
+    EXPECT_EQ(parseSeconds("99999999999999999999", {10'000}), millis{10'000});
     for (const char *text : {"", "-1", "soon", "3s", "nan", "inf", "1,5", "Wed, 21 Oct 2015 07:28:00 GMT"}) {
-        EXPECT_EQ(secondsOf(text, {10'000}), std::nullopt) << text;
+        EXPECT_EQ(parseSeconds(text, {10'000}), std::nullopt) << text;
     }
 }
 
 TEST(AnswerWords, OnlyA503WithRetryAfterAsksForAPause)
 {
-    EXPECT_EQ(wordsOf(answerWith(503, {{"retry-after", "2.5"}})).pause, millis{2'500});
-    EXPECT_EQ(wordsOf(answerWith(200, {{"retry-after", "2.5"}})).pause, millis{});
-    EXPECT_EQ(wordsOf(answerWith(503, {{"retry-after", "later"}})).pause, millis{});
-    EXPECT_TRUE(wordsOf(answerWith(200, {{"x-leaving", "1"}})).leaving);
-    EXPECT_FALSE(wordsOf(answerWith(200, {{"x-leaving", "0"}})).leaving);
-    EXPECT_FALSE(wordsOf(answerWith(200, {{"x-leaving", "yes"}})).leaving);
-    EXPECT_FALSE(wordsOf(answerWith(200, {})).leaving);
+    EXPECT_EQ(readResponseNotice(answerWith(503, {{"retry-after", "2.5"}})).pause, millis{2'500});
+    EXPECT_EQ(readResponseNotice(answerWith(200, {{"retry-after", "2.5"}})).pause, millis{});
+    EXPECT_EQ(readResponseNotice(answerWith(503, {{"retry-after", "later"}})).pause, millis{});
+    EXPECT_TRUE(readResponseNotice(answerWith(200, {{"x-leaving", "1"}})).leaving);
+    EXPECT_FALSE(readResponseNotice(answerWith(200, {{"x-leaving", "0"}})).leaving);
+    EXPECT_FALSE(readResponseNotice(answerWith(200, {{"x-leaving", "yes"}})).leaving);
+    EXPECT_FALSE(readResponseNotice(answerWith(200, {})).leaving);
 }
 
 }
