--- a/packages/transport/backend_call.cpp
+++ b/packages/transport/backend_call.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// One call. It is held by the pool's callbacks and by its timer, until it has ended.
+/// One call. The pool's callbacks own it until it has ended; its timer refers to it weakly.
 struct pending_call
 {
     call_result result;
@@ -17,9 +17,9 @@
     void end(send_result how)
     {
         timer.reset();
-        if (const auto call = std::exchange(done, nullptr)) {
+        if (const auto callback = std::exchange(done, nullptr)) {
             result.how = how;
-            call(result);
+            callback(result);
         }
     }
 };
@@ -29,27 +29,27 @@
 void callServer(loop &eventLoop, backend_pool &pool, const peer_address &to, std::string bytes,
     millis timeout, std::function<void(const call_result &)> done)
 {
-    auto one = std::make_shared<pending_call>();
-    one->done = std::move(done);
-    send_handlers calls;
-    calls.onHead = [one](const http_head &head) {
-        one->result.status = head.status;
-        one->result.head = head;
+    auto call = std::make_shared<pending_call>();
+    call->done = std::move(done);
+    send_handlers handlers;
+    handlers.onHead = [call](const http_head &head) {
+        call->result.status = head.status;
+        call->result.head = head;
         return true;
     };
-    calls.onBody = [one](const std::string &part) {
-        one->result.body += part;
+    handlers.onBody = [call](const std::string &chunk) {
+        call->result.body += chunk;
     };
-    calls.onEnd = [one](send_result how, const error &) {
-        one->end(how);
+    handlers.onEnd = [call](send_result how, const error &) {
+        call->end(how);
     };
-    const auto send = pool.start(to, std::move(bytes), false, std::move(calls));
-    // The pool holds the call until its end; the timer must not, or a call that has ended would live on in
-    // it.
-    one->timer = eventLoop.timer(timeout, {}, [&pool, send, weak = std::weak_ptr<pending_call>(one)] {
-        if (const auto late = weak.lock()) {
-            pool.abort(send);
-            late->end(send_result::Broken);
+    const auto sendId = pool.start(to, std::move(bytes), false, std::move(handlers));
+    // The pool's callbacks own the call until it ends. The call owns the timer, so the timer must not own the
+    // call: a cycle would keep the call alive forever.
+    call->timer = eventLoop.timer(timeout, {}, [&pool, sendId, weak = std::weak_ptr<pending_call>(call)] {
+        if (const auto timedOut = weak.lock()) {
+            pool.abort(sendId);
+            timedOut->end(send_result::Broken);
         }
     });
 }
--- a/packages/transport/backend_call.h
+++ b/packages/transport/backend_call.h
@@ -7,7 +7,7 @@
 
 namespace briarhead {
 
-/// The end of a short call: how it went, and the answer if it is whole.
+/// The result of a short call; `status`, `head` and `body` are complete only if `how` is Complete.
 struct call_result
 {
     send_result how = send_result::Broken;
@@ -16,9 +16,9 @@
     std::string body;
 };
 
-/// Sends a whole request and collects the answer. Without one after `timeout` the call is given up as broken,
-/// and its connection is reset: bytes left, but none that a cut link still holds up arrives later. `done` is
-/// called once, never from inside.
+/// Sends a complete request and collects the response. If none arrives within `timeout`, the call ends as
+/// Broken and its connection is reset: some bytes may have been delivered, but bytes still delayed by a
+/// broken link are never delivered later. `done` is called exactly once, never from inside callServer().
 void callServer(loop &eventLoop, backend_pool &pool, const peer_address &to, std::string bytes,
     millis timeout, std::function<void(const call_result &)> done);
 
--- a/packages/transport/backend_pool.cpp
+++ b/packages/transport/backend_pool.cpp
@@ -20,17 +20,18 @@
 namespace {
 
 constexpr std::size_t readBlockBytes = 16 * 1024;
-/// A server answers a connection attempt within a few ms; one that is cut off never does.
-constexpr millis connectTime{700};
-/// Kept connections end this much before the time that the server named, so that none is used as it closes.
-constexpr millis idleMargin{1'000};
-/// For servers that name no time.
-constexpr millis idleDefault{3'000};
-/// Idle connections kept for one server: more than are busy at once in steady state at a quarter core.
-constexpr std::size_t keptPerServer = 16;
-constexpr millis sweepEvery{250};
-/// A connection that went silent shows by bytes not acknowledged, or while waiting for an answer by
-/// keep-alive probes: it is given up after about three seconds.
+/// A reachable server accepts a connection within a few milliseconds; a disconnected one never does.
+constexpr millis connectTimeout{700};
+/// Idle connections are closed this much before the server's own timeout, so that none is reused while the
+/// server closes it.
+constexpr millis idleTimeoutMargin{1'000};
+/// For servers that announce no timeout.
+constexpr millis defaultIdleTimeout{3'000};
+/// Idle connections kept per server: more than are busy at once under steady load on a quarter of a core.
+constexpr std::size_t maxIdlePerServer = 16;
+constexpr millis sweepInterval{250};
+/// A dead connection is detected by unacknowledged bytes or, while waiting for a response, by keep-alive
+/// probes. It fails after about 3 s.
 constexpr unsigned unackedTimeoutMs = 2'000;
 constexpr int probeIdleSeconds = 1;
 constexpr int probeIntervalSeconds = 1;
@@ -39,7 +40,7 @@
 constexpr int eventRead = 1;
 constexpr int eventWrite = 2;
 
-void tune(int fd)
+void setSocketOptions(int fd)
 {
     const int yes = 1;
     (void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
@@ -50,62 +51,64 @@
     (void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probeCount, sizeof(probeCount));
 }
 
-/// How long the server lets this connection idle, by its "Keep-Alive: timeout=SECONDS".
-millis idleTimeOf(const http_head &head)
+/// How long to keep this connection idle, by the server's "Keep-Alive: timeout=SECONDS".
+millis idleTimeoutOf(const http_head &head)
 {
     const std::string *value = findField(head, "keep-alive");
-    const std::size_t at = value == nullptr ? std::string::npos : value->find("timeout=");
-    if (at == std::string::npos) {
-        return idleDefault;
+    const std::size_t position = value == nullptr ? std::string::npos : value->find("timeout=");
+    if (position == std::string::npos) {
+        return defaultIdleTimeout;
     }
     std::int64_t seconds = 0;
-    const char *first = value->data() + at + std::strlen("timeout=");
+    const char *first = value->data() + position + std::strlen("timeout=");
     std::from_chars(first, value->data() + value->size(), seconds);
-    return millis{seconds * 1'000} - idleMargin;
+    return millis{seconds * 1'000} - idleTimeoutMargin;
 }
 
 }
 
 struct backend_pool::impl
 {
+    /// A TCP connection to a server, in use by one request or idle.
     struct connection
     {
         peer_address to;
         owned_fd fd;
         std::shared_ptr<void> watch;
-        int watched = 0;
-        millis idleUntil; ///< while kept
+        int watchedEvents = 0;
+        millis idleUntil; ///< set while the connection is idle
     };
 
-    struct sending
+    /// One request, from start() until its response is complete or it fails.
+    struct request_state
     {
-        std::unique_ptr<connection> on;
+        std::unique_ptr<connection> link;
         bool connecting = false;
-        std::string out;
-        std::size_t sent = 0;
-        std::string in;
+        std::string out; ///< the request
+        std::size_t sent = 0; ///< bytes of `out` already sent
+        std::string in; ///< bytes received and not parsed yet
         http_reader reader{http_side::Answer, {}};
         bool noBody = false;
-        bool headTold = false;
-        bool dropping = false; ///< this answer belongs to another request
-        bool sawOther = false;
-        millis connectUntil;
+        bool headDelivered = false; ///< onHead was called for the current response
+        bool discarding = false; ///< the current response belongs to another request
+        bool discardedAny = false; ///< some response on this connection belonged to another request
+        millis connectDeadline;
         send_handlers calls;
     };
-    using sending_ptr = std::shared_ptr<sending>;
+    using request_ptr = std::shared_ptr<request_state>;
 
     loop &events;
     pool_counters counts;
     send_id lastId = 0;
-    std::unordered_map<send_id, sending_ptr> sends;
-    std::map<peer_address, std::vector<std::unique_ptr<connection>>> kept;
+    std::unordered_map<send_id, request_ptr> requests;
+    std::map<peer_address, std::vector<std::unique_ptr<connection>>> idle; ///< the last used at the back
     std::shared_ptr<void> sweeper;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
     explicit impl(loop &eventLoop)
         : events(eventLoop)
     {
-        sweeper = events.timer(sweepEvery, sweepEvery, [this] {
+        sweeper = events.timer(sweepInterval, sweepInterval, [this] {
             sweep();
         });
     }
@@ -116,52 +119,55 @@
     impl(const impl &) = delete;
     impl &operator=(const impl &) = delete;
 
-    std::unique_ptr<connection> takeKept(const peer_address &to);
-    void keep(std::unique_ptr<connection> one, millis idle);
-    void open(send_id id, sending &one);
-    void watch(send_id id, connection &one, int mask);
+    /// Returns an idle connection to `to` that is still usable, or null.
+    std::unique_ptr<connection> takeIdle(const peer_address &to);
+    /// Keeps a connection idle for reuse, or closes it if `idleTimeout` is not positive or enough are kept.
+    void keepIdle(std::unique_ptr<connection> link, millis idleTimeout);
+    void open(send_id id, request_state &request);
+    void watch(send_id id, connection &link, int mask);
     void onEvents(send_id id, int mask);
-    void onWritable(send_id id, sending &one);
-    void onReadable(send_id id, sending &one);
-    bool parse(send_id id, sending &one);
-    void tellHead(sending &one);
+    void onWritable(send_id id, request_state &request);
+    void onReadable(send_id id, request_state &request);
+    bool parse(send_id id, request_state &request);
+    void deliverHead(request_state &request);
     void end(send_id id, send_result how, const char *detail);
     void endLater(send_id id, send_result how, std::string detail);
-    void onWhole(send_id id, sending &one);
+    void onComplete(send_id id, request_state &request);
     void sweep();
 };
 
-std::unique_ptr<backend_pool::impl::connection> backend_pool::impl::takeKept(const peer_address &to)
+std::unique_ptr<backend_pool::impl::connection> backend_pool::impl::takeIdle(const peer_address &to)
 {
-    const auto found = kept.find(to);
-    if (found == kept.end() || found->second.empty()) {
+    const auto found = idle.find(to);
+    if (found == idle.end() || found->second.empty()) {
         return nullptr;
     }
-    // The one used last: the others may then grow old and close.
-    auto one = std::move(found->second.back());
+    // Reuses the connection used last, so that surplus ones time out and close.
+    auto link = std::move(found->second.back());
     found->second.pop_back();
-    one->watch.reset();
+    link->watch.reset();
     char byte = 0;
-    const ssize_t got = recv(one->fd.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (got >= 0 || errno != EAGAIN || one->idleUntil < bootNow()) {
-        counts.stray += got > 0 ? 1 : 0;
-        return takeKept(to);
+    const ssize_t count = recv(link->fd.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    if (count >= 0 || errno != EAGAIN || link->idleUntil < bootNow()) {
+        counts.stray += count > 0 ? 1 : 0;
+        return takeIdle(to);
     }
-    return one;
+    return link;
 }
 
-void backend_pool::impl::keep(std::unique_ptr<connection> one, millis idle)
+void backend_pool::impl::keepIdle(std::unique_ptr<connection> link, millis idleTimeout)
 {
-    auto &list = kept[one->to];
-    if (idle.count <= 0 || list.size() >= keptPerServer) {
+    auto &connections = idle[link->to];
+    if (idleTimeout.count <= 0 || connections.size() >= maxIdlePerServer) {
         return;
     }
-    one->idleUntil = bootNow() + idle;
-    // Whatever comes on an idle connection is its end, or bytes that belong to no request.
-    connection *raw = one.get();
-    one->watched = eventRead;
-    one->watch = events.watch(raw->fd.get(), eventRead, [this, raw](int) {
-        auto &siblings = kept[raw->to];
+    link->idleUntil = bootNow() + idleTimeout;
+    // An idle connection becomes readable when the server closes it or sends bytes that belong to no request.
+    // Either way it is closed.
+    connection *raw = link.get();
+    link->watchedEvents = eventRead;
+    link->watch = events.watch(raw->fd.get(), eventRead, [this, raw](int) {
+        auto &siblings = idle[raw->to];
         for (auto it = siblings.begin(); it != siblings.end(); ++it) {
             if (it->get() == raw) {
                 const auto dropped = std::move(*it);
@@ -170,15 +176,15 @@
             }
         }
     });
-    list.push_back(std::move(one));
+    connections.push_back(std::move(link));
 }
 
-void backend_pool::impl::open(send_id id, sending &one)
+void backend_pool::impl::open(send_id id, request_state &request)
 {
-    connection &link = *one.on;
+    connection &link = *request.link;
     const auto address = toSocketAddress(link.to);
     if (!address) {
-        endLater(id, send_result::NotSent, "its address is no IP number");
+        endLater(id, send_result::NotSent, "the server's address is not a numeric IP address");
         return;
     }
     link.fd = owned_fd(socket(address->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -186,189 +192,191 @@
         endLater(id, send_result::NotSent, std::string("socket: ") + std::strerror(errno));
         return;
     }
-    tune(link.fd.get());
+    setSocketOptions(link.fd.get());
     if (connect(link.fd.get(), address->raw(), address->size) != 0 && errno != EINPROGRESS) {
         endLater(id, send_result::NotSent, std::string("connect: ") + std::strerror(errno));
         return;
     }
     ++counts.opened;
-    one.connecting = true;
-    one.connectUntil = bootNow() + connectTime;
+    request.connecting = true;
+    request.connectDeadline = bootNow() + connectTimeout;
     watch(id, link, eventWrite);
 }
 
-void backend_pool::impl::watch(send_id id, connection &one, int mask)
+void backend_pool::impl::watch(send_id id, connection &link, int mask)
 {
-    if (one.watch && one.watched == mask) {
+    if (link.watch && link.watchedEvents == mask) {
         return;
     }
-    one.watched = mask;
-    one.watch = events.watch(one.fd.get(), mask, [this, id](int happened) {
+    link.watchedEvents = mask;
+    link.watch = events.watch(link.fd.get(), mask, [this, id](int happened) {
         onEvents(id, happened);
     });
 }
 
 void backend_pool::impl::onEvents(send_id id, int mask)
 {
-    const auto found = sends.find(id);
-    if (found == sends.end()) {
+    const auto found = requests.find(id);
+    if (found == requests.end()) {
         return;
     }
-    const sending_ptr one = found->second;
+    const request_ptr request = found->second;
     if ((mask & eventWrite) != 0) {
-        onWritable(id, *one);
+        onWritable(id, *request);
     }
-    if ((mask & eventRead) != 0 && sends.count(id) != 0) {
-        onReadable(id, *one);
+    if ((mask & eventRead) != 0 && requests.count(id) != 0) {
+        onReadable(id, *request);
     }
 }
 
-void backend_pool::impl::onWritable(send_id id, sending &one)
+void backend_pool::impl::onWritable(send_id id, request_state &request)
 {
-    if (one.connecting) {
-        const int code = pendingError(one.on->fd.get());
+    if (request.connecting) {
+        const int code = pendingError(request.link->fd.get());
         if (code != 0) {
             end(id, send_result::NotSent, std::strerror(code));
             return;
         }
-        one.connecting = false;
+        request.connecting = false;
     }
-    while (one.sent < one.out.size()) {
-        const ssize_t put =
-            send(one.on->fd.get(), one.out.data() + one.sent, one.out.size() - one.sent, MSG_NOSIGNAL);
-        if (put < 0 && (errno == EAGAIN || errno == EINTR)) {
-            watch(id, *one.on, eventRead | eventWrite);
+    while (request.sent < request.out.size()) {
+        const ssize_t count = send(request.link->fd.get(), request.out.data() + request.sent,
+            request.out.size() - request.sent, MSG_NOSIGNAL);
+        if (count < 0 && (errno == EAGAIN || errno == EINTR)) {
+            watch(id, *request.link, eventRead | eventWrite);
             return;
         }
-        if (put < 0) {
-            // An answer that came before the body was wholly sent may still be there to read.
-            onReadable(id, one);
-            if (sends.count(id) != 0) {
-                end(id, one.sent == 0 ? send_result::NotSent : send_result::Broken, std::strerror(errno));
+        if (count < 0) {
+            // The server may have responded before it had received the whole body; that response may still be
+            // in the receive buffer.
+            onReadable(id, request);
+            if (requests.count(id) != 0) {
+                end(id, request.sent == 0 ? send_result::NotSent : send_result::Broken, std::strerror(errno));
             }
             return;
         }
-        one.sent += static_cast<std::size_t>(put);
+        request.sent += static_cast<std::size_t>(count);
     }
-    watch(id, *one.on, eventRead);
+    watch(id, *request.link, eventRead);
 }
 
-void backend_pool::impl::onReadable(send_id id, sending &one)
+void backend_pool::impl::onReadable(send_id id, request_state &request)
 {
     std::array<char, readBlockBytes> block{};
-    const ssize_t got = recv(one.on->fd.get(), block.data(), block.size(), 0);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) {
+    const ssize_t count = recv(request.link->fd.get(), block.data(), block.size(), 0);
+    if (count < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
-    if (got < 0) {
+    if (count < 0) {
         end(id, send_result::Broken, std::strerror(errno));
         return;
     }
-    if (got == 0) {
-        const bool whole = one.headTold && !one.dropping && one.reader.finishAtEnd();
-        if (whole) {
-            onWhole(id, one);
+    if (count == 0) {
+        const bool complete = request.headDelivered && !request.discarding && request.reader.finishAtEnd();
+        if (complete) {
+            onComplete(id, request);
         } else {
-            end(id, send_result::Broken, "the server closed the connection before its answer was whole");
+            end(id, send_result::Broken, "the server closed the connection before its response was complete");
         }
         return;
     }
-    one.in.append(block.data(), static_cast<std::size_t>(got));
-    while (parse(id, one)) {
+    request.in.append(block.data(), static_cast<std::size_t>(count));
+    while (parse(id, request)) {
     }
 }
 
-void backend_pool::impl::tellHead(sending &one)
+void backend_pool::impl::deliverHead(request_state &request)
 {
-    one.headTold = true;
-    one.dropping = !one.calls.onHead(one.reader.head());
-    one.sawOther = one.sawOther || one.dropping;
+    request.headDelivered = true;
+    request.discarding = !request.calls.onHead(request.reader.head());
+    request.discardedAny = request.discardedAny || request.discarding;
 }
 
-/// Takes one step through the bytes that are there; true while there may be another step.
-bool backend_pool::impl::parse(send_id id, sending &one)
+/// Parses one step of the received bytes; true if there may be more to parse.
+bool backend_pool::impl::parse(send_id id, request_state &request)
 {
-    const sending_ptr held = sends.at(id);
-    if (one.in.empty()) {
+    const request_ptr keepAlive = requests.at(id); // its callbacks may cancel the request
+    if (request.in.empty()) {
         return false;
     }
     std::size_t used = 0;
-    const read_state state = one.reader.feed(one.in, used);
-    one.in.erase(0, used);
+    const read_state state = request.reader.feed(request.in, used);
+    request.in.erase(0, used);
     if (state == read_state::Bad) {
-        end(id, send_result::Broken, "the server's answer is no HTTP");
+        end(id, send_result::Broken, "the server's response is not valid HTTP");
         return false;
     }
     if (state == read_state::Head) {
         return false;
     }
-    const bool interim = one.reader.head().status < firstFinalStatus;
-    if (!interim && !one.headTold) {
-        tellHead(one);
-        if (sends.count(id) == 0) {
+    const bool interim = request.reader.head().status < firstFinalStatus;
+    if (!interim && !request.headDelivered) {
+        deliverHead(request);
+        if (requests.count(id) == 0) {
             return false;
         }
     }
-    std::string body = one.reader.takeBody();
-    if (!interim && !one.dropping && !body.empty()) {
-        one.calls.onBody(std::move(body));
-        if (sends.count(id) == 0) {
+    std::string body = request.reader.takeBody();
+    if (!interim && !request.discarding && !body.empty()) {
+        request.calls.onBody(std::move(body));
+        if (requests.count(id) == 0) {
             return false;
         }
     }
     if (state != read_state::Done) {
         return false;
     }
-    if (interim || one.dropping) {
-        one.reader = http_reader(http_side::Answer, {});
-        if (one.noBody) {
-            one.reader.expectNoBody();
+    if (interim || request.discarding) {
+        request.reader = http_reader(http_side::Answer, {});
+        if (request.noBody) {
+            request.reader.expectNoBody();
         }
-        one.headTold = false;
-        one.dropping = false;
+        request.headDelivered = false;
+        request.discarding = false;
         return true;
     }
-    onWhole(id, one);
+    onComplete(id, request);
     return false;
 }
 
-void backend_pool::impl::onWhole(send_id id, sending &one)
+void backend_pool::impl::onComplete(send_id id, request_state &request)
 {
-    // Kept only if the next answer on it can't be anything but the next request's: a server that answered
-    // before it had the whole body still reads, and one that sent more than its answer is out of step.
-    const bool clean = one.in.empty() && !one.sawOther && one.sent == one.out.size()
-        && one.reader.state() == read_state::Done && one.reader.keepsConnection();
-    counts.stray += one.in.empty() ? 0 : 1;
+    // The connection is kept only if the next response on it must belong to the next request. A server that
+    // responded before it had the whole body is still reading that body, and after extra bytes the responses
+    // no longer match the requests.
+    const bool clean = request.in.empty() && !request.discardedAny && request.sent == request.out.size()
+        && request.reader.state() == read_state::Done && request.reader.keepsConnection();
+    counts.stray += request.in.empty() ? 0 : 1;
     if (clean) {
-        auto link = std::move(one.on);
+        auto link = std::move(request.link);
         link->watch.reset();
-        keep(std::move(link), idleTimeOf(one.reader.head()));
+        keepIdle(std::move(link), idleTimeoutOf(request.reader.head()));
     }
     end(id, send_result::Complete, "");
 }
 
 void backend_pool::impl::end(send_id id, send_result how, const char *detail)
 {
-    const auto found = sends.find(id);
-    if (found == sends.end()) {
+    const auto found = requests.find(id);
+    if (found == requests.end()) {
         return;
     }
-    const sending_ptr one = found->second;
-    sends.erase(found);
-    if (one->on) {
-        one->on->watch.reset();
+    const request_ptr request = found->second;
+    requests.erase(found);
+    if (request->link) {
+        request->link->watch.reset();
     }
     error why;
     if (how != send_result::Complete) {
         why = {error_kind::ConnectionLost, "backend server", detail};
     }
-    one->calls.onEnd(how, why);
+    request->calls.onEnd(how, why);
 }
 
 void backend_pool::impl::endLater(send_id id, send_result how, std::string detail)
 {
-    events.post([this, live = alive, id, how, text = std::move(detail)] {
-        if (*live) {
+    events.post([this, stillAlive = alive, id, how, text = std::move(detail)] {
+        if (*stillAlive) {
             end(id, how, text.c_str());
         }
     });
@@ -377,20 +385,20 @@
 void backend_pool::impl::sweep()
 {
     const millis now = bootNow();
-    for (auto it = kept.begin(); it != kept.end();) {
-        std::erase_if(it->second, [now](const auto &one) {
-            return one->idleUntil < now;
+    for (auto it = idle.begin(); it != idle.end();) {
+        std::erase_if(it->second, [now](const auto &link) {
+            return link->idleUntil < now;
         });
-        it = it->second.empty() ? kept.erase(it) : std::next(it);
+        it = it->second.empty() ? idle.erase(it) : std::next(it);
     }
-    std::vector<send_id> late;
-    for (const auto &[id, one] : sends) {
-        if (one->connecting && one->connectUntil < now) {
-            late.push_back(id);
+    std::vector<send_id> timedOut;
+    for (const auto &[id, request] : requests) {
+        if (request->connecting && request->connectDeadline < now) {
+            timedOut.push_back(id);
         }
     }
-    for (const send_id id : late) {
-        end(id, send_result::NotSent, "the server did not take the connection in time");
+    for (const send_id id : timedOut) {
+        end(id, send_result::NotSent, "the server did not accept the connection in time");
     }
 }
 
@@ -405,44 +413,46 @@
     const peer_address &to, std::string bytes, bool noBody, send_handlers calls)
 {
     const send_id id = ++m_impl->lastId;
-    auto one = std::make_shared<impl::sending>();
-    one->out = std::move(bytes);
-    one->noBody = noBody;
-    one->calls = std::move(calls);
+    auto request = std::make_shared<impl::request_state>();
+    request->out = std::move(bytes);
+    request->noBody = noBody;
+    request->calls = std::move(calls);
     if (noBody) {
-        one->reader.expectNoBody();
+        request->reader.expectNoBody();
     }
-    m_impl->sends.emplace(id, one);
-    one->on = m_impl->takeKept(to);
-    if (one->on) {
+    m_impl->requests.emplace(id, request);
+    request->link = m_impl->takeIdle(to);
+    if (request->link) {
         ++m_impl->counts.reused;
-        m_impl->watch(id, *one->on, eventRead | eventWrite);
+        m_impl->watch(id, *request->link, eventRead | eventWrite);
         return id;
     }
-    one->on = std::make_unique<impl::connection>();
-    one->on->to = to;
-    m_impl->open(id, *one);
+    request->link = std::make_unique<impl::connection>();
+    request->link->to = to;
+    m_impl->open(id, *request);
     return id;
 }
 
 void backend_pool::cancel(send_id id)
 {
-    m_impl->sends.erase(id);
+    m_impl->requests.erase(id);
 }
 
 void backend_pool::abort(send_id id)
 {
-    const auto found = m_impl->sends.find(id);
-    if (found != m_impl->sends.end() && found->second->on && found->second->on->fd) {
-        const linger atOnce{1, 0};
-        (void)setsockopt(found->second->on->fd.get(), SOL_SOCKET, SO_LINGER, &atOnce, sizeof(atOnce));
+    const auto found = m_impl->requests.find(id);
+    if (found != m_impl->requests.end() && found->second->link && found->second->link->fd) {
+        // Lingering for 0 s makes close() reset the connection and discard the bytes not sent yet.
+        const linger resetOnClose{1, 0};
+        (void)setsockopt(
+            found->second->link->fd.get(), SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof(resetOnClose));
     }
     cancel(id);
 }
 
 void backend_pool::forget(const peer_address &to)
 {
-    m_impl->kept.erase(to);
+    m_impl->idle.erase(to);
 }
 
 const pool_counters &backend_pool::counters() const
--- a/packages/transport/backend_pool.h
+++ b/packages/transport/backend_pool.h
@@ -14,33 +14,37 @@
 
 namespace briarhead {
 
-/// How one send to a backend server ended.
+/// How sending one request to a backend server ended.
 enum class send_result : std::uint8_t
 {
-    Complete, ///< the answer is complete
-    NotSent, ///< certain that no byte of the request left
-    Broken, ///< bytes left, and the answer is missing, cut off or no HTTP
+    Complete, ///< the complete response arrived
+    NotSent, ///< certain that no byte of the request was sent
+    Broken, ///< bytes were sent, but the response is missing, truncated or not HTTP
 };
 
-/// Callbacks of one send, none of them from inside start().
+/// Callbacks of one request, none of them called from inside start().
 struct send_handlers
 {
-    /// The head of an answer. False: it answers something else and is dropped, the next one is waited for.
+    /// Receives the head of a response. Returns false if the response belongs to another request: it is then
+    /// discarded, and the pool waits for the next one.
     std::function<bool(const http_head &)> onHead;
+    /// Receives the next bytes of the response's body.
     std::function<void(std::string bytes)> onBody;
+    /// Receives the result; the error says why it is not Complete.
     std::function<void(send_result, const error &)> onEnd;
 };
 
-/// Counts for metrics.
+/// Counts since the start of the process, for the metrics.
 struct pool_counters
 {
-    std::uint64_t opened = 0;
-    std::uint64_t reused = 0;
-    std::uint64_t stray = 0; ///< connections closed because bytes came that answer nothing
+    std::uint64_t opened = 0; ///< connections opened
+    std::uint64_t reused = 0; ///< requests sent on a kept connection
+    std::uint64_t stray = 0; ///< connections closed because of bytes that belong to no response
 };
 
-/// Connections to backend servers. Each carries one request at a time and is kept only after an answer that
-/// was whole, with nothing behind it, to a request that was wholly sent. Nothing is ever sent twice.
+/// HTTP/1.1 connections to backend servers. Each carries one request at a time. It is kept for reuse only if
+/// its request was sent completely and its response arrived completely with no bytes after it. No request is
+/// ever sent twice.
 class backend_pool
 {
 public:
@@ -50,14 +54,15 @@
     backend_pool &operator=(const backend_pool &) = delete;
 
     using send_id = std::uint64_t;
-    /// Sends `bytes`, a whole request. `noBody`: the answer has none (HEAD). Exactly one onEnd follows
-    /// unless the send is cancelled.
+    /// Sends `bytes`, one complete request. `noBody`: the response has no body (HEAD). onEnd is called
+    /// exactly once unless the request is cancelled or aborted.
     send_id start(const peer_address &to, std::string bytes, bool noBody, send_handlers calls);
-    /// Ends a send by closing its connection, so that the server stops working on it.
+    /// Cancels a request by closing its connection, so that the server stops working on it. No callback
+    /// follows.
     void cancel(send_id id);
-    /// Ends a send by resetting its connection: bytes of it that have not reached the server never will.
+    /// Cancels a request by resetting its connection: bytes that have not reached the server yet never will.
     void abort(send_id id);
-    /// Closes the kept connections to an address, whose server has gone.
+    /// Closes the kept connections to an address whose server was removed or restarted.
     void forget(const peer_address &to);
     const pool_counters &counters() const;
 
--- a/packages/transport/connect_probe.cpp
+++ b/packages/transport/connect_probe.cpp
@@ -13,6 +13,7 @@
 
 constexpr int eventWrite = 2;
 
+/// One connection attempt; it ends when `done` is called or the handle, its only owner, is dropped.
 struct connect_probe : std::enable_shared_from_this<connect_probe>
 {
     loop &events;
@@ -21,9 +22,9 @@
     std::shared_ptr<void> watch;
     std::shared_ptr<void> timer;
 
-    connect_probe(loop &eventLoop, std::function<void(connect_result)> call)
+    connect_probe(loop &eventLoop, std::function<void(connect_result)> onDone)
         : events(eventLoop)
-        , done(std::move(call))
+        , done(std::move(onDone))
     {
     }
 
@@ -32,19 +33,21 @@
         watch.reset();
         timer.reset();
         fd = owned_fd();
-        if (const auto call = std::exchange(done, nullptr)) {
-            call(result);
+        if (const auto callback = std::exchange(done, nullptr)) {
+            callback(result);
         }
     }
+    /// Ends the probe in the next round of the loop, so that `done` is not called from inside probeConnect()
+    /// or from the callbacks that end() destroys.
     void endLater(connect_result result)
     {
         events.post([weak = weak_from_this(), result] {
-            if (const auto same = weak.lock()) {
-                same->end(result);
+            if (const auto probe = weak.lock()) {
+                probe->end(result);
             }
         });
     }
-    void start(const peer_address &to, millis patience)
+    void start(const peer_address &to, millis timeout)
     {
         const auto address = toSocketAddress(to);
         if (address) {
@@ -65,7 +68,7 @@
                                            : connect_result::Unknown);
             watch.reset();
         });
-        timer = events.timer(patience, {}, [this] {
+        timer = events.timer(timeout, {}, [this] {
             endLater(connect_result::Unknown);
         });
     }
@@ -74,10 +77,10 @@
 }
 
 std::shared_ptr<void> probeConnect(
-    loop &eventLoop, const peer_address &to, millis patience, std::function<void(connect_result)> done)
+    loop &eventLoop, const peer_address &to, millis timeout, std::function<void(connect_result)> done)
 {
     auto probe = std::make_shared<connect_probe>(eventLoop, std::move(done));
-    probe->start(to, patience);
+    probe->start(to, timeout);
     return probe;
 }
 
--- a/packages/transport/engine_client.cpp
+++ b/packages/transport/engine_client.cpp
@@ -18,14 +18,15 @@
 constexpr int httpOk = 200;
 constexpr millis cancelTimeout{1'000};
 constexpr int httpUnavailable = 503;
-constexpr millis longestRetryAfter{24LL * 3'600 * 1'000};
-constexpr std::int64_t maxAnswerMarginMs = 500;
-constexpr std::int64_t answerMarginShare = 8;
-/// An error's body is read for its code only; what an engine sends beyond this is dropped.
+constexpr millis maxRetryAfter{24LL * 3'600 * 1'000};
+/// The engine's deadline precedes the caller's by an eighth of the time left, but at most by this.
+constexpr std::int64_t maxDeadlineMarginMs = 500;
+constexpr std::int64_t deadlineMarginDivisor = 8;
+/// An error's body is only read for its code; bytes beyond this limit are dropped.
 constexpr std::size_t maxErrorBodyBytes = 64 * 1024;
 
-/// What an engine's error answer means. An engine sends these codes before a run began or an order took
-/// effect, so each of them proves that nothing happened.
+/// The meaning of an engine's error response. An engine sends these codes only before a run has begun or an
+/// order has taken effect, so each of them proves that nothing was executed.
 struct refusal_row
 {
     int status;
@@ -44,10 +45,10 @@
     refusal_row{503, "leaving", error_kind::NotReady},
 };
 
-/// An engine's error answer, as far as it could be read.
+/// An engine's error response, as far as it could be parsed.
 struct refusal
 {
-    error_kind kind = error_kind::None; ///< None: no known code, so nothing is proved
+    error_kind kind = error_kind::None; ///< None: no known code; the run or order may have been executed
     std::string code;
     std::uint64_t fencingToken = 0;
     millis retryAfter;
@@ -59,7 +60,7 @@
     return value.is_object() ? value : json::object();
 }
 
-std::uint64_t numberOf(const json &object, const char *name)
+std::uint64_t numberIn(const json &object, const char *name)
 {
     const auto found = object.find(name);
     return found != object.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
@@ -96,36 +97,37 @@
     return adapters;
 }
 
-/// The body's "retry_after_ms" where the engine gives it, else the header's seconds.
+/// Returns "retry_after_ms" of the body if present, otherwise the seconds of the Retry-After header.
 millis retryAfterOf(const http_result &result, const json &problem)
 {
-    if (const auto ms = static_cast<std::int64_t>(numberOf(problem, "retry_after_ms")); ms > 0) {
+    if (const auto ms = static_cast<std::int64_t>(numberIn(problem, "retry_after_ms")); ms > 0) {
         return {ms};
     }
     const auto header = result.headers.find("retry-after");
-    return header == result.headers.end()
-        ? millis{}
-        : parseSeconds(header->second, longestRetryAfter).value_or(millis{});
+    return header == result.headers.end() ? millis{}
+                                          : parseSeconds(header->second, maxRetryAfter).value_or(millis{});
 }
 
-refusal readRefusal(const http_result &result, std::string_view body)
+refusal parseRefusal(const http_result &result, std::string_view body)
 {
-    const json answer = parseObject(body);
+    const json response = parseObject(body);
     const json problem =
-        answer.contains("error") && answer["error"].is_object() ? answer["error"] : json::object();
-    refusal read;
-    read.code = textIn(problem, "code");
-    read.fencingToken = numberOf(problem, "fencing");
-    read.retryAfter = retryAfterOf(result, problem);
-    const auto row = std::find_if(refusalTable.begin(), refusalTable.end(), [&](const refusal_row &one) {
-        return one.status == result.status && one.code == read.code;
-    });
-    read.kind = row != refusalTable.end() ? row->kind : error_kind::None;
-    return read;
+        response.contains("error") && response["error"].is_object() ? response["error"] : json::object();
+    refusal parsed;
+    parsed.code = textIn(problem, "code");
+    parsed.fencingToken = numberIn(problem, "fencing");
+    parsed.retryAfter = retryAfterOf(result, problem);
+    const auto row =
+        std::find_if(refusalTable.begin(), refusalTable.end(), [&](const refusal_row &candidate) {
+            return candidate.status == result.status && candidate.code == parsed.code;
+        });
+    parsed.kind = row != refusalTable.end() ? row->kind : error_kind::None;
+    return parsed;
 }
 
-/// The reason of an end without a known refusal: the transport's own, or the status nobody expected.
-error reasonOf(const http_result &result, const std::string &url)
+/// Returns the reason why a call failed without a known refusal: the transport's error or the unexpected
+/// status.
+error failureOf(const http_result &result, const std::string &url)
 {
     if (result.why.kind != error_kind::None) {
         return result.why;
@@ -136,13 +138,13 @@
     return {error_kind::Internal, url, "unexpected status " + std::to_string(result.status)};
 }
 
-/// Watches a stream of server-sent events for its end mark. Guards against telling a caller "done" for a
-/// stream that broke off between two events, or that carries the engine's error in place of a token:
-/// both look whole to the transport when the engine still closes the connection in order.
-class stream_watch
+/// Checks whether a stream of server-sent events ended with its end mark and without an error. A stream that
+/// breaks off between two events, or carries the engine's error in place of a token, looks complete to the
+/// transport if the engine then closes the connection normally; it must not be reported to a caller as done.
+class stream_checker
 {
 public:
-    void take(std::string_view bytes)
+    void feed(std::string_view bytes)
     {
         while (!bytes.empty()) {
             const auto lineEnd = bytes.find('\n');
@@ -154,7 +156,7 @@
             bytes.remove_prefix(lineEnd + 1);
         }
     }
-    bool whole() const
+    bool complete() const
     {
         return m_done && !m_failed;
     }
@@ -162,61 +164,61 @@
 private:
     static constexpr std::string_view endMark = "data: [DONE]";
     static constexpr std::string_view errorMark = R"(data: {"error")";
-    /// Enough of a line to tell the marks from everything else, a "\r" at the end included.
-    static constexpr std::size_t headBytes = 16;
+    /// Length of a line's start that is kept: enough to recognise both marks, including a "\r" at the end.
+    static constexpr std::size_t lineStartBytes = 16;
 
-    void append(std::string_view part)
+    void append(std::string_view bytes)
     {
-        m_head.append(part.substr(0, headBytes - m_head.size()));
+        m_lineStart.append(bytes.substr(0, lineStartBytes - m_lineStart.size()));
     }
     void endLine()
     {
-        std::string_view line = m_head;
+        std::string_view line = m_lineStart;
         if (line.ends_with('\r')) {
             line.remove_suffix(1);
         }
         m_done = m_done || line == endMark;
         m_failed = m_failed || line.starts_with(errorMark);
-        m_head.clear();
+        m_lineStart.clear();
     }
 
-    std::string m_head;
+    std::string m_lineStart;
     bool m_done = false;
     bool m_failed = false;
 };
 
-/// What one run has brought so far.
+/// What has been received of one run so far.
 struct run_progress
 {
-    stream_watch stream;
+    stream_checker stream;
     std::string errorBody;
     bool started = false;
 };
 
-engine_run_end runEndOf(const http_result &result, const run_progress &progress, const std::string &url)
+engine_run_end toRunEnd(const http_result &result, const run_progress &progress, const std::string &url)
 {
-    if (result.status == httpOk && result.complete && progress.stream.whole()) {
+    if (result.status == httpOk && result.complete && progress.stream.complete()) {
         return {outcome::Done, {}, {}};
     }
     if (!result.sent) {
-        return {outcome::NotRun, reasonOf(result, url), {}};
+        return {outcome::NotRun, failureOf(result, url), {}};
     }
-    if (const refusal read = readRefusal(result, progress.errorBody); read.kind != error_kind::None) {
-        return {outcome::NotRun, {read.kind, url, read.code}, read.retryAfter};
+    if (const refusal refused = parseRefusal(result, progress.errorBody); refused.kind != error_kind::None) {
+        return {outcome::NotRun, {refused.kind, url, refused.code}, refused.retryAfter};
     }
-    return {outcome::Unknown, reasonOf(result, url), {}};
+    return {outcome::Unknown, failureOf(result, url), {}};
 }
 
-engine_order_end orderEndOf(const http_result &result, const std::string &url)
+engine_order_end toOrderEnd(const http_result &result, const std::string &url)
 {
     if (result.status == httpOk && result.complete) {
-        return {true, true, {}, numberOf(parseObject(result.body), "fencing")};
+        return {true, true, {}, numberIn(parseObject(result.body), "fencing")};
     }
-    const refusal read = readRefusal(result, result.body);
-    if (read.kind != error_kind::None) {
-        return {false, true, {read.kind, url, read.code}, read.fencingToken};
+    const refusal refused = parseRefusal(result, result.body);
+    if (refused.kind != error_kind::None) {
+        return {false, true, {refused.kind, url, refused.code}, refused.fencingToken};
     }
-    return {false, !result.sent, reasonOf(result, url), 0};
+    return {false, !result.sent, failureOf(result, url), 0};
 }
 
 std::string fencingHeader(std::uint64_t fencingToken)
@@ -224,36 +226,36 @@
     return "X-Fencing-Token: " + std::to_string(fencingToken);
 }
 
-http_call postTo(const std::string &url, std::string body, millis timeout)
+http_call makePost(const std::string &url, std::string body, millis timeout)
 {
     http_call call;
     call.method = "POST";
     call.url = url;
     call.headers = {"Content-Type: application/json"};
     call.body = std::move(body);
-    // A limit of 0 would mean none at all; time that has run out is the shortest one.
+    // 0 would mean no timeout; a deadline that has passed becomes the shortest one.
     call.timeout = {std::max<std::int64_t>(timeout.count, 1)};
-    // Bytes the kernel still holds when the time is over are dropped by it, also while this process is
-    // paused, so that no order or run reaches the engine long after its sender gave it up.
+    // At the timeout the kernel drops the bytes that it still buffers, also while this process is paused. So
+    // no order or run reaches the engine long after its sender has abandoned it.
     call.userTimeout = call.timeout;
-    // On a kept connection that turns out dead, libcurl sends the request again on a new one without a
-    // word if no byte of an answer had come. A run would then run twice: the engine may have begun it and
-    // died or closed before its first byte. An order would be sent anew after the fence had cut its
-    // socket, past the end of the lease. On a connection of its own libcurl never repeats a request; the
-    // price is one handshake. See docs/DESIGN.md for what it costs.
+    // When a kept connection turns out to be dead and no byte of a response has arrived, libcurl silently
+    // resends the request on a new one. A run would then be executed twice if the engine had begun it and
+    // then crashed or closed the connection before its first byte. An order would be sent again after the
+    // fence had reset its socket, past the end of the lease. On a new connection libcurl never resends; this
+    // takes one handshake per request (see docs/DESIGN.md for the cost).
     call.freshConnection = true;
     return call;
 }
 
-/// The deadline told to the engine, a little before the one its caller waits for. Else an engine that
-/// refuses a run whose time passed in its queue says so just after the call was given up, and a request
-/// that surely never ran would have to be told as unknown.
+/// Returns the deadline to send to the engine, somewhat earlier than the caller's. Otherwise an engine that
+/// refuses a run because its deadline passed in the queue would do so just after this side has abandoned the
+/// call, and a request that certainly never ran would have to be reported as Unknown.
 millis engineDeadline(millis deadline)
 {
-    return {deadline.count - std::min(maxAnswerMarginMs, deadline.count / answerMarginShare)};
+    return {deadline.count - std::min(maxDeadlineMarginMs, deadline.count / deadlineMarginDivisor)};
 }
 
-http_call getFrom(const std::string &url, millis timeout)
+http_call makeGet(const std::string &url, millis timeout)
 {
     http_call call;
     call.url = url;
@@ -261,11 +263,11 @@
     return call;
 }
 
-/// The object in a whole 200 answer, or the reason why there is none.
-std::optional<json> objectOf(const http_result &result, const std::string &url, error &why)
+/// Returns the JSON object of a complete response with status 200, or nothing and the reason in `why`.
+std::optional<json> parseObjectResponse(const http_result &result, const std::string &url, error &why)
 {
     if (result.status != httpOk || !result.complete) {
-        why = reasonOf(result, url);
+        why = failureOf(result, url);
         return std::nullopt;
     }
     json value = json::parse(result.body, nullptr, false);
@@ -276,34 +278,36 @@
     return value;
 }
 
-/// What an engine's answer says of it; its own codes count like the fields.
-response_notice engineWords(const http_result &result, std::string_view body)
+/// Reads the notice in an engine's response. The engine's error codes and "retry_after_ms" count as well as
+/// the header fields.
+response_notice readEngineNotice(const http_result &result, std::string_view body)
 {
-    response_notice words = readResponseNotice(result);
+    response_notice notice = readResponseNotice(result);
     if (result.status == httpUnavailable) {
-        const refusal read = readRefusal(result, body);
-        words.leaving = words.leaving || read.code == "leaving";
-        words.pause = read.retryAfter;
+        const refusal refused = parseRefusal(result, body);
+        notice.leaving = notice.leaving || refused.code == "leaving";
+        notice.pause = refused.retryAfter;
     }
-    return words;
+    return notice;
 }
 
-/// Asks for an object and gives what `read` makes of it.
-template <class answer, class reader>
-void ask(http_client &http, const std::string &url, millis timeout, reader read,
-    std::function<void(const http_result &, std::string_view)> tell,
-    std::function<void(const std::optional<answer> &, const error &)> done)
+/// Requests a JSON object and passes it to `done` as parsed by `parse`.
+template <class parsed, class parser>
+void requestObject(http_client &http, const std::string &url, millis timeout, parser parse,
+    std::function<void(const http_result &, std::string_view)> forwardNotice,
+    std::function<void(const std::optional<parsed> &, const error &)> done)
 {
-    http.start(getFrom(url, timeout),
-        [url, read, tell = std::move(tell), done = std::move(done)](const http_result &result) {
-            tell(result, result.body);
+    http.start(makeGet(url, timeout),
+        [url, parse, forwardNotice = std::move(forwardNotice), done = std::move(done)](
+            const http_result &result) {
+            forwardNotice(result, result.body);
             error why;
-            const auto object = objectOf(result, url, why);
-            done(object ? std::optional<answer>(read(*object)) : std::nullopt, why);
+            const auto object = parseObjectResponse(result, url, why);
+            done(object ? std::optional<parsed>(parse(*object)) : std::nullopt, why);
         });
 }
 
-engine_state readState(const json &object)
+engine_state parseState(const json &object)
 {
     engine_state state;
     state.incarnation = textIn(object, "incarnation");
@@ -311,21 +315,21 @@
     state.role = textIn(object, "role");
     state.leaving = flagIn(object, "leaving");
     state.checksFencing = flagIn(object, "checks_fencing");
-    state.fencingToken = numberOf(object, "fencing");
-    state.slots = static_cast<std::uint32_t>(numberOf(object, "slots"));
-    state.batchLimit = static_cast<std::uint32_t>(numberOf(object, "batch_limit"));
+    state.fencingToken = numberIn(object, "fencing");
+    state.slots = static_cast<std::uint32_t>(numberIn(object, "slots"));
+    state.batchLimit = static_cast<std::uint32_t>(numberIn(object, "batch_limit"));
     state.resident = adaptersIn(object, "resident");
     state.loading = adaptersIn(object, "loading");
     return state;
 }
 
-engine_report readReport(const json &object)
+engine_report parseReport(const json &object)
 {
     engine_report report;
-    report.asOfMs = static_cast<std::int64_t>(numberOf(object, "as_of_ms"));
-    report.fencingToken = numberOf(object, "fencing");
-    report.running = static_cast<std::uint32_t>(numberOf(object, "running"));
-    report.queued = static_cast<std::uint32_t>(numberOf(object, "queued"));
+    report.asOfMs = static_cast<std::int64_t>(numberIn(object, "as_of_ms"));
+    report.fencingToken = numberIn(object, "fencing");
+    report.running = static_cast<std::uint32_t>(numberIn(object, "running"));
+    report.queued = static_cast<std::uint32_t>(numberIn(object, "queued"));
     const auto counts = object.find("running_by_adapter");
     if (counts == object.end() || !counts->is_object()) {
         return report;
@@ -338,15 +342,15 @@
     return report;
 }
 
-engine_cache_events readCacheEvents(const json &object)
+engine_cache_events parseCacheEvents(const json &object)
 {
     engine_cache_events events;
-    events.next = numberOf(object, "next");
+    events.next = numberIn(object, "next");
     for (const json &item : listIn(object, "events")) {
         const auto ref = item.is_object() ? parseAdapterRef(textIn(item, "adapter")) : std::nullopt;
         if (ref) {
             events.events.push_back(
-                {numberOf(item, "seq"), *ref, numberOf(item, "prefix"), textIn(item, "kind") == "stored"});
+                {numberIn(item, "seq"), *ref, numberIn(item, "prefix"), textIn(item, "kind") == "stored"});
         }
     }
     return events;
@@ -362,8 +366,8 @@
     }
     adapter_ref ref{std::string(text.substr(0, colon)), 0};
     const char *end = text.data() + text.size();
-    const auto read = std::from_chars(text.data() + colon + 1, end, ref.version);
-    if (read.ec != std::errc() || read.ptr != end) {
+    const auto parsed = std::from_chars(text.data() + colon + 1, end, ref.version);
+    if (parsed.ec != std::errc() || parsed.ptr != end) {
         return std::nullopt;
     }
     return ref;
@@ -377,15 +381,15 @@
 
 void engine_client::onResponseNotice(std::function<void(const response_notice &)> call)
 {
-    m_onWords = std::move(call);
+    m_onResponseNotice = std::move(call);
 }
 
-std::function<void(const http_result &, std::string_view)> engine_client::teller() const
+std::function<void(const http_result &, std::string_view)> engine_client::noticeForwarder() const
 {
-    return [onResponseNotice = m_onWords](const http_result &result, std::string_view body) {
-        const response_notice words = engineWords(result, body);
-        if (onResponseNotice && (words.leaving || words.pause > millis{})) {
-            onResponseNotice(words);
+    return [onResponseNotice = m_onResponseNotice](const http_result &result, std::string_view body) {
+        const response_notice notice = readEngineNotice(result, body);
+        if (onResponseNotice && (notice.leaving || notice.pause > millis{})) {
+            onResponseNotice(notice);
         }
     };
 }
@@ -393,12 +397,14 @@
 void engine_client::order(const std::string &path, const std::string &body, std::uint64_t fencingToken,
     millis timeout, on_order done)
 {
-    http_call call = postTo(m_url + path, body, timeout);
+    http_call call = makePost(m_url + path, body, timeout);
     call.headers.push_back(fencingHeader(fencingToken));
-    m_http.start(call, [url = call.url, tell = teller(), done = std::move(done)](const http_result &result) {
-        tell(result, result.body);
-        done(orderEndOf(result, url));
-    });
+    m_http.start(call,
+        [url = call.url, forwardNotice = noticeForwarder(), done = std::move(done)](
+            const http_result &result) {
+            forwardNotice(result, result.body);
+            done(toOrderEnd(result, url));
+        });
 }
 
 void engine_client::claim(
@@ -432,27 +438,30 @@
 void engine_client::state(
     millis timeout, std::function<void(const std::optional<engine_state> &, const error &)> done)
 {
-    ask<engine_state>(m_http, m_url + "/v1/state", timeout, readState, teller(), std::move(done));
+    requestObject<engine_state>(
+        m_http, m_url + "/v1/state", timeout, parseState, noticeForwarder(), std::move(done));
 }
 
 void engine_client::report(
     millis timeout, std::function<void(const std::optional<engine_report> &, const error &)> done)
 {
-    ask<engine_report>(m_http, m_url + "/v1/report", timeout, readReport, teller(), std::move(done));
+    requestObject<engine_report>(
+        m_http, m_url + "/v1/report", timeout, parseReport, noticeForwarder(), std::move(done));
 }
 
 void engine_client::cacheEvents(std::uint64_t since, millis timeout,
     std::function<void(const std::optional<engine_cache_events> &, const error &)> done)
 {
     const std::string url = m_url + "/v1/events?since=" + std::to_string(since);
-    ask<engine_cache_events>(m_http, url, timeout, readCacheEvents, teller(), std::move(done));
+    requestObject<engine_cache_events>(
+        m_http, url, timeout, parseCacheEvents, noticeForwarder(), std::move(done));
 }
 
 http_client::call_id engine_client::run(const engine_run &request,
     std::function<void(std::string_view adapter)> onStart,
     std::function<void(std::string_view bytes)> onBytes, std::function<void(const engine_run_end &)> onEnd)
 {
-    http_call call = postTo(m_url + request.path, request.body, request.deadline);
+    http_call call = makePost(m_url + request.path, request.body, request.deadline);
     call.headers.push_back("X-Request-Id: " + toString(request.id));
     call.headers.push_back(fencingHeader(request.fencingToken));
     call.headers.push_back("X-Priority: " + std::to_string(static_cast<int>(request.rank)));
@@ -462,25 +471,25 @@
     }
 
     auto progress = std::make_shared<run_progress>();
-    const auto onData = [progress, tell = teller(), onStart = std::move(onStart),
+    const auto onData = [progress, forwardNotice = noticeForwarder(), onStart = std::move(onStart),
                             onBytes = std::move(onBytes)](const http_result &sofar, std::string_view bytes) {
         if (sofar.status != httpOk) {
-            const std::size_t room = maxErrorBodyBytes - progress->errorBody.size();
-            progress->errorBody.append(bytes.substr(0, room));
+            const std::size_t remaining = maxErrorBodyBytes - progress->errorBody.size();
+            progress->errorBody.append(bytes.substr(0, remaining));
             return;
         }
         if (!std::exchange(progress->started, true)) {
-            tell(sofar, {});
+            forwardNotice(sofar, {});
             const auto adapter = sofar.headers.find("x-adapter");
             onStart(adapter != sofar.headers.end() ? std::string_view(adapter->second) : std::string_view());
         }
-        progress->stream.take(bytes);
+        progress->stream.feed(bytes);
         onBytes(bytes);
     };
-    const auto onDone = [progress, url = call.url, tell = teller(), onEnd = std::move(onEnd)](
-                            const http_result &result) {
-        tell(result, progress->errorBody);
-        onEnd(runEndOf(result, *progress, url));
+    const auto onDone = [progress, url = call.url, forwardNotice = noticeForwarder(),
+                            onEnd = std::move(onEnd)](const http_result &result) {
+        forwardNotice(result, progress->errorBody);
+        onEnd(toRunEnd(result, *progress, url));
     };
     return m_http.start(call, onDone, onData);
 }
@@ -488,13 +497,13 @@
 void engine_client::cancel(http_client::call_id call, const request_id &id, on_order done)
 {
     m_http.cancel(call);
-    // The closed stream tells most engines already; the order reaches those that only notice at the next
-    // write, and those where the request still waits in the queue.
+    // Most engines stop when the stream is closed. The order is for those that only notice at their next
+    // write, and for requests that are still queued.
     const json body{{"request_id", toString(id)}};
-    const http_call order = postTo(m_url + "/v1/cancel", body.dump(), cancelTimeout);
+    const http_call order = makePost(m_url + "/v1/cancel", body.dump(), cancelTimeout);
     m_http.start(order, [url = order.url, done = std::move(done)](const http_result &result) {
         if (done) {
-            done(orderEndOf(result, url));
+            done(toOrderEnd(result, url));
         }
     });
 }
--- a/packages/transport/http_client.cpp
+++ b/packages/transport/http_client.cpp
@@ -62,15 +62,15 @@
     }
 }
 
-/// What is wrong with a call before it is made. A line break in a header, the method or the URL would
-/// let whoever chose that text smuggle a second request onto the connection.
-std::optional<error> faultOf(const http_call &call)
+/// Returns why a call must not be made, if so. A line break in a header, the method or the URL would allow
+/// whoever chose that text to smuggle a second request onto the connection.
+std::optional<error> findFault(const http_call &call)
 {
     if (detail::hasControlBytes(call.method) || call.method.empty()) {
         return error{error_kind::BadRequest, call.url, "the method is empty or has control characters"};
     }
     if (detail::hasControlBytes(call.url)) {
-        return error{error_kind::BadRequest, "url", "it has control characters"};
+        return error{error_kind::BadRequest, "url", "the URL has control characters"};
     }
     if (std::any_of(call.headers.begin(), call.headers.end(), detail::hasControlBytes)) {
         return error{error_kind::BadRequest, call.url, "a header has control characters"};
@@ -82,8 +82,8 @@
 
 struct http_client::impl
 {
-    /// One call, from start() until its onDone returned.
-    struct transfer
+    /// One call, from start() until its onDone has returned.
+    struct transfer_state
     {
         impl *owner = nullptr;
         call_id id = 0;
@@ -93,15 +93,15 @@
         easy_ptr easy;
         list_ptr headers;
         http_result result;
-        std::string fresh; ///< body bytes not yet given to onData
+        std::string undelivered; ///< body bytes not yet passed to onData
         std::array<char, CURL_ERROR_SIZE> errorText{};
-        bool queued = false; ///< stands in `ready`
+        bool queued = false; ///< its id is in `ready`
         bool finished = false;
         bool cancelled = false;
     };
-    using transfer_ptr = std::shared_ptr<transfer>;
+    using transfer_ptr = std::shared_ptr<transfer_state>;
 
-    /// libev's side of one socket of libcurl.
+    /// The libev watcher of one of libcurl's sockets.
     struct socket_watch
     {
         impl *owner = nullptr;
@@ -114,11 +114,11 @@
     ev_timer timer{};
     std::unordered_map<curl_socket_t, std::unique_ptr<socket_watch>> sockets;
     std::unordered_map<call_id, transfer_ptr> calls;
-    std::deque<call_id> ready; ///< calls with bytes or an end to tell of, in order
+    std::deque<call_id> ready; ///< calls with body bytes or a result to deliver, in order
     std::vector<easy_ptr> idleHandles;
-    std::function<void(int, bool)> socketCall;
+    std::function<void(int, bool)> socketListener;
     call_id lastId = 0;
-    bool keep = true;
+    bool keepConnections = true;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
     explicit impl(loop &useLoop);
@@ -126,18 +126,22 @@
     impl(const impl &) = delete;
     impl &operator=(const impl &) = delete;
 
-    void configure(transfer &one);
-    void configureBody(transfer &one);
-    void configureHeaders(transfer &one);
-    void enqueue(transfer &one);
-    void failLater(transfer &one, error why);
-    void act(curl_socket_t fd, int events);
-    void collect();
-    void finish(transfer &one, CURLcode code);
+    void configure(transfer_state &transfer);
+    void configureBody(transfer_state &transfer);
+    void configureHeaders(transfer_state &transfer);
+    void enqueue(transfer_state &transfer);
+    void failLater(transfer_state &transfer, error why);
+    /// Lets libcurl handle a socket's events or its timer, then delivers what has arrived.
+    void runTransfers(curl_socket_t fd, int events);
+    /// Finishes the transfers that libcurl reports as done.
+    void collectDone();
+    void finish(transfer_state &transfer, CURLcode code);
+    /// Calls the callbacks of the calls in `ready`.
     void dispatch();
+    /// Keeps a handle for reuse, up to maxIdleHandles.
     void release(easy_ptr easy);
 
-    static int onSocketState(CURL *easy, curl_socket_t fd, int what, void *self, void *);
+    static int onSocketState(CURL *easy, curl_socket_t fd, int interest, void *self, void *);
     static int onTimeout(CURLM *multi, long timeoutMs, void *self);
     static curl_socket_t openSocket(void *self, curlsocktype purpose, curl_sockaddr *address);
     static int closeSocket(void *self, curl_socket_t fd);
@@ -162,7 +166,7 @@
     ev_timer_init(
         &timer,
         [](struct ev_loop *, ev_timer *self, int) {
-            static_cast<impl *>(self->data)->act(CURL_SOCKET_TIMEOUT, 0);
+            static_cast<impl *>(self->data)->runTransfers(CURL_SOCKET_TIMEOUT, 0);
         },
         0.0, 0.0);
     timer.data = this;
@@ -171,9 +175,9 @@
 http_client::impl::~impl()
 {
     *alive = false;
-    for (const auto &[id, one] : calls) {
-        if (one->easy && !one->finished) {
-            curl_multi_remove_handle(multi, one->easy.get());
+    for (const auto &[id, transfer] : calls) {
+        if (transfer->easy && !transfer->finished) {
+            curl_multi_remove_handle(multi, transfer->easy.get());
         }
     }
     calls.clear();
@@ -185,10 +189,10 @@
     ev_timer_stop(base, &timer);
 }
 
-int http_client::impl::onSocketState(CURL *, curl_socket_t fd, int what, void *self, void *)
+int http_client::impl::onSocketState(CURL *, curl_socket_t fd, int interest, void *self, void *)
 {
     auto *owner = static_cast<impl *>(self);
-    if (what == CURL_POLL_REMOVE) {
+    if (interest == CURL_POLL_REMOVE) {
         const auto found = owner->sockets.find(fd);
         if (found != owner->sockets.end()) {
             ev_io_stop(owner->base, &found->second->io);
@@ -203,13 +207,13 @@
         ev_init(&watch->io, [](struct ev_loop *, ev_io *io, int events) {
             const int mask = ((events & EV_READ) != 0 ? CURL_CSELECT_IN : 0)
                 | ((events & EV_WRITE) != 0 ? CURL_CSELECT_OUT : 0);
-            static_cast<socket_watch *>(io->data)->owner->act(io->fd, mask);
+            static_cast<socket_watch *>(io->data)->owner->runTransfers(io->fd, mask);
         });
         watch->io.data = watch.get();
     }
     ev_io_stop(owner->base, &watch->io);
     const int events =
-        ((what & CURL_POLL_IN) != 0 ? EV_READ : 0) | ((what & CURL_POLL_OUT) != 0 ? EV_WRITE : 0);
+        ((interest & CURL_POLL_IN) != 0 ? EV_READ : 0) | ((interest & CURL_POLL_OUT) != 0 ? EV_WRITE : 0);
     ev_io_set(&watch->io, fd, events);
     ev_io_start(owner->base, &watch->io);
     return 0;
@@ -229,18 +233,18 @@
 
 curl_socket_t http_client::impl::openSocket(void *self, curlsocktype, curl_sockaddr *address)
 {
-    const auto *one = static_cast<transfer *>(self);
+    const auto *transfer = static_cast<transfer_state *>(self);
     const int fd =
         ::socket(address->family, address->socktype | SOCK_CLOEXEC | SOCK_NONBLOCK, address->protocol);
     if (fd < 0) {
         return CURL_SOCKET_BAD;
     }
-    if (one->call.userTimeout.count > 0) {
-        const auto timeoutMs = static_cast<unsigned int>(one->call.userTimeout.count);
+    if (transfer->call.userTimeout.count > 0) {
+        const auto timeoutMs = static_cast<unsigned int>(transfer->call.userTimeout.count);
         setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeoutMs, sizeof(timeoutMs));
     }
-    if (one->owner->socketCall) {
-        one->owner->socketCall(fd, true);
+    if (transfer->owner->socketListener) {
+        transfer->owner->socketListener(fd, true);
     }
     return fd;
 }
@@ -248,29 +252,30 @@
 int http_client::impl::closeSocket(void *self, curl_socket_t fd)
 {
     auto *owner = static_cast<impl *>(self);
-    // A closed descriptor's number is given out again at once; whoever keeps it must forget it first.
+    // The kernel may reuse a closed descriptor's number at once, so the watcher and the listener must drop it
+    // before it is closed.
     onSocketState(nullptr, fd, CURL_POLL_REMOVE, owner, nullptr);
-    if (owner->socketCall) {
-        owner->socketCall(fd, false);
+    if (owner->socketListener) {
+        owner->socketListener(fd, false);
     }
     return ::close(fd);
 }
 
 int http_client::impl::onBeforeRequest(void *self, char *, char *, int, int)
 {
-    // libcurl calls this after connecting and directly before the first byte of the request, also on a
-    // kept connection. Without this call no byte has left, which is what `sent` promises; with it, one
-    // may have, and that stays so when libcurl repeats the request on another connection.
-    static_cast<transfer *>(self)->result.sent = true;
+    // libcurl calls this after connecting and directly before it sends the first byte of the request, also on
+    // a kept connection. Before this call, it is certain that no byte was sent; after it, some may have been.
+    // So `sent` stays set even if libcurl repeats the request on another connection.
+    static_cast<transfer_state *>(self)->result.sent = true;
     return CURL_PREREQFUNC_OK;
 }
 
 std::size_t http_client::impl::onHeader(char *data, std::size_t size, std::size_t count, void *self)
 {
-    auto &result = static_cast<transfer *>(self)->result;
+    auto &result = static_cast<transfer_state *>(self)->result;
     const std::string_view line(data, size * count);
     if (const auto status = detail::statusOf(line)) {
-        // Interim answers (1xx) and their headers are not the answer.
+        // Interim responses (1xx) and their headers are dropped.
         result.status = *status >= firstFinalStatus ? *status : 0;
         result.headers.clear();
     } else {
@@ -281,66 +286,69 @@
 
 std::size_t http_client::impl::onBody(char *data, std::size_t size, std::size_t count, void *self)
 {
-    auto &one = *static_cast<transfer *>(self);
-    if (one.onData) {
-        // Callers may start and cancel calls from onData, which libcurl forbids in here; the bytes are
-        // handed on as soon as libcurl has returned.
-        one.fresh.append(data, size * count);
-        one.owner->enqueue(one);
+    auto &transfer = *static_cast<transfer_state *>(self);
+    if (transfer.onData) {
+        // onData may start and cancel calls, which libcurl forbids inside its callbacks. So the bytes are
+        // delivered as soon as libcurl has returned.
+        transfer.undelivered.append(data, size * count);
+        transfer.owner->enqueue(transfer);
     } else {
-        one.result.body.append(data, size * count);
+        transfer.result.body.append(data, size * count);
     }
     return size * count;
 }
 
-void http_client::impl::configure(transfer &one)
+void http_client::impl::configure(transfer_state &transfer)
 {
-    CURL *easy = one.easy.get();
-    curl_easy_setopt(easy, CURLOPT_URL, one.call.url.c_str());
+    CURL *easy = transfer.easy.get();
+    curl_easy_setopt(easy, CURLOPT_URL, transfer.call.url.c_str());
     curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http,https");
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, static_cast<long>(CURL_HTTP_VERSION_1_1));
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
-    // An empty proxy also switches off the environment's.
+    // An empty proxy also disables one set by environment variables.
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
-    // A watch may be silent for long; without probes it would not notice that its peer vanished.
+    // A watch may be idle for a long time. Without keep-alive probes it would not notice that its peer is
+    // gone.
     curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 1L);
     curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, keepAliveIdleSeconds);
     curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL, keepAliveIntervalSeconds);
     curl_easy_setopt(
-        easy, CURLOPT_TIMEOUT_MS, static_cast<long>(std::max<std::int64_t>(one.call.timeout.count, 0)));
+        easy, CURLOPT_TIMEOUT_MS, static_cast<long>(std::max<std::int64_t>(transfer.call.timeout.count, 0)));
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
-        static_cast<long>(std::max<std::int64_t>(one.call.connectTimeout.count, 0)));
-    // libcurl silently repeats a request when a kept connection turns out to be dead. A request that
-    // may run only once therefore asks for a connection of its own, where libcurl never repeats.
-    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, one.call.freshConnection ? 1L : 0L);
-    curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, one.call.freshConnection || !keep ? 1L : 0L);
-    curl_easy_setopt(easy, CURLOPT_ERRORBUFFER, one.errorText.data());
-    curl_easy_setopt(easy, CURLOPT_PRIVATE, &one);
+        static_cast<long>(std::max<std::int64_t>(transfer.call.connectTimeout.count, 0)));
+    // libcurl silently repeats a request when a kept connection turns out to be dead. A request that may run
+    // only once therefore uses a new connection, on which libcurl never repeats it.
+    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, transfer.call.freshConnection ? 1L : 0L);
+    curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, transfer.call.freshConnection || !keepConnections ? 1L : 0L);
+    curl_easy_setopt(easy, CURLOPT_ERRORBUFFER, transfer.errorText.data());
+    curl_easy_setopt(easy, CURLOPT_PRIVATE, &transfer);
     curl_easy_setopt(easy, CURLOPT_OPENSOCKETFUNCTION, openSocket);
-    curl_easy_setopt(easy, CURLOPT_OPENSOCKETDATA, &one);
-    // Connections outlive the call that opened them, so closing is told to the client.
+    curl_easy_setopt(easy, CURLOPT_OPENSOCKETDATA, &transfer);
+    // A connection outlives the call that opened it, so the data pointer here is the client, not the call.
     curl_easy_setopt(easy, CURLOPT_CLOSESOCKETFUNCTION, closeSocket);
     curl_easy_setopt(easy, CURLOPT_CLOSESOCKETDATA, this);
     curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, onBeforeRequest);
-    curl_easy_setopt(easy, CURLOPT_PREREQDATA, &one);
+    curl_easy_setopt(easy, CURLOPT_PREREQDATA, &transfer);
     curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, onHeader);
-    curl_easy_setopt(easy, CURLOPT_HEADERDATA, &one);
+    curl_easy_setopt(easy, CURLOPT_HEADERDATA, &transfer);
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, onBody);
-    curl_easy_setopt(easy, CURLOPT_WRITEDATA, &one);
-    configureBody(one);
-    configureHeaders(one);
+    curl_easy_setopt(easy, CURLOPT_WRITEDATA, &transfer);
+    configureBody(transfer);
+    configureHeaders(transfer);
 }
 
-void http_client::impl::configureBody(transfer &one)
+void http_client::impl::configureBody(transfer_state &transfer)
 {
-    CURL *easy = one.easy.get();
-    const std::string &method = one.call.method;
-    const bool hasBody = !one.call.body.empty() || method == "POST" || method == "PUT" || method == "PATCH";
+    CURL *easy = transfer.easy.get();
+    const std::string &method = transfer.call.method;
+    const bool hasBody =
+        !transfer.call.body.empty() || method == "POST" || method == "PUT" || method == "PATCH";
     if (hasBody) {
         curl_easy_setopt(easy, CURLOPT_POST, 1L);
-        curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE_LARGE, static_cast<curl_off_t>(one.call.body.size()));
-        curl_easy_setopt(easy, CURLOPT_POSTFIELDS, one.call.body.c_str());
+        curl_easy_setopt(
+            easy, CURLOPT_POSTFIELDSIZE_LARGE, static_cast<curl_off_t>(transfer.call.body.size()));
+        curl_easy_setopt(easy, CURLOPT_POSTFIELDS, transfer.call.body.c_str());
     } else if (method == "HEAD") {
         curl_easy_setopt(easy, CURLOPT_NOBODY, 1L);
     } else {
@@ -349,36 +357,36 @@
     curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, method.c_str());
 }
 
-void http_client::impl::configureHeaders(transfer &one)
+void http_client::impl::configureHeaders(transfer_state &transfer)
 {
-    // "Name:" without a value removes what libcurl would add: the wait for "100 Continue", which costs a
-    // round trip, and the content type of a form.
+    // "Name:" without a value removes a header that libcurl would add: Expect, which costs a round trip to
+    // wait for "100 Continue", and the content type of a form.
     curl_slist *list = curl_slist_append(nullptr, "Expect:");
     bool hasType = false;
-    for (const std::string &line : one.call.headers) {
+    for (const std::string &line : transfer.call.headers) {
         hasType = hasType || detail::lowerCase(line).starts_with("content-type:");
         list = curl_slist_append(list, line.c_str());
     }
     if (!hasType) {
         list = curl_slist_append(list, "Content-Type:");
     }
-    one.headers.reset(list);
-    curl_easy_setopt(one.easy.get(), CURLOPT_HTTPHEADER, list);
+    transfer.headers.reset(list);
+    curl_easy_setopt(transfer.easy.get(), CURLOPT_HTTPHEADER, list);
 }
 
-void http_client::impl::enqueue(transfer &one)
+void http_client::impl::enqueue(transfer_state &transfer)
 {
-    if (!one.queued) {
-        one.queued = true;
-        ready.push_back(one.id);
+    if (!transfer.queued) {
+        transfer.queued = true;
+        ready.push_back(transfer.id);
     }
 }
 
-void http_client::impl::failLater(transfer &one, error why)
+void http_client::impl::failLater(transfer_state &transfer, error why)
 {
-    one.result.why = std::move(why);
-    one.finished = true;
-    enqueue(one);
+    transfer.result.why = std::move(why);
+    transfer.finished = true;
+    enqueue(transfer);
     eventLoop.post([this, stillAlive = std::weak_ptr<bool>(alive)] {
         if (!stillAlive.expired()) {
             dispatch();
@@ -386,46 +394,47 @@
     });
 }
 
-void http_client::impl::act(curl_socket_t fd, int events)
+void http_client::impl::runTransfers(curl_socket_t fd, int events)
 {
     int running = 0;
     curl_multi_socket_action(multi, fd, events, &running);
-    collect();
+    collectDone();
     dispatch();
 }
 
-void http_client::impl::collect()
+void http_client::impl::collectDone()
 {
-    int left = 0;
-    while (const CURLMsg *message = curl_multi_info_read(multi, &left)) {
+    int messagesLeft = 0;
+    while (const CURLMsg *message = curl_multi_info_read(multi, &messagesLeft)) {
         if (message->msg != CURLMSG_DONE) {
             continue;
         }
         const CURLcode code = message->data.result;
         CURL *easy = message->easy_handle;
-        transfer *one = nullptr;
-        curl_easy_getinfo(easy, CURLINFO_PRIVATE, &one);
+        transfer_state *transfer = nullptr;
+        curl_easy_getinfo(easy, CURLINFO_PRIVATE, &transfer);
         curl_multi_remove_handle(multi, easy);
-        finish(*one, code);
+        finish(*transfer, code);
     }
 }
 
-void http_client::impl::finish(transfer &one, CURLcode code)
+void http_client::impl::finish(transfer_state &transfer, CURLcode code)
 {
-    one.result.complete = code == CURLE_OK;
-    one.result.why.kind = kindOf(code);
+    transfer.result.complete = code == CURLE_OK;
+    transfer.result.why.kind = kindOf(code);
     if (code != CURLE_OK) {
-        one.result.why.where = one.call.url;
-        one.result.why.detail = one.errorText[0] != '\0' ? one.errorText.data() : curl_easy_strerror(code);
+        transfer.result.why.where = transfer.call.url;
+        transfer.result.why.detail =
+            transfer.errorText[0] != '\0' ? transfer.errorText.data() : curl_easy_strerror(code);
     }
-    one.finished = true;
-    release(std::move(one.easy));
-    enqueue(one);
+    transfer.finished = true;
+    release(std::move(transfer.easy));
+    enqueue(transfer);
 }
 
 void http_client::impl::dispatch()
 {
-    // A callback may destroy the client; nothing of it is touched after that.
+    // A callback may destroy the client; after that, no member may be used.
     const auto stillAlive = alive;
     while (!ready.empty()) {
         const call_id id = ready.front();
@@ -434,21 +443,21 @@
         if (found == calls.end()) {
             continue;
         }
-        // Held here because cancel() from the call's own callback drops it from the table.
-        const transfer_ptr one = found->second;
-        one->queued = false;
-        if (!one->fresh.empty()) {
-            const std::string bytes = std::exchange(one->fresh, {});
-            one->onData(one->result, bytes);
+        // Keeps the transfer alive: its own callback may cancel the call, which erases it from `calls`.
+        const transfer_ptr transfer = found->second;
+        transfer->queued = false;
+        if (!transfer->undelivered.empty()) {
+            const std::string bytes = std::exchange(transfer->undelivered, {});
+            transfer->onData(transfer->result, bytes);
         }
         if (!*stillAlive) {
             return;
         }
-        if (!one->finished || one->cancelled) {
+        if (!transfer->finished || transfer->cancelled) {
             continue;
         }
         calls.erase(id);
-        one->onDone(one->result);
+        transfer->onDone(transfer->result);
         if (!*stillAlive) {
             return;
         }
@@ -472,29 +481,29 @@
 
 http_client::call_id http_client::start(const http_call &call, on_done onDone, on_data onData)
 {
-    auto one = std::make_shared<impl::transfer>();
-    one->owner = m_impl.get();
-    one->id = ++m_impl->lastId;
-    one->call = call;
-    one->onDone = std::move(onDone);
-    one->onData = std::move(onData);
-    m_impl->calls.emplace(one->id, one);
-    if (auto fault = faultOf(call)) {
-        m_impl->failLater(*one, std::move(*fault));
-        return one->id;
+    auto transfer = std::make_shared<impl::transfer_state>();
+    transfer->owner = m_impl.get();
+    transfer->id = ++m_impl->lastId;
+    transfer->call = call;
+    transfer->onDone = std::move(onDone);
+    transfer->onData = std::move(onData);
+    m_impl->calls.emplace(transfer->id, transfer);
+    if (auto fault = findFault(call)) {
+        m_impl->failLater(*transfer, std::move(*fault));
+        return transfer->id;
     }
     if (m_impl->idleHandles.empty()) {
-        one->easy.reset(curl_easy_init());
+        transfer->easy.reset(curl_easy_init());
     } else {
-        one->easy = std::move(m_impl->idleHandles.back());
+        transfer->easy = std::move(m_impl->idleHandles.back());
         m_impl->idleHandles.pop_back();
     }
-    m_impl->configure(*one);
-    // This only sets libcurl's timer to now; the transfer begins on the loop.
-    if (curl_multi_add_handle(m_impl->multi, one->easy.get()) != CURLM_OK) {
-        m_impl->failLater(*one, {error_kind::Internal, call.url, "libcurl did not take the call"});
+    m_impl->configure(*transfer);
+    // This only makes libcurl's timer due at once; the transfer starts in the event loop.
+    if (curl_multi_add_handle(m_impl->multi, transfer->easy.get()) != CURLM_OK) {
+        m_impl->failLater(*transfer, {error_kind::Internal, call.url, "libcurl refused to start the call"});
     }
-    return one->id;
+    return transfer->id;
 }
 
 void http_client::cancel(call_id id)
@@ -503,23 +512,23 @@
     if (found == m_impl->calls.end()) {
         return;
     }
-    const auto one = found->second;
+    const auto transfer = found->second;
     m_impl->calls.erase(found);
-    one->cancelled = true;
-    if (one->easy && !one->finished) {
-        curl_multi_remove_handle(m_impl->multi, one->easy.get());
-        m_impl->release(std::move(one->easy));
+    transfer->cancelled = true;
+    if (transfer->easy && !transfer->finished) {
+        curl_multi_remove_handle(m_impl->multi, transfer->easy.get());
+        m_impl->release(std::move(transfer->easy));
     }
 }
 
 void http_client::onSocket(std::function<void(int fd, bool open)> call)
 {
-    m_impl->socketCall = std::move(call);
+    m_impl->socketListener = std::move(call);
 }
 
 void http_client::keepAlive(bool keep)
 {
-    m_impl->keep = keep;
+    m_impl->keepConnections = keep;
 }
 
 }
--- a/packages/transport/http_client.h
+++ b/packages/transport/http_client.h
@@ -14,31 +14,32 @@
 
 namespace briarhead {
 
-/// One HTTP call to make.
+/// One HTTP request and how to make it.
 struct http_call
 {
     std::string method = "GET";
     std::string url;
-    std::vector<std::string> headers; ///< "Name: value" lines
+    std::vector<std::string> headers; ///< lines of the form "Name: value"
     std::string body;
-    millis timeout{10'000}; ///< whole call; 0 is no limit (a watch)
+    millis timeout{10'000}; ///< of the whole call; 0: no limit (for a watch)
     millis connectTimeout{1'000};
-    millis userTimeout; ///< TCP_USER_TIMEOUT of the connection; 0 leaves the system's default
-    bool freshConnection = false; ///< never sends on a kept connection (so that no silent resend can happen)
+    millis userTimeout; ///< TCP_USER_TIMEOUT of the connection; 0: the system's default
+    bool freshConnection =
+        false; ///< uses a new connection, so that libcurl cannot resend the request silently
 };
 
-/// How a call ended. `sent` is false only when it is certain that no byte of the request left.
+/// The result of a call. `sent` is false only if it is certain that no byte of the request was sent.
 struct http_result
 {
-    int status = 0; ///< 0 when no status line arrived
+    int status = 0; ///< 0: no status line arrived
     std::map<std::string, std::string> headers; ///< names in lower case
-    std::string body; ///< empty when onData took the bytes
-    bool complete = false; ///< the whole answer arrived
+    std::string body; ///< empty if the call has an onData
+    bool complete = false; ///< the complete response arrived
     bool sent = false;
-    error why;
+    error why; ///< set if not `complete`
 };
 
-/// HTTP towards engines, services and the platform, by libcurl multi on the loop.
+/// HTTP client for engines, services and the platform: libcurl's multi interface on the event loop.
 class http_client
 {
 public:
@@ -49,21 +50,21 @@
 
     using call_id = std::uint64_t;
     using on_done = std::function<void(const http_result &)>;
-    /// Body bytes as they arrive; status and headers in the result are already set.
+    /// Receives body bytes as they arrive; status and headers of the result are set by then.
     using on_data = std::function<void(const http_result &sofar, std::string_view bytes)>;
 
-    /// Starts a call. Exactly one onDone follows, never from inside start().
+    /// Starts a call. Unless it is cancelled, onDone is called exactly once, never from inside start().
     call_id start(const http_call &call, on_done onDone, on_data onData = {});
 
-    /// Ends a call; its callbacks are not called any more.
+    /// Cancels a call; its callbacks are not called any more.
     void cancel(call_id id);
 
-    /// Calls a function with each connected socket as it opens, and again (open = false) as it closes.
-    /// The order path registers its sockets here for the fence (see transport/fence.h). It is called from
-    /// within libcurl, before connecting and before closing, and must not start or cancel calls.
+    /// Sets a function that is called with each socket when it is created (open = true) and again before it
+    /// is closed (open = false). The order path registers its sockets with the fence this way (see
+    /// transport/fence.h). It is called from within libcurl and must not start or cancel calls.
     void onSocket(std::function<void(int fd, bool open)> call);
 
-    /// A share of connections kept per host (0 closes each after use).
+    /// Whether connections are kept for reuse (the default) or closed after each call.
     void keepAlive(bool keep);
 
 private:
--- a/packages/transport/http_exchange.cpp
+++ b/packages/transport/http_exchange.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Bytes already taken from the front of a stream's buffer are cut off once they are this many.
+/// Consumed bytes at the front of a stream's buffer are erased once there are this many: erasing them after
+/// each read would copy the rest of the buffer each time.
 constexpr std::size_t compactAfterBytes = 65536;
 
 }
@@ -37,13 +38,13 @@
     phase = reply_phase::Aborted;
     onClosed = nullptr;
     out.clear();
-    taken = 0;
+    consumed = 0;
     if (suspended) {
         wake();
         return;
     }
-    // libmicrohttpd may be waiting for a caller that does not read, and would ask for no more bytes;
-    // shutting the socket down makes it notice at once.
+    // libmicrohttpd may be waiting for a caller that does not read, and would then not call the content
+    // reader again. Shutting the socket down makes it notice at once.
     ::shutdown(peer->fd, SHUT_RDWR);
     host->scheduleRun();
 }
@@ -53,7 +54,7 @@
     if (phase == reply_phase::Aborted) {
         return MHD_CONTENT_READER_END_WITH_ERROR;
     }
-    const std::size_t count = std::min(size, out.size() - taken);
+    const std::size_t count = std::min(size, out.size() - consumed);
     if (count == 0) {
         if (phase == reply_phase::Finished) {
             return MHD_CONTENT_READER_END_OF_STREAM;
@@ -61,14 +62,14 @@
         suspend();
         return 0;
     }
-    std::memcpy(buffer, out.data() + taken, count);
-    taken += count;
-    if (taken == out.size()) {
+    std::memcpy(buffer, out.data() + consumed, count);
+    consumed += count;
+    if (consumed == out.size()) {
         out.clear();
-        taken = 0;
-    } else if (taken >= compactAfterBytes) {
-        out.erase(0, taken);
-        taken = 0;
+        consumed = 0;
+    } else if (consumed >= compactAfterBytes) {
+        out.erase(0, consumed);
+        consumed = 0;
     }
     return static_cast<ssize_t>(count);
 }
@@ -142,7 +143,7 @@
 
 std::size_t reply_handle::pending() const
 {
-    return m_target->out.size() - m_target->taken;
+    return m_target->out.size() - m_target->consumed;
 }
 
 }
--- a/packages/transport/http_exchange.h
+++ b/packages/transport/http_exchange.h
@@ -12,72 +12,71 @@
 
 namespace briarhead::detail {
 
-/// How far the answer to one request has come.
+/// The state of one request's response.
 enum class reply_phase : std::uint8_t
 {
-    Reading, ///< the request is still coming in
-    Waiting, ///< with the handler, nothing answered yet
-    Streaming, ///< begin() was called
-    Finished, ///< respond() or end() was called; bytes may still be on their way
+    Reading, ///< the request is still arriving
+    Waiting, ///< the handler has the request and has not responded yet
+    Streaming, ///< begin() was called, end() was not
+    Finished, ///< respond() or end() was called; bytes may still wait to be sent
     Aborted,
 };
 
-/// What an exchange asks of the daemon it belongs to.
+/// The server that an exchange belongs to.
 class exchange_host
 {
 public:
     virtual ~exchange_host() = default;
-    /// Has libmicrohttpd look at its connections soon.
+    /// Makes libmicrohttpd process its connections in the next round of the loop.
     virtual void scheduleRun() = 0;
-    /// Has the exchange's onClosed called soon.
+    /// Makes the server call onClosed of an exchange whose peer has closed the connection.
     virtual void scheduleClosed(std::shared_ptr<struct exchange> lost) = 0;
 };
 
 struct connection_state;
 
-/// One request and its answer, from the first header byte until libmicrohttpd is done with it.
-/// `connection` is null after that.
+/// One request and its response, from the first header byte until libmicrohttpd is done with it.
 struct exchange : public std::enable_shared_from_this<exchange>
 {
     exchange_host *host = nullptr;
-    MHD_Connection *connection = nullptr;
+    MHD_Connection *connection = nullptr; ///< null once libmicrohttpd is done with the exchange
     connection_state *peer = nullptr;
     http_request request;
     reply_phase phase = reply_phase::Reading;
-    bool streamed = false;
-    bool queued = false; ///< the response is with libmicrohttpd
-    bool suspended = false;
+    bool streamed = false; ///< the response was started with begin()
+    bool queued = false; ///< the response was passed to libmicrohttpd
+    bool suspended = false; ///< libmicrohttpd does not process the connection until wake()
     int status = 0;
     header_list headers;
-    std::string out; ///< the whole body, or what of a stream was not taken yet
-    std::size_t taken = 0; ///< bytes at the front of `out` that were taken
+    std::string out; ///< the complete body, or a stream's bytes that are still buffered
+    std::size_t consumed = 0; ///< bytes at the front of `out` already passed to libmicrohttpd
     std::function<void()> onClosed;
 
     bool isOpen() const
     {
         return connection != nullptr && phase != reply_phase::Aborted;
     }
-    /// Has libmicrohttpd go on with a suspended connection.
+    /// Resumes the connection if it is suspended.
     void wake();
     void suspend();
-    /// Breaks the connection off; onClosed is not called.
+    /// Closes the connection in the middle of the response; onClosed is not called.
     void abort();
-    /// The content reader of a streamed answer.
+    /// libmicrohttpd's content reader for a streamed response.
     ssize_t read(char *buffer, std::size_t size);
 };
 using exchange_ptr = std::shared_ptr<exchange>;
 
-/// One TCP connection; requests follow each other on it.
+/// One TCP connection, which carries its requests one after another.
 struct connection_state
 {
     std::uint64_t id = 0;
     int fd = -1;
-    bool hungUp = false; ///< the peer closed its side
+    bool hungUp = false; ///< the peer has closed its side
     exchange *current = nullptr;
 };
 
-/// What the handler holds. When the last holder drops it without a whole answer, the connection is
-/// broken off: the caller would otherwise wait for ever on an answer that nobody can give any more.
+/// The handler's reference to an exchange. If the handle is destroyed before the response is finished, the
+/// connection is aborted: the caller would otherwise wait forever for a response that nobody can send.
 class reply_handle final : public http_reply
 {
 public:
--- a/packages/transport/kv_client.cpp
+++ b/packages/transport/kv_client.cpp
@@ -14,22 +14,23 @@
 
 using nlohmann::json;
 
-constexpr millis connectTimeoutMs{1'000};
+constexpr millis maxConnectTimeout{1'000};
 constexpr int httpOk = 200;
 constexpr int httpServerError = 500;
-/// gRPC's NOT_FOUND, which the gateway puts into the body of an error.
+/// gRPC's status code NOT_FOUND, which the gateway puts into an error's body.
 constexpr std::int64_t grpcNotFound = 5;
 
-/// Client errors that a gateway or a proxy only answers when it didn't pass the request on or the service
-/// turned it down whole. 408 and all server errors are left out: etcd also answers 503 and 504 when a
-/// write was proposed and its fate is open ("request timed out", "leader changed").
-constexpr std::array refusals{400, 401, 403, 404, 405, 413, 429};
+/// Status codes which prove that nothing was written: a gateway or proxy sends them only if it did not
+/// forward the request or the service rejected it as a whole. 408 and all server errors are excluded, since
+/// etcd also responds 503 and 504 when a write was proposed and may still be committed ("request timed out",
+/// "leader changed").
+constexpr std::array rejectedStatuses{400, 401, 403, 404, 405, 413, 429};
 
-/// Reads fields in the gateway's spelling: absent means zero, int64 come as strings, bytes as base64.
-/// `good` turns false at the first field that can't be read.
+/// Reads fields as the gateway encodes them: an absent field means zero, an int64 is a string, and bytes are
+/// base64. `valid` becomes false at the first field that cannot be read.
 struct field_reader
 {
-    bool good = true;
+    bool valid = true;
 
     std::int64_t number(const json &object, const char *name)
     {
@@ -49,7 +50,7 @@
                 return value;
             }
         }
-        good = false;
+        valid = false;
         return 0;
     }
 
@@ -61,7 +62,7 @@
         }
         const auto decoded = found->is_string() ? detail::fromBase64(found->get_ref<const std::string &>())
                                                 : std::optional<std::string>();
-        good = good && decoded.has_value();
+        valid = valid && decoded.has_value();
         return decoded.value_or(std::string());
     }
 
@@ -72,39 +73,39 @@
 
     std::vector<kv_entry> entries(const json &range)
     {
-        std::vector<kv_entry> all;
+        std::vector<kv_entry> entries;
         for (const auto &item : range.value("kvs", json::array())) {
-            all.push_back(entry(item));
+            entries.push_back(entry(item));
         }
-        return all;
+        return entries;
     }
 
-    /// Every answer carries the store's revision, which is never 0.
-    std::int64_t revision(const json &answer)
+    /// Every response carries the store's revision, which is never 0.
+    std::int64_t revision(const json &response)
     {
-        const auto value = number(answer.value("header", json::object()), "revision");
-        good = good && value > 0;
+        const auto value = number(response.value("header", json::object()), "revision");
+        valid = valid && value > 0;
         return value;
     }
 };
 
-/// A child object, or an empty one where the field is missing or of another type.
+/// Returns a child object, or an empty one if the field is missing or of another type.
 json childOf(const json &parent, const char *name)
 {
     const auto found = parent.is_object() ? parent.find(name) : parent.end();
     return found != parent.end() && found->is_object() ? *found : json::object();
 }
 
-/// The object a body holds; an empty one where it holds none.
+/// Parses a body as a JSON object; returns an empty one if it is not an object.
 json parseObject(std::string_view text)
 {
     auto parsed = json::parse(text, nullptr, false);
     return parsed.is_object() ? std::move(parsed) : json::object();
 }
 
-/// Runs a reader over an answer; false where the answer has another shape than the gateway's.
+/// Runs a function that reads a response's fields; returns false if a field is missing or malformed.
 template <class reader>
-bool readAnswer(reader &&read)
+bool readFields(reader &&read)
 {
     field_reader fields;
     try {
@@ -112,33 +113,35 @@
     } catch (const json::exception &) {
         return false;
     }
-    return fields.good;
+    return fields.valid;
 }
 
-/// What an HTTP result proves about a write. Only a request that never left, or an answer that says it
-/// was turned down, proves that nothing was written; a lost answer proves nothing.
+/// Returns what an HTTP result proves about a write. Only a request that was never sent, or a response which
+/// says that it was rejected, proves that nothing was written; a lost response proves nothing.
 kv_status writeStatus(const http_result &result)
 {
     if (result.complete && result.status == httpOk) {
         return kv_status::Ok;
     }
-    const bool refused = result.complete && std::ranges::find(refusals, result.status) != refusals.end();
-    return !result.sent || refused ? kv_status::Unavailable : kv_status::Ambiguous;
+    const bool rejected =
+        result.complete && std::ranges::find(rejectedStatuses, result.status) != rejectedStatuses.end();
+    return !result.sent || rejected ? kv_status::Unavailable : kv_status::Ambiguous;
 }
 
-/// The gateway's error body: code at the top, or inside "error" on a streaming call.
-bool saysNotFound(const json &body)
+/// Whether a body is the gateway's error NOT_FOUND. The code is at the top level, or inside "error" for a
+/// streaming call.
+bool isNotFound(const json &body)
 {
     const auto streamed = childOf(body, "error");
     std::int64_t code = 0;
-    const bool readable = readAnswer([&](field_reader &fields) {
+    const bool readable = readFields([&](field_reader &fields) {
         code = std::max({fields.number(body, "code"), fields.number(streamed, "code"),
             fields.number(streamed, "grpc_code")});
     });
     return readable && code == grpcNotFound;
 }
 
-/// Cuts a stream into lines, one JSON object each.
+/// Splits a stream into lines; each holds one JSON object.
 class line_buffer
 {
 public:
@@ -156,7 +159,7 @@
         m_searched = m_text.size();
     }
 
-    /// What came after the last line end.
+    /// The bytes after the last line end.
     const std::string &rest() const
     {
         return m_text;
@@ -167,8 +170,9 @@
     std::size_t m_searched = 0;
 };
 
-/// A txn that does `success` if the key's modRevision is `expected`, and else reads what stands there.
-json guardedTxn(const std::string &key, std::int64_t expected, json success)
+/// Returns a txn that executes `success` if the key's modRevision is `expected`, and otherwise reads the
+/// stored entry.
+json compareTxn(const std::string &key, std::int64_t expected, json success)
 {
     const auto wireKey = detail::toBase64(key);
     const json compare{
@@ -185,15 +189,15 @@
         return write;
     }
     const auto body = parseObject(result.body);
-    const bool readable = readAnswer([&](field_reader &fields) {
+    const bool readable = readFields([&](field_reader &fields) {
         write.revision = fields.revision(body);
         if (body.value("succeeded", false)) {
             return;
         }
         write.status = kv_status::Conflict;
-        const auto standing = fields.entries(body.at("responses").at(0).at("response_range"));
-        if (!standing.empty()) {
-            write.current = standing.front();
+        const auto stored = fields.entries(body.at("responses").at(0).at("response_range"));
+        if (!stored.empty()) {
+            write.current = stored.front();
         }
     });
     if (!readable) {
@@ -209,7 +213,7 @@
         return read;
     }
     const auto body = parseObject(result.body);
-    const bool readable = readAnswer([&](field_reader &fields) {
+    const bool readable = readFields([&](field_reader &fields) {
         read.entries = fields.entries(body);
         read.revision = fields.revision(body);
     });
@@ -220,19 +224,19 @@
     return read;
 }
 
-/// The fate of a lease by the first object of the keep-alive stream.
-kv_status readKeepAlive(std::int64_t lease, kv_status httpStatus, const json &answer)
+/// Returns the state of a lease according to the first object of the keep-alive stream.
+kv_status readKeepAlive(std::int64_t lease, kv_status httpStatus, const json &response)
 {
-    if (saysNotFound(answer)) {
+    if (isNotFound(response)) {
         return kv_status::Conflict;
     }
     if (httpStatus != kv_status::Ok) {
         return httpStatus;
     }
-    const auto result = childOf(answer, "result");
+    const auto result = childOf(response, "result");
     std::int64_t id = 0;
     std::int64_t ttl = 0;
-    const bool readable = readAnswer([&](field_reader &fields) {
+    const bool readable = readFields([&](field_reader &fields) {
         id = fields.number(result, "ID");
         ttl = fields.number(result, "TTL");
     });
@@ -242,7 +246,7 @@
     return ttl > 0 ? kv_status::Ok : kv_status::Conflict;
 }
 
-/// A keep-alive on its way: the call ends at the first object, whether the stream ends then or not.
+/// A keep-alive in progress. It ends at the first object, whether or not the stream ends there too.
 struct keep_alive_call
 {
     line_buffer lines;
@@ -250,7 +254,7 @@
     bool answered = false;
 };
 
-/// A watch that is open. `finished` is set when it broke or when its handle is gone.
+/// An open watch. `finished` is set when it broke or its handle was dropped.
 struct watch_call
 {
     line_buffer lines;
@@ -263,7 +267,7 @@
     bool finished = false;
 };
 
-/// One message of a watch.
+/// One message of a watch's stream.
 struct watch_message
 {
     std::vector<kv_entry> changes;
@@ -273,10 +277,10 @@
 
 watch_message readWatch(std::string_view line)
 {
-    const auto answer = parseObject(line);
-    const auto result = childOf(answer, "result");
+    const auto response = parseObject(line);
+    const auto result = childOf(response, "result");
     watch_message message;
-    const bool readable = readAnswer([&](field_reader &fields) {
+    const bool readable = readFields([&](field_reader &fields) {
         message.confirmed = result.value("created", false);
         message.broken = result.empty() || result.value("canceled", false);
         for (const auto &event : result.value("events", json::array())) {
@@ -345,8 +349,8 @@
     millis timeout;
     http_client http;
     kv_counters counters;
-    std::size_t current = 0;
-    /// Expires with the client, so that calls queued on the loop and watch handles notice.
+    std::size_t currentUrl = 0; ///< index into `urls`, modulo their number
+    /// Expires with the client, so that calls queued on the loop and watch handles can tell.
     std::shared_ptr<int> alive = std::make_shared<int>(0);
 
     impl(loop &theLoop, std::vector<std::string> theUrls, millis theTimeout)
@@ -361,31 +365,33 @@
     {
         http_call call;
         call.method = "POST";
-        call.url = urls.empty() ? std::string() : urls[current % urls.size()] + std::string(path);
-        // Without "Expect:" libcurl holds a large value back for a second to await "100 Continue".
+        call.url = urls.empty() ? std::string() : urls[currentUrl % urls.size()] + std::string(path);
+        // Without an empty "Expect:" libcurl waits up to 1 s for "100 Continue" before it sends a large
+        // value.
         call.headers = {"Content-Type: application/json", "Expect:"};
         call.body = body.dump();
         call.timeout = timeout;
-        call.connectTimeout = std::min(timeout, connectTimeoutMs);
+        call.connectTimeout = std::min(timeout, maxConnectTimeout);
         return call;
     }
 
-    /// Moves on from a URL that failed, once for all calls that were under way on it.
-    void leaveUrl(std::size_t index)
+    /// Switches to the next URL after a failure. When several calls on one URL fail, only the first one
+    /// switches.
+    void switchUrl(std::size_t index)
     {
-        if (index == current) {
-            ++current;
+        if (index == currentUrl) {
+            ++currentUrl;
         }
     }
 
-    void noteResult(std::size_t index, const http_result &result)
+    void recordResult(std::size_t index, const http_result &result)
     {
         if (!result.complete || result.status >= httpServerError) {
-            leaveUrl(index);
+            switchUrl(index);
         }
     }
 
-    void noteStatus(kv_status status)
+    void recordStatus(kv_status status)
     {
         if (status != kv_status::Ok && status != kv_status::Conflict) {
             ++counters.failed;
@@ -394,8 +400,8 @@
 
     void start(const http_call &call, std::function<void(const http_result &)> done)
     {
-        http.start(call, [this, index = current, done = std::move(done)](const http_result &result) {
-            noteResult(index, result);
+        http.start(call, [this, index = currentUrl, done = std::move(done)](const http_result &result) {
+            recordResult(index, result);
             done(result);
         });
     }
@@ -405,7 +411,7 @@
         ++counters.reads;
         start(request("/v3/kv/range", body), [this, done = std::move(done)](const http_result &result) {
             const auto read = readRange(result);
-            noteStatus(read.status);
+            recordStatus(read.status);
             done(read);
         });
     }
@@ -414,13 +420,13 @@
     {
         ++counters.writes;
         auto call = request("/v3/kv/txn", body);
-        // libcurl silently sends a request again when a kept connection turns out to be closed. If the
-        // first one did take effect, the second would meet its own write and report a conflict, which
-        // promises that nothing was written. A fresh connection is never sent on twice.
+        // libcurl silently resends a request when a kept connection turns out to be closed. If the first
+        // request did take effect, the second one would find that write and report a conflict, which promises
+        // that nothing was written. On a new connection libcurl never resends.
         call.freshConnection = true;
         start(call, [this, key, done = std::move(done)](const http_result &result) {
             const auto write = readTxn(key, result);
-            noteStatus(write.status);
+            recordStatus(write.status);
             done(write);
         });
     }
@@ -431,8 +437,8 @@
     void onWatchLine(const std::shared_ptr<watch_call> &call, std::string_view line);
     void endWatch(const std::shared_ptr<watch_call> &call);
 
-    /// Queues a call on the loop that is dropped if the client is gone by then. A caller's function may
-    /// destroy the client, so it doesn't run while a line of a stream is being taken apart.
+    /// Queues a function on the loop, which is dropped if the client has been destroyed by then. Callbacks
+    /// are queued because they may destroy the client, which must not happen while a stream is being parsed.
     void postGuarded(std::function<void()> call)
     {
         eventLoop.post([guard = std::weak_ptr<int>(alive), call = std::move(call)] {
@@ -448,15 +454,15 @@
     ++counters.leaseCalls;
     const auto call = std::make_shared<keep_alive_call>();
     const auto finish = [this, done = std::move(done)](kv_status status) {
-        noteStatus(status);
+        recordStatus(status);
         done(status);
     };
-    const auto onDone = [this, call, lease, finish, index = current](const http_result &result) {
+    const auto onDone = [this, call, lease, finish, index = currentUrl](const http_result &result) {
         if (call->answered) {
             return;
         }
         call->answered = true;
-        noteResult(index, result);
+        recordResult(index, result);
         finish(readKeepAlive(lease, writeStatus(result), parseObject(call->lines.rest())));
     };
     const auto onData = [this, call, lease, finish](const http_result &sofar, std::string_view bytes) {
@@ -483,11 +489,11 @@
     const auto call = std::make_shared<watch_call>();
     call->changed = std::move(changed);
     call->ended = std::move(ended);
-    call->urlIndex = current;
-    auto open = request("/v3/watch", {{"create_request", create}});
-    open.timeout = millis{0};
+    call->urlIndex = currentUrl;
+    auto openCall = request("/v3/watch", {{"create_request", create}});
+    openCall.timeout = millis{0};
     call->id = http.start(
-        open,
+        openCall,
         [this, call](const http_result &) {
             endWatch(call);
         },
@@ -496,10 +502,11 @@
                 onWatchLine(call, line);
             });
         });
-    // A service that accepts connections and never answers would otherwise look like a quiet watch.
+    // Without this timer, a service that accepts connections but never responds would look like an idle
+    // watch.
     call->confirmTimer = eventLoop.timer(timeout, millis{0}, [this, weak = std::weak_ptr(call)] {
-        if (const auto late = weak.lock(); late && !late->confirmed) {
-            endWatch(late);
+        if (const auto watched = weak.lock(); watched && !watched->confirmed) {
+            endWatch(watched);
         }
     });
     const auto close = [this, guard = std::weak_ptr<int>(alive), call](void *) {
@@ -535,7 +542,7 @@
 
 void kv_client::impl::endWatch(const std::shared_ptr<watch_call> &call)
 {
-    // Queued behind the changes that came before the end.
+    // Queued after the changes that were received before the end.
     postGuarded([this, call] {
         if (call->finished) {
             return;
@@ -544,7 +551,7 @@
         call->confirmTimer.reset();
         http.cancel(call->id);
         ++counters.failed;
-        leaveUrl(call->urlIndex);
+        switchUrl(call->urlIndex);
         call->ended();
     });
 }
@@ -583,33 +590,34 @@
     const json put{{"request_put",
         {{"key", detail::toBase64(key)}, {"value", detail::toBase64(value)},
             {"lease", std::to_string(lease)}}}};
-    m_impl->txn(key, guardedTxn(key, expected, put), std::move(done));
+    m_impl->txn(key, compareTxn(key, expected, put), std::move(done));
 }
 
 void kv_client::compareAndRemove(
     const std::string &key, std::int64_t expected, std::function<void(const kv_write &)> done)
 {
     const json remove{{"request_delete_range", {{"key", detail::toBase64(key)}}}};
-    m_impl->txn(key, guardedTxn(key, expected, remove), std::move(done));
+    m_impl->txn(key, compareTxn(key, expected, remove), std::move(done));
 }
 
 void kv_client::grantLease(millis ttl, std::function<void(kv_status, std::int64_t id)> done)
 {
     constexpr std::int64_t msPerSecond = 1'000;
     ++m_impl->counters.leaseCalls;
-    // The service counts whole seconds; rounding up never ends a lease before its holder expects it.
+    // The service's TTL is in whole seconds. Rounding up makes sure that a lease never expires before its
+    // holder expects it to.
     const auto seconds = (ttl.count + msPerSecond - 1) / msPerSecond;
     const auto finish = [this, done = std::move(done)](const http_result &result) {
         auto status = writeStatus(result);
         std::int64_t id = 0;
         if (status == kv_status::Ok) {
             const auto body = parseObject(result.body);
-            const bool readable = readAnswer([&](field_reader &fields) {
+            const bool readable = readFields([&](field_reader &fields) {
                 id = fields.number(body, "ID");
             });
             status = readable && id != 0 ? kv_status::Ok : kv_status::Ambiguous;
         }
-        m_impl->noteStatus(status);
+        m_impl->recordStatus(status);
         done(status, status == kv_status::Ok ? id : 0);
     };
     m_impl->start(m_impl->request("/v3/lease/grant", {{"TTL", std::to_string(seconds)}}), finish);
@@ -624,10 +632,10 @@
 {
     ++m_impl->counters.leaseCalls;
     const auto finish = [this, done = std::move(done)](const http_result &result) {
-        // A lease that is already gone is what was asked for.
-        const bool gone = result.complete && saysNotFound(parseObject(result.body));
-        const auto status = gone ? kv_status::Ok : writeStatus(result);
-        m_impl->noteStatus(status);
+        // A lease that no longer exists counts as revoked.
+        const bool notFound = result.complete && isNotFound(parseObject(result.body));
+        const auto status = notFound ? kv_status::Ok : writeStatus(result);
+        m_impl->recordStatus(status);
         done(status);
     };
     m_impl->start(m_impl->request("/v3/lease/revoke", {{"ID", std::to_string(lease)}}), finish);
--- a/packages/transport/response_notice.h
+++ b/packages/transport/response_notice.h
@@ -8,20 +8,21 @@
 
 namespace briarhead {
 
-/// What an answer says of the server that gave it, besides what it answers.
+/// What a response announces about the server that sent it, apart from the request's own result.
 struct response_notice
 {
-    bool leaving = false;
-    millis pause; ///< for which the server wants nothing more from here; 0: not said
+    bool leaving = false; ///< the server is about to leave and takes no new requests
+    millis pause; ///< for which the server wants no more requests from this process; 0: none announced
 };
 
-/// A decimal number that isn't negative, and nothing behind it; else nothing.
+/// Parses a non-negative decimal number, with blanks around it allowed; nothing if `text` has any other form.
 std::optional<double> parseDecimal(std::string_view text);
-/// Seconds as header fields give them, fractions too, rounded up to whole milliseconds; at most `most`.
-std::optional<millis> parseSeconds(std::string_view text, millis most);
+/// Parses a header's number of seconds, which may have a fraction. Rounded up to whole milliseconds, and at
+/// most `maxValue`; nothing if `text` is not a non-negative decimal number.
+std::optional<millis> parseSeconds(std::string_view text, millis maxValue);
 
-/// Of an answer of an engine or a plain server of briarheadd: X-Leaving is 1 where it leaves, and Retry-After
-/// with 503 the pause that it asks for.
-response_notice readResponseNotice(const http_result &answer);
+/// Reads the notice in the response of an engine or a plain service: `leaving` from "X-Leaving: 1", and
+/// `pause` from Retry-After with status 503.
+response_notice readResponseNotice(const http_result &response);
 
 }
--- a/tests/unit/connect_probe_test.cpp
+++ b/tests/unit/connect_probe_test.cpp
@@ -14,21 +14,21 @@
 protected:
     std::optional<connect_result> probe(const peer_address &to)
     {
-        std::optional<connect_result> told;
-        const auto handle = probeConnect(m_loop, to, {200}, [&told](connect_result result) {
-            told = result;
+        std::optional<connect_result> result;
+        const auto handle = probeConnect(m_loop, to, {200}, [&result](connect_result received) {
+            result = received;
         });
-        EXPECT_FALSE(told) << "told inside the call";
-        EXPECT_TRUE(runUntil([&told] {
-            return told.has_value();
+        EXPECT_FALSE(result) << "done was called from inside probeConnect()";
+        EXPECT_TRUE(runUntil([&result] {
+            return result.has_value();
         }));
-        return told;
+        return result;
     }
 };
 
 }
 
-TEST_F(connect_probe_test, TellsAProcessThatListensFromOneThatHasEnded)
+TEST_F(connect_probe_test, ReportsAcceptedForAListenerAndRefusedAfterItClosed)
 {
     std::uint16_t port = 0;
     auto server = raw_socket::listening(port);
@@ -37,21 +37,21 @@
     EXPECT_EQ(probe({http_testing::loopback, port}), connect_result::Refused);
 }
 
-TEST_F(connect_probe_test, SaysNothingOfWhatIsNoAddress)
+TEST_F(connect_probe_test, ReportsUnknownForAnInvalidAddress)
 {
     EXPECT_EQ(probe({"no address", 1}), connect_result::Unknown);
 }
 
-TEST_F(connect_probe_test, IsNotToldOnceItsHandleIsGone)
+TEST_F(connect_probe_test, DoesNotCallDoneAfterItsHandleWasDropped)
 {
-    bool told = false;
-    auto handle =
-        probeConnect(m_loop, {http_testing::loopback, http_testing::freePort()}, {200}, [&told](connect_result) {
-            told = true;
+    bool called = false;
+    auto handle = probeConnect(
+        m_loop, {http_testing::loopback, http_testing::freePort()}, {200}, [&called](connect_result) {
+            called = true;
         });
     handle.reset();
     runRounds(20);
-    EXPECT_FALSE(told);
+    EXPECT_FALSE(called);
 }
 
 }
--- a/tests/unit/engine_test.cpp
+++ b/tests/unit/engine_test.cpp
@@ -22,7 +22,7 @@
 const adapter_ref syllabus{"syllabus", 3};
 const adapter_ref galley{"galley", 1};
 
-/// What a run brought, as its caller saw it.
+/// What the callbacks of one run received.
 struct run_view
 {
     std::vector<std::string> started;
@@ -55,16 +55,16 @@
         m_client = std::make_unique<engine_client>(m_http, m_engine->url());
     }
 
-    engine_order_end wait(const std::function<void(engine_client::on_order)> &give)
+    engine_order_end wait(const std::function<void(engine_client::on_order)> &send)
     {
-        std::optional<engine_order_end> got;
-        give([&](const engine_order_end &end) {
-            got = end;
+        std::optional<engine_order_end> result;
+        send([&](const engine_order_end &end) {
+            result = end;
         });
         EXPECT_TRUE(runUntil(m_loop, [&] {
-            return got.has_value();
+            return result.has_value();
         }));
-        return got.value_or(engine_order_end{});
+        return result.value_or(engine_order_end{});
     }
     engine_order_end claim(std::uint64_t fencingToken)
     {
@@ -127,7 +127,7 @@
         return view->ends.empty() ? engine_run_end{} : view->ends.front();
     }
 
-    /// A connection that the client keeps, ready to be used again.
+    /// Makes a call, after which the client keeps an idle connection to the engine.
     void leaveKeptConnection()
     {
         bool answered = false;
@@ -138,14 +138,14 @@
             return answered;
         }));
     }
-    /// Points the client at a server that gives one fixed answer to everything.
-    std::unique_ptr<http_server> answerAll(const std::function<void(http_reply &)> &answer)
+    /// Connects the client to a server that responds to every request in the given way.
+    std::unique_ptr<http_server> serveAll(const std::function<void(http_reply &)> &respond)
     {
         error why;
         auto server = http_server::listen(
             m_loop, "127.0.0.1", 0, bodyLimitBytes,
-            [answer](const http_request &, const std::shared_ptr<http_reply> &reply) {
-                answer(*reply);
+            [respond](const http_request &, const std::shared_ptr<http_reply> &reply) {
+                respond(*reply);
             },
             why);
         EXPECT_NE(server, nullptr) << message(why);
@@ -155,7 +155,7 @@
     }
 };
 
-TEST_F(engine_test, StreamsBothKindsOfCompletionWhole)
+TEST_F(engine_test, StreamsCompletionsAndChatCompletionsToTheEnd)
 {
     ASSERT_TRUE(load(syllabus, 1).ok);
     for (const bool chat : {false, true}) {
@@ -177,7 +177,7 @@
     EXPECT_EQ(m_engine->recorded("run").size(), 2U);
 }
 
-TEST_F(engine_test, TellsTheEngineWhatMayNotRepeat)
+TEST_F(engine_test, SendsNonIdempotencyPriorityAndFencingToken)
 {
     ASSERT_TRUE(load(syllabus, 1).ok);
     engine_run run = request(syllabus, 1);
@@ -190,10 +190,10 @@
     EXPECT_EQ(ran["fencing"], 1);
 }
 
-TEST_F(engine_test, RefusalsProveThatNothingRan)
+TEST_F(engine_test, RefusedRunsAreNotRun)
 {
-    // A caller is told "not run" and sends the order again elsewhere. That is only right if the engine
-    // refused before it began, so each refusal the engine knows ends as NotRun and leaves no run behind.
+    // A caller may send a request that was not run again. So each of the engine's refusals must end as
+    // NotRun, and the engine must not have begun a run.
     ASSERT_TRUE(load(syllabus, 5).ok);
     EXPECT_EQ(endOf(request(galley, 5)).why.kind, error_kind::NoServer);
     EXPECT_EQ(endOf(request(syllabus, 4)).why.kind, error_kind::StaleFencing);
@@ -214,7 +214,7 @@
     }
 }
 
-TEST_F(engine_test, AnUnreachableEngineRanNothing)
+TEST_F(engine_test, RunsAndOrdersToAnUnreachableEngineAreCertainlyNotExecuted)
 {
     m_engine.reset();
     const engine_run_end end = endOf(request(syllabus, 1));
@@ -225,10 +225,10 @@
     EXPECT_TRUE(order.certain);
 }
 
-TEST_F(engine_test, ABrokenStreamIsUnknown)
+TEST_F(engine_test, ABrokenStreamEndsAsUnknown)
 {
-    // A load plan breaks off in the middle, or before its first byte. The engine did run it, so telling the
-    // dispatch desk "not run" would have the order cooked twice once the desk sends it again.
+    // The stream breaks off in the middle or before its first byte. The engine did run the request, so if it
+    // were reported as not run, the caller would send it again and it would run twice.
     ASSERT_TRUE(load(syllabus, 1).ok);
     for (const int tokens : {0, 3}) {
         m_engine->setFaults({{"drop_after_tokens", tokens}});
@@ -240,35 +240,37 @@
     EXPECT_EQ(m_engine->recorded("run").size(), 2U);
 }
 
-TEST_F(engine_test, AnOrderlyEndWithoutTheEndMarkIsUnknown)
+TEST_F(engine_test, AStreamWithoutEndMarkOrWithAnErrorEndsAsUnknown)
 {
-    // The engine fails in the middle of an answer and closes the stream in order, or sends its error as one
-    // more event. To the transport both look whole; the caller would get a plan that lacks its last meals.
+    // The engine fails in the middle of a response and closes the stream normally, or sends its error as
+    // another event. To the transport both look complete, and the caller would get a truncated text as a
+    // success.
     const std::vector<std::string> streams{"", "data: {\"id\":1}\n\n", "data: [DONE]", "data: [DONE]x\n\n",
         "data: {\"id\":1,\"text\":\"data: [DONE]\"}\n\n",
         "data: {\"error\":{\"code\":500}}\n\ndata: [DONE]\n\n"};
     for (const std::string &stream : streams) {
-        const auto server = answerAll([&](http_reply &reply) {
+        const auto server = serveAll([&](http_reply &reply) {
             reply.begin(200, {{"X-Adapter", "syllabus:3"}});
             reply.write(stream);
             reply.end();
         });
         EXPECT_EQ(endOf(request(syllabus, 1)).result, outcome::Unknown) << stream;
     }
-    const auto server = answerAll([&](http_reply &reply) {
+    const auto server = serveAll([&](http_reply &reply) {
         reply.respond(200, {}, "data: {\"id\":1}\r\n\r\ndata: [DONE]\r\n\r\n");
     });
     EXPECT_EQ(endOf(request(syllabus, 1)).result, outcome::Done);
 }
 
-TEST_F(engine_test, AnErrorThatProvesNothingIsUnknown)
+TEST_F(engine_test, ErrorsWithoutAnEngineCodeEndAsUnknown)
 {
-    // A gateway in front of the engine answers for it. Its status says nothing of whether the run began.
+    // A gateway in front of the engine responds in its place. Its status does not show whether the run had
+    // begun.
     const std::vector<std::pair<int, std::string>> answers{{500, "oops"}, {503, ""}, {502, "<html>"},
         {409, R"({"error":{"code":"other"}})"}, {404, R"({"error":"not_resident"})"},
         {500, R"({"error":{"code":"busy"}})"}, {204, ""}};
     for (const auto &[status, body] : answers) {
-        const auto server = answerAll([&, status = status, body = body](http_reply &reply) {
+        const auto server = serveAll([&, status = status, body = body](http_reply &reply) {
             reply.respond(status, {}, body);
         });
         EXPECT_EQ(endOf(request(syllabus, 1)).result, outcome::Unknown) << status << body;
@@ -278,10 +280,10 @@
     }
 }
 
-TEST_F(engine_test, ASilentEngineIsUnknownWhenTheDeadlinePasses)
+TEST_F(engine_test, ARunOnAHungEngineEndsAsUnknownAtItsDeadline)
 {
-    // The engine takes the request and stops answering; when it wakes, it still runs it. Until then nobody
-    // can know, so the caller is told "unknown" at its deadline.
+    // The engine reads the request and hangs; when it resumes, it still runs the request. Until then nobody
+    // can know, so the run ends as Unknown at its deadline.
     ASSERT_TRUE(load(syllabus, 1).ok);
     m_engine->setFaults({{"hang", true}});
     engine_run run = request(syllabus, 1);
@@ -291,16 +293,16 @@
     EXPECT_EQ(end.why.kind, error_kind::Timeout);
 }
 
-TEST_F(engine_test, TheEngineIsToldAnEarlierDeadline)
+TEST_F(engine_test, TheEngineGetsAnEarlierDeadlineThanTheCall)
 {
-    // A request waits in the engine's queue until its time is over and is refused there. If that refusal
-    // came when the client had already given up, the caller of a request that never ran would read "unknown".
-    std::string told;
+    // A request waits in the engine's queue until its deadline and is refused there. If that refusal came
+    // after the client had abandoned the call, a request that never ran would be reported as unknown.
+    std::string deadlineHeader;
     error why;
     const auto server = http_server::listen(
         m_loop, "127.0.0.1", 0, bodyLimitBytes,
-        [&](const http_request &got, const std::shared_ptr<http_reply> &reply) {
-            told = got.headers.at("x-deadline-ms");
+        [&](const http_request &received, const std::shared_ptr<http_reply> &reply) {
+            deadlineHeader = received.headers.at("x-deadline-ms");
             reply->respond(500, {}, "");
         },
         why);
@@ -310,14 +312,14 @@
         engine_run run = request(syllabus, 1);
         run.deadline = deadline;
         EXPECT_EQ(endOf(run).result, outcome::Unknown);
-        EXPECT_EQ(told, expected);
+        EXPECT_EQ(deadlineHeader, expected);
     }
 }
 
-TEST_F(engine_test, ARunIsNeverResentSilently)
+TEST_F(engine_test, ARunIsNotResentAfterItsConnectionCloses)
 {
-    // The engine takes a run on a kept connection and closes it before the first byte of an answer. libcurl
-    // would send the run again on a new connection without a word: one galley order, cooked twice.
+    // The engine reads a run on a kept connection and closes it before the first byte of a response. libcurl
+    // would silently resend the run on a new connection, and it would run twice.
     ASSERT_TRUE(load(syllabus, 1).ok);
     leaveKeptConnection();
     m_engine->setFaults({{"drop_after_tokens", 0}});
@@ -326,10 +328,11 @@
     EXPECT_TRUE(m_engine->recorded("violation").empty());
 }
 
-TEST_F(engine_test, AnOrderIsNeverResentSilently)
+TEST_F(engine_test, AnOrderIsNotResentAfterItsConnectionCloses)
 {
-    // The same for an order: the fence cuts its socket at the lease's end, and a resend on a new connection
-    // would carry the old owner's unload to the engine after the lease has passed on.
+    // The same for an order: the fence resets its socket at the end of the lease, and if libcurl resent it on
+    // a new connection, the old owner's unload would reach the engine after another daemon has taken over the
+    // lease.
     ASSERT_TRUE(load(syllabus, 1).ok);
     leaveKeptConnection();
     m_engine->setFaults({{"lose_answers", 1}});
@@ -343,10 +346,10 @@
     EXPECT_EQ(m_engine->recorded("unload").size(), 1U);
 }
 
-TEST_F(engine_test, AStaleOrderIsRefusedWhereFencingIsChecked)
+TEST_F(engine_test, AStaleOrderIsRefusedByAnEngineThatChecksFencing)
 {
-    // A daemon wakes from a pause after another one took the engine over, and unloads an adapter that the
-    // new owner has just promised to a caller.
+    // A daemon resumes from a pause after another one has taken over the engine, and unloads an adapter on
+    // which the new owner relies for a caller's request.
     ASSERT_TRUE(load(syllabus, 5).ok);
     ASSERT_TRUE(claim(6).ok);
     const engine_order_end end = unload(syllabus, 5);
@@ -357,7 +360,7 @@
     EXPECT_EQ(m_engine->state()["resident"], json::array({"syllabus:3"}));
 }
 
-TEST_F(engine_test, AStaleOrderIsTakenAndRecordedWhereFencingIsIgnored)
+TEST_F(engine_test, AStaleOrderIsExecutedByAnEngineThatIgnoresFencing)
 {
     startEngine({.checksFencing = false});
     ASSERT_TRUE(load(syllabus, 5).ok);
@@ -370,7 +373,7 @@
     EXPECT_EQ(violations[1]["what"], "stale_taken");
 }
 
-TEST_F(engine_test, LoadsAndUnloadsAreIdempotent)
+TEST_F(engine_test, RepeatedLoadsAndUnloadsSucceedAndFailuresAreCertain)
 {
     startEngine({.slots = 1});
     EXPECT_TRUE(load(syllabus, 1).ok);
@@ -388,7 +391,7 @@
     EXPECT_TRUE(load(galley, 1).ok);
 }
 
-TEST_F(engine_test, CancelStopsARunAtTheEngine)
+TEST_F(engine_test, CancelWithdrawsAQueuedRunFromTheEngine)
 {
     ASSERT_TRUE(load(syllabus, 1).ok);
     m_engine->setFaults({{"paused", true}});
@@ -408,7 +411,7 @@
     EXPECT_TRUE(view->ends.empty());
 }
 
-TEST_F(engine_test, ReadsStateAndCacheEvents)
+TEST_F(engine_test, ReadsStateReportAndCacheEvents)
 {
     startEngine({.reportLag = {}, .eventLag = {}, .eventGap = 2});
     ASSERT_TRUE(load(syllabus, 9).ok);
@@ -420,15 +423,16 @@
     std::optional<engine_state> state;
     std::optional<engine_report> report;
     std::optional<engine_cache_events> events;
-    m_client->state(longTimeout, [&](const std::optional<engine_state> &got, const error &) {
-        state = got;
+    m_client->state(longTimeout, [&](const std::optional<engine_state> &result, const error &) {
+        state = result;
     });
-    m_client->report(longTimeout, [&](const std::optional<engine_report> &got, const error &) {
-        report = got;
-    });
-    m_client->cacheEvents(0, longTimeout, [&](const std::optional<engine_cache_events> &got, const error &) {
-        events = got;
+    m_client->report(longTimeout, [&](const std::optional<engine_report> &result, const error &) {
+        report = result;
     });
+    m_client->cacheEvents(
+        0, longTimeout, [&](const std::optional<engine_cache_events> &result, const error &) {
+            events = result;
+        });
     ASSERT_TRUE(runUntil(m_loop, [&] {
         return state && report && events;
     }));
@@ -438,7 +442,7 @@
     EXPECT_TRUE(state->checksFencing);
     EXPECT_EQ(report->fencingToken, 9U);
     EXPECT_EQ(report->running, 0U);
-    // The second event is lost, and the next sequence shows the gap.
+    // The second event is lost; `next` shows the gap.
     EXPECT_EQ(events->next, 3U);
     ASSERT_EQ(events->events.size(), 1U);
     EXPECT_EQ(events->events[0].adapter, syllabus);
@@ -446,10 +450,10 @@
     EXPECT_TRUE(events->events[0].stored);
 }
 
-TEST_F(engine_test, OddAnswersAreErrorsAndNoCrash)
+TEST_F(engine_test, MalformedStatesAreErrorsOrReadAsEmpty)
 {
     for (const std::string body : {"", "[]", "{", R"({"resident":[1,":2","a"],"fencing":-1,"slots":"x"})"}) {
-        const auto server = answerAll([&](http_reply &reply) {
+        const auto server = serveAll([&](http_reply &reply) {
             reply.respond(200, {}, body);
         });
         bool answered = false;
@@ -464,12 +468,12 @@
     }
 }
 
-TEST(adapter_ref_test, ReadsWhatItWrites)
+TEST(adapter_ref_test, ParsesItsOwnTextAndRejectsMalformedText)
 {
     EXPECT_EQ(parseAdapterRef(toString(syllabus)), syllabus);
     EXPECT_EQ(parseAdapterRef("a:b:7"), (adapter_ref{"a:b", 7}));
-    for (const std::string_view odd : {"", ":", "a", "a:", ":1", "a:-1", "a:1x", "a:99999999999"}) {
-        EXPECT_EQ(parseAdapterRef(odd), std::nullopt) << odd;
+    for (const std::string_view malformed : {"", ":", "a", "a:", ":1", "a:-1", "a:1x", "a:99999999999"}) {
+        EXPECT_EQ(parseAdapterRef(malformed), std::nullopt) << malformed;
     }
 }
 
--- a/tests/unit/http_client_test.cpp
+++ b/tests/unit/http_client_test.cpp
@@ -13,9 +13,9 @@
 {
 };
 
-TEST_F(http_calls, refusedConnectionIsNotSent)
+TEST_F(http_calls, refusedConnectionLeavesTheRequestUnsent)
 {
-    // A caller may only be told "not run" when no byte of its request can have reached an engine.
+    // A request may only be reported as not run if no byte of it can have reached an engine.
     std::uint16_t port = 0;
     raw_socket::listening(port).reset();
     const http_result result = get("http://127.0.0.1:" + std::to_string(port) + "/");
@@ -26,9 +26,9 @@
     EXPECT_FALSE(result.why.detail.empty());
 }
 
-TEST_F(http_calls, requestReadByAPeerThatThenDiesIsSent)
+TEST_F(http_calls, requestReadByAPeerThatThenClosesCountsAsSent)
 {
-    // The peer takes the request and dies without an answer: it may have run.
+    // The peer reads the request and closes without a response, so the request may have run.
     std::uint16_t port = 0;
     auto listener = raw_socket::listening(port);
     std::unique_ptr<raw_socket> peer;
@@ -59,10 +59,10 @@
     EXPECT_EQ(result->status, 0);
 }
 
-TEST_F(http_calls, callWithoutAnAnswerTimesOut)
+TEST_F(http_calls, callWithoutAResponseTimesOutAsSent)
 {
-    // An engine takes a request and hangs. The call ends at its limit, and since the request was handed over
-    // it may have run.
+    // An engine reads a request and hangs. The call ends at its timeout, and since the request was sent it
+    // may have run.
     listen();
     http_call call;
     call.url = url("/");
@@ -73,9 +73,9 @@
     EXPECT_TRUE(result.sent);
 }
 
-TEST_F(http_calls, badCallsFailWithoutBeingSent)
+TEST_F(http_calls, invalidCallsFailWithoutBeingSent)
 {
-    // A header value chosen by a caller holds a line break. Sent on, it would become a second header, or a
+    // A header value chosen by a caller contains a line break. If sent, it would become a second header, or a
     // second request on a kept connection.
     listen();
     http_call call;
@@ -94,7 +94,7 @@
     EXPECT_TRUE(m_requests.empty());
 }
 
-TEST_F(http_calls, keptConnectionIsReusedAndFreshOnesAreNot)
+TEST_F(http_calls, connectionsAreReusedUnlessFreshOrNotKept)
 {
     listen([](const http_request &, const std::shared_ptr<http_reply> &reply) {
         reply->respond(200, {}, "ok");
@@ -126,23 +126,24 @@
     EXPECT_TRUE(open.empty());
 }
 
-/// Serves one answer with keep-alive on the first connection, then closes it when the next request has
-/// come in on it; counts the requests that arrive over all connections.
-struct dying_peer
+/// Responds to requests without a body and keeps the connection. Closes the connection without a response
+/// when an order has arrived on it. Counts the orders over all connections.
+struct order_dropping_server
 {
-    std::uint16_t port = 0; // first, as opening the listener sets it
+    std::uint16_t port = 0; // declared first, because opening the listener sets it
     std::unique_ptr<raw_socket> listener;
     std::vector<std::unique_ptr<raw_socket>> peers;
     std::vector<std::string> got;
 
-    dying_peer()
+    order_dropping_server()
         : listener(raw_socket::listening(port))
     {
     }
     static std::size_t countOf(const std::string &text, std::string_view part)
     {
         std::size_t count = 0;
-        for (std::size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) {
+        for (std::size_t position = text.find(part); position != std::string::npos;
+             position = text.find(part, position + 1)) {
             ++count;
         }
         return count;
@@ -180,12 +181,12 @@
     }
 };
 
-TEST_F(http_calls, nonIdempotentRequestIsNeverResentOnItsOwn)
+TEST_F(http_calls, requestOnAFreshConnectionIsNeverResent)
 {
-    // A kitchen would cook an order twice: the client reuses a kept connection, the service reads the
-    // order, begins it and dies without an answer. libcurl takes that for a connection that was dead
-    // before, and silently sends the order again on a new one. A fresh connection rules that out.
-    dying_peer service;
+    // The client reuses a kept connection; the service reads the order, begins it and closes without a
+    // response. libcurl assumes that the connection was already dead and silently resends the order on a new
+    // one, so it would be executed twice. With freshConnection it does not.
+    order_dropping_server service;
     const std::string base = "http://127.0.0.1:" + std::to_string(service.port);
     const auto serve = m_loop.timer({1}, {1}, [&] {
         service.step();
@@ -203,16 +204,16 @@
     EXPECT_EQ(service.orders(), 1U);
 }
 
-TEST_F(http_calls, cancelledCallIsNotTold)
+TEST_F(http_calls, cancelledCallCallsNothingAndClosesItsConnection)
 {
-    // A caller gives up and its task is gone. A callback into that task would touch freed memory, and the
-    // server would work on for nobody if the connection stayed open.
+    // A caller disconnects and its task is destroyed. A callback into that task would access freed memory,
+    // and the server would continue to work on the request if the connection stayed open.
     listen();
     http_call call;
     call.url = url("/");
-    int told = 0;
+    int doneCalls = 0;
     const auto id = m_client.start(call, [&](const http_result &) {
-        ++told;
+        ++doneCalls;
     });
     ASSERT_TRUE(runUntil([&] {
         return m_replies.size() == 1;
@@ -223,17 +224,17 @@
     });
     m_client.cancel(id);
     m_client.cancel(id);
-    // Cancelling closes the connection, so the server learns that nobody waits any more.
+    // Cancelling closes the connection, which shows the server that the request was abandoned.
     EXPECT_TRUE(runUntil([&] {
         return closed == 1;
     }));
-    EXPECT_EQ(told, 0);
+    EXPECT_EQ(doneCalls, 0);
 }
 
-TEST_F(http_calls, cancelFromOwnDataCallbackAndOfOthers)
+TEST_F(http_calls, dataCallbackMayCancelItsOwnAndOtherCalls)
 {
-    // One answer decides that several calls are not needed any more. libcurl forbids to remove a call from
-    // within its callbacks, so this fails if the bytes are told from there.
+    // One response makes several calls unnecessary. libcurl forbids removing a call from within its
+    // callbacks, so this fails if onData is called from there.
     listen([](const http_request &, const std::shared_ptr<http_reply> &reply) {
         reply->begin(200, {});
         reply->write("bytes");
@@ -269,7 +270,7 @@
     }));
 }
 
-TEST_F(http_calls, startFromDoneCallbackAndDestroyInside)
+TEST_F(http_calls, doneCallbackMayStartACallOrDestroyTheClient)
 {
     listen([](const http_request &, const std::shared_ptr<http_reply> &reply) {
         reply->respond(200, {}, "ok");
@@ -277,42 +278,42 @@
     auto client = std::make_unique<http_client>(m_loop);
     http_call call;
     call.url = url("/");
-    bool second = false;
+    bool secondDone = false;
     client->start(call, [&](const http_result &) {
         client->start(call, [&](const http_result &) {
             client.reset();
-            second = true;
+            secondDone = true;
         });
     });
     EXPECT_TRUE(runUntil([&] {
-        return second;
+        return secondDone;
     }));
 }
 
-TEST_F(http_calls, destroyingTheClientWithCallsRunningIsSilent)
+TEST_F(http_calls, destroyingTheClientDuringCallsCallsNothing)
 {
-    // A task ends while its calls run, one of them about to be told of its failure by a posted call.
+    // A task is destroyed while its calls run and the failure of another call is queued for delivery.
     listen();
     auto client = std::make_unique<http_client>(m_loop);
-    int told = 0;
+    int doneCalls = 0;
     http_call call;
     call.url = url("/");
     client->start(call, [&](const http_result &) {
-        ++told;
+        ++doneCalls;
     });
     client->start(call, [&](const http_result &) {
-        ++told;
+        ++doneCalls;
     });
     ASSERT_TRUE(runUntil([&] {
         return m_replies.size() == 2;
     }));
     call.url = "http://127.0.0.1:1/\n";
     client->start(call, [&](const http_result &) {
-        ++told;
+        ++doneCalls;
     });
     client.reset();
     runRounds(10);
-    EXPECT_EQ(told, 0);
+    EXPECT_EQ(doneCalls, 0);
 }
 
 TEST_F(http_calls, userTimeoutIsSetOnTheSocket)
@@ -320,21 +321,21 @@
     listen([](const http_request &, const std::shared_ptr<http_reply> &reply) {
         reply->respond(200, {}, "ok");
     });
-    unsigned int seen = 0;
+    unsigned int timeoutMs = 0;
     m_client.onSocket([&](int fd, bool isOpen) {
-        socklen_t length = sizeof(seen);
+        socklen_t length = sizeof(timeoutMs);
         if (isOpen) {
-            getsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &seen, &length);
+            getsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeoutMs, &length);
         }
     });
     http_call call;
     call.url = url("/");
     call.userTimeout = {1234};
     EXPECT_EQ(fetch(call).body, "ok");
-    EXPECT_EQ(seen, 1234U);
+    EXPECT_EQ(timeoutMs, 1234U);
 }
 
-TEST_F(http_calls, methodsWithAndWithoutBody)
+TEST_F(http_calls, methodsWithAndWithoutABodyAreSent)
 {
     listen([](const http_request &request, const std::shared_ptr<http_reply> &reply) {
         reply->respond(200, {{"X-Method", request.method}}, request.method == "HEAD" ? "" : request.body);
--- a/tests/unit/kv_test.cpp
+++ b/tests/unit/kv_test.cpp
@@ -16,10 +16,10 @@
 
 constexpr millis callTimeoutMs{5'000};
 constexpr millis shortTimeoutMs{500};
-/// Far beyond what any condition below takes; only a test that fails waits so long.
-constexpr millis patienceMs{20'000};
-/// Makes a TTL of one second last this share of it.
-constexpr double fastLeases = 0.1;
+/// Far longer than any condition below takes; only a failing test waits this long.
+constexpr millis conditionTimeoutMs{20'000};
+/// Factor by which the stand-in shortens the leases' TTLs.
+constexpr double shortLeaseScale = 0.1;
 
 class kv_test : public testing::Test
 {
@@ -37,9 +37,9 @@
     std::unique_ptr<kv_standin> startStandin()
     {
         error why;
-        auto made = kv_standin::start(m_loop, {.leaseScale = fastLeases}, why);
-        EXPECT_NE(made, nullptr) << message(why);
-        return made;
+        auto standin = kv_standin::start(m_loop, {.leaseScale = shortLeaseScale}, why);
+        EXPECT_NE(standin, nullptr) << message(why);
+        return standin;
     }
 
     std::unique_ptr<kv_client> makeClient(std::vector<std::string> urls, millis timeout)
@@ -47,7 +47,7 @@
         return std::make_unique<kv_client>(m_loop, std::move(urls), timeout);
     }
 
-    /// Runs the loop until the condition holds; false when patience ran out.
+    /// Runs the loop until the condition holds; false after conditionTimeoutMs.
     bool runUntil(const std::function<bool()> &condition)
     {
         const auto check = m_loop.timer(millis{1}, millis{1}, [&] {
@@ -55,7 +55,7 @@
                 m_loop.stop();
             }
         });
-        const auto giveUp = m_loop.timer(patienceMs, millis{0}, [&] {
+        const auto timeout = m_loop.timer(conditionTimeoutMs, millis{0}, [&] {
             m_loop.stop();
         });
         if (!condition()) {
@@ -64,10 +64,10 @@
         return condition();
     }
 
-    /// Repeats a check that makes calls of its own until it holds; false when patience ran out.
+    /// Repeats a check that makes calls itself until it holds; false after conditionTimeoutMs.
     static bool eventually(const std::function<bool()> &check)
     {
-        const auto end = bootNow() + patienceMs;
+        const auto end = bootNow() + conditionTimeoutMs;
         while (bootNow() < end) {
             if (check()) {
                 return true;
@@ -150,7 +150,7 @@
     }
 };
 
-TEST_F(kv_test, keysAndValuesAreBytes)
+TEST_F(kv_test, keysAndValuesMayHoldAnyBytes)
 {
     const std::string key("a\0\xff/b", 5);
     const std::string value("\0\x01\xfe\xff", 4);
@@ -166,7 +166,7 @@
     EXPECT_GE(read.revision, written.revision);
 }
 
-TEST_F(kv_test, valueOfNearlyAMegabyteAndEmptyValueComeBackWhole)
+TEST_F(kv_test, largeAndEmptyValuesAreReadBackUnchanged)
 {
     const std::string large(1'000'000, '\xa5');
     ASSERT_EQ(swap(*m_client, "large", 0, large).status, kv_status::Ok);
@@ -175,14 +175,14 @@
     EXPECT_EQ(get(*m_client, "empty").entries.at(0).value, "");
 }
 
-TEST_F(kv_test, absentKeyIsAnEmptyRead)
+TEST_F(kv_test, readOfAnAbsentKeyReturnsNoEntry)
 {
     const auto read = get(*m_client, "nothing");
     EXPECT_EQ(read.status, kv_status::Ok);
     EXPECT_TRUE(read.entries.empty());
 }
 
-TEST_F(kv_test, listTakesExactlyThePrefix)
+TEST_F(kv_test, listReturnsExactlyTheKeysWithThePrefix)
 {
     for (const auto *key : {"owner/a", "owner/b", "owner0", "owne"}) {
         ASSERT_EQ(swap(*m_client, key, 0, "x").status, kv_status::Ok);
@@ -203,7 +203,7 @@
     EXPECT_EQ(detail::prefixEnd(""), std::string(1, '\0'));
 }
 
-TEST_F(kv_test, swapAgainstAnOldRevisionIsAConflictWithWhatStands)
+TEST_F(kv_test, swapWithAnOldRevisionReturnsConflictAndTheStoredEntry)
 {
     const auto first = swap(*m_client, "head", 0, "one");
     const auto second = swap(*m_client, "head", first.revision, "two");
@@ -216,7 +216,7 @@
     EXPECT_EQ(get(*m_client, "head").entries.at(0).value, "two");
 }
 
-TEST_F(kv_test, conflictWithAnAbsentKeySaysItIsAbsent)
+TEST_F(kv_test, conflictOnAnAbsentKeyReturnsRevisionZero)
 {
     const auto stale = swap(*m_client, "gone", 17, "x");
     EXPECT_EQ(stale.status, kv_status::Conflict);
@@ -224,7 +224,7 @@
     EXPECT_EQ(stale.current.modRevision, 0);
 }
 
-TEST_F(kv_test, removeOnlyTakesTheExpectedRevision)
+TEST_F(kv_test, removeOnlyRemovesTheExpectedRevision)
 {
     const auto written = swap(*m_client, "key", 0, "x");
     EXPECT_EQ(remove("key", written.revision + 1).status, kv_status::Conflict);
@@ -233,21 +233,21 @@
     EXPECT_TRUE(get(*m_client, "key").entries.empty());
 }
 
-// Two operators submit a patch against the same version in the same moment. If both were told that
-// theirs was accepted, one patch would silently vanish. The store runs one swap after the other, and the
-// second must come back as a conflict that shows the first.
-TEST_F(kv_test, ofRacingSwapsExactlyOneIsAccepted)
+// Two operators submit a patch to the same version at the same time. If both were reported as accepted, one
+// patch would be lost silently. The store executes one swap after the other, and the second must return a
+// conflict that shows the first.
+TEST_F(kv_test, exactlyOneOfTwoConcurrentSwapsSucceeds)
 {
     constexpr int rounds = 20;
     const auto other = makeClient({m_standin->url()}, callTimeoutMs);
-    std::int64_t standing = 0;
+    std::int64_t storedRevision = 0;
     for (int round = 0; round < rounds; ++round) {
         std::vector<kv_write> results;
-        const auto note = [&](const kv_write &write) {
+        const auto record = [&](const kv_write &write) {
             results.push_back(write);
         };
-        m_client->compareAndSwap("head", standing, "mine", 0, note);
-        other->compareAndSwap("head", standing, "theirs", 0, note);
+        m_client->compareAndSwap("head", storedRevision, "mine", 0, record);
+        other->compareAndSwap("head", storedRevision, "theirs", 0, record);
         ASSERT_TRUE(runUntil([&] {
             return results.size() == 2;
         }));
@@ -256,28 +256,28 @@
         ASSERT_EQ(won.status, kv_status::Ok);
         ASSERT_EQ(lost.status, kv_status::Conflict);
         ASSERT_EQ(lost.current.modRevision, won.revision);
-        standing = won.revision;
+        storedRevision = won.revision;
     }
 }
 
-// An operator's patch is written, and the answer is lost on the way. Called "not written", it would be
-// submitted again and its own first copy reported as somebody else's conflict; so the client may only
-// say that it doesn't know, and the read shows that the write took effect.
-TEST_F(kv_test, lostAnswerIsAmbiguousAndTheWriteTookEffect)
+// An operator's patch is written, but the response is lost. If the client reported it as not written, it
+// would be submitted again, and its own first copy would be reported as another operator's conflict. So the
+// client must report an ambiguous write, and a read shows that it took effect.
+TEST_F(kv_test, writeWithALostResponseIsAmbiguousAndTakesEffect)
 {
     m_standin->setFaults({.loseAnswers = 1});
     EXPECT_EQ(swap(*m_client, "head", 0, "patch").status, kv_status::Ambiguous);
-    EXPECT_EQ(m_standin->record().txn, 1U) << "the call was repeated behind the caller's back";
+    EXPECT_EQ(m_standin->record().txn, 1U) << "the call was repeated silently";
 
     const auto read = get(*m_client, "head");
     ASSERT_EQ(read.entries.size(), 1U);
     EXPECT_EQ(read.entries[0].value, "patch");
 }
 
-// As above, but on a connection that earlier calls have left open. libcurl repeats a request by itself
-// when a kept connection closes before any answer byte; the repeated swap would meet its own first copy
-// and come back as a conflict, which promises that nothing was written.
-TEST_F(kv_test, lostAnswerOnAKeptConnectionIsNotRepeated)
+// As above, but on a connection kept from an earlier call. libcurl silently resends a request when a kept
+// connection closes before any byte of a response. The second swap would find the first one's write and
+// return a conflict, which promises that nothing was written.
+TEST_F(kv_test, writeWithALostResponseOnAKeptConnectionIsNotRepeated)
 {
     constexpr int rounds = 5;
     for (int round = 0; round < rounds; ++round) {
@@ -291,22 +291,22 @@
     }
 }
 
-// A write waits in a slow service when the client gives up, and takes effect afterwards. A reader who
-// takes the timeout for "not written" sees the key absent now and present a moment later.
+// A write is still queued in a slow service at the client's timeout, and takes effect afterwards. If the
+// timeout were reported as not written, the key would be absent at first and present later.
 TEST_F(kv_test, timedOutWriteIsAmbiguousAndMayTakeEffectLater)
 {
     constexpr millis slowMs{1'500};
-    const auto hasty = makeClient({m_standin->url()}, shortTimeoutMs);
+    const auto impatientClient = makeClient({m_standin->url()}, shortTimeoutMs);
     m_standin->setFaults({.delay = slowMs});
-    EXPECT_EQ(swap(*hasty, "late", 0, "x").status, kv_status::Ambiguous);
+    EXPECT_EQ(swap(*impatientClient, "late", 0, "x").status, kv_status::Ambiguous);
     m_standin->setFaults({});
     EXPECT_TRUE(eventually([&] {
         return get(*m_client, "late").entries.size() == 1;
     }));
 }
 
-// The service is unreachable: nobody listens on the port. No byte left, so a write is certainly not
-// written, and the caller may say so instead of leaving its operator in doubt.
+// No process listens on the service's port. No byte was sent, so nothing was written, and the operator can be
+// told so.
 TEST_F(kv_test, refusedConnectionIsUnavailableForReadsAndWrites)
 {
     const auto url = m_standin->url();
@@ -318,34 +318,34 @@
     EXPECT_EQ(client->counters().failed, 3U);
 }
 
-// The service takes connections and breaks them off, or never answers. The client can't tell this from a
-// write whose answer was lost, so a read is unavailable and a write ambiguous, although it had no effect.
-TEST_F(kv_test, brokenOrSilentServiceIsAmbiguousForWrites)
+// The service accepts connections and closes them, or never responds. The client cannot distinguish this from
+// a write whose response was lost, so a read is unavailable and a write ambiguous, although it had no effect.
+TEST_F(kv_test, closingOrHangingServiceIsAmbiguousForWrites)
 {
-    const auto hasty = makeClient({m_standin->url()}, shortTimeoutMs);
+    const auto impatientClient = makeClient({m_standin->url()}, shortTimeoutMs);
     for (const auto down : {kv_down::Refuse, kv_down::Hang}) {
         m_standin->setFaults({.down = down});
-        EXPECT_EQ(get(*hasty, "key").status, kv_status::Unavailable);
-        EXPECT_EQ(swap(*hasty, "key", 0, "x").status, kv_status::Ambiguous);
-        EXPECT_EQ(keepAlive(*hasty, 1), kv_status::Ambiguous);
+        EXPECT_EQ(get(*impatientClient, "key").status, kv_status::Unavailable);
+        EXPECT_EQ(swap(*impatientClient, "key", 0, "x").status, kv_status::Ambiguous);
+        EXPECT_EQ(keepAlive(*impatientClient, 1), kv_status::Ambiguous);
         m_standin->setFaults({});
         EXPECT_TRUE(get(*m_client, "key").entries.empty());
     }
 }
 
-// A daemon takes ownership with a lease that has just run out. The service turns the whole txn down,
-// which is certain; reported as ambiguous, the daemon would have to read back for nothing.
-TEST_F(kv_test, writeWithAGoneLeaseIsCertainlyNotWritten)
+// A daemon claims ownership with a lease that has just expired. The service rejects the whole txn, so nothing
+// was written; if the client reported it as ambiguous, the daemon would have to read back without need.
+TEST_F(kv_test, writeWithAnExpiredLeaseIsCertainlyNotWritten)
 {
     EXPECT_EQ(swap(*m_client, "owner", 0, "me", 4'242).status, kv_status::Unavailable);
     EXPECT_TRUE(get(*m_client, "owner").entries.empty());
 }
 
-/// Answers every request with one status and body, as a gateway in trouble does.
-class fixed_answer
+/// Responds to every request with the same status and body, as a failing gateway does.
+class fixed_response_server
 {
 public:
-    fixed_answer(loop &eventLoop, int status, const std::string &body)
+    fixed_response_server(loop &eventLoop, int status, const std::string &body)
     {
         error why;
         m_server = http_server::listen(
@@ -364,37 +364,37 @@
     std::unique_ptr<http_server> m_server;
 };
 
-// etcd answers 503 "request timed out" when a write was proposed and its fate is open. Taken for a
-// refusal, a patch that gets accepted a moment later would have been reported as not written.
-TEST_F(kv_test, serverErrorsAreAmbiguousAndClientErrorsAreRefusals)
+// etcd responds 503 "request timed out" when a write was proposed and may still be committed. If that counted
+// as a rejection, a patch that is committed a moment later would be reported as not written.
+TEST_F(kv_test, serverErrorsAreAmbiguousAndClientErrorsAreUnavailable)
 {
     for (const int status : {500, 502, 503, 504, 408}) {
-        const fixed_answer gateway(m_loop, status, "{}");
+        const fixed_response_server gateway(m_loop, status, "{}");
         const auto client = makeClient({gateway.url()}, callTimeoutMs);
         EXPECT_EQ(swap(*client, "key", 0, "x").status, kv_status::Ambiguous) << status;
     }
     for (const int status : {400, 401, 403, 404, 429}) {
-        const fixed_answer gateway(m_loop, status, "{}");
+        const fixed_response_server gateway(m_loop, status, "{}");
         const auto client = makeClient({gateway.url()}, callTimeoutMs);
         EXPECT_EQ(swap(*client, "key", 0, "x").status, kv_status::Unavailable) << status;
     }
 }
 
-TEST_F(kv_test, unreadableAnswerProvesNothing)
+TEST_F(kv_test, malformedResponseIsAmbiguousForWritesAndUnavailableForReads)
 {
     for (const auto *body : {"", "[]", "{", R"({"succeeded":true})", R"({"header":{"revision":"x"}})",
              R"({"header":{"revision":"5"}})", R"({"header":7,"succeeded":"yes"})"}) {
-        const fixed_answer gateway(m_loop, 200, body);
+        const fixed_response_server gateway(m_loop, 200, body);
         const auto client = makeClient({gateway.url()}, callTimeoutMs);
         EXPECT_EQ(swap(*client, "key", 0, "x").status, kv_status::Ambiguous) << body;
         EXPECT_EQ(keepAlive(*client, 1), kv_status::Ambiguous) << body;
     }
-    const fixed_answer gateway(m_loop, 200, R"({"header":{"revision":"5"},"kvs":[{"key":"%"}]})");
+    const fixed_response_server gateway(m_loop, 200, R"({"header":{"revision":"5"},"kvs":[{"key":"%"}]})");
     const auto client = makeClient({gateway.url()}, callTimeoutMs);
     EXPECT_EQ(get(*client, "key").status, kv_status::Unavailable);
 }
 
-TEST_F(kv_test, leaseLivesWhileItIsKeptAlive)
+TEST_F(kv_test, keepAliveOfAnExpiredLeaseIsAConflict)
 {
     const auto lease = grant(millis{60'000});
     ASSERT_NE(lease, 0);
@@ -404,8 +404,8 @@
     EXPECT_EQ(m_standin->record().keepalive, 2U);
 }
 
-// A daemon dies without a word. Its keys must go when its lease runs out, or nobody could ever take over
-// the servers that it owned.
+// A daemon crashes without releasing anything. Its keys must be removed when its lease expires, or no other
+// daemon could ever take over its servers.
 TEST_F(kv_test, expiredLeaseRemovesItsKeysOnly)
 {
     m_standin->setFaults({.pausedExpiry = true});
@@ -434,7 +434,8 @@
     ASSERT_TRUE(runUntil([&] {
         return otherLease != 0;
     }));
-    // The other lease is the later one, so its end marks that enough time has passed.
+    // The other lease was granted later with the same TTL, so once it has expired, the first one would have
+    // too.
     ASSERT_EQ(swap(*other, "mark", 0, "x", otherLease).status, kv_status::Ok);
     control->setFaults({});
     ASSERT_TRUE(eventually([&] {
@@ -443,11 +444,11 @@
     EXPECT_EQ(keepAlive(*m_client, lease), kv_status::Ok);
 }
 
-TEST_F(kv_test, revokedLeaseTakesItsKeysAndRevokingAgainIsNoFailure)
+TEST_F(kv_test, revokingALeaseRemovesItsKeysAndMayBeRepeated)
 {
     const auto lease = grant(millis{60'000});
     ASSERT_EQ(swap(*m_client, "live", 0, "x", lease).status, kv_status::Ok);
-    for (int time = 0; time < 2; ++time) {
+    for (int attempt = 0; attempt < 2; ++attempt) {
         std::optional<kv_status> result;
         m_client->revokeLease(lease, [&](kv_status status) {
             result = status;
@@ -489,7 +490,7 @@
     EXPECT_EQ(m_client->counters().watches, 1U);
 }
 
-TEST_F(kv_test, droppedWatchClosesSilently)
+TEST_F(kv_test, droppedWatchClosesWithoutACallback)
 {
     auto handle = m_client->watch(
         "head", 0,
@@ -509,8 +510,8 @@
     }));
 }
 
-// The service goes down under a daemon that waits for the next configuration. A watch that ended without
-// a word would leave the daemon on its old version for ever.
+// The service goes down while a daemon waits for the next configuration version. If the watch ended without
+// calling `ended`, the daemon would keep its old version forever.
 TEST_F(kv_test, watchEndsOnceWhenTheServiceGoesDown)
 {
     int ends = 0;
@@ -530,14 +531,14 @@
     EXPECT_EQ(ends, 1);
 }
 
-// The service accepts the watch's connection and then says nothing. It looks like a quiet key; the
-// daemon would wait for ever for a change that no one will tell it.
+// The service accepts the watch's connection and then hangs. This looks like a key that does not change, and
+// the daemon would wait forever for a change that it never receives.
 TEST_F(kv_test, watchThatIsNeverConfirmedEnds)
 {
     m_standin->setFaults({.down = kv_down::Hang});
-    const auto hasty = makeClient({m_standin->url()}, shortTimeoutMs);
+    const auto impatientClient = makeClient({m_standin->url()}, shortTimeoutMs);
     int ends = 0;
-    const auto handle = hasty->watch(
+    const auto handle = impatientClient->watch(
         "head", 0, [](const kv_entry &) {},
         [&] {
             ++ends;
@@ -547,14 +548,14 @@
     }));
 }
 
-// A daemon was cut off for so long that the service has compacted the changes it asks for. The watch must
-// end, so that the daemon reads the key afresh instead of missing changes.
+// A daemon was disconnected for so long that the service has compacted the changes that it requests. The
+// watch must end, so that the daemon reads the key again instead of missing changes.
 TEST_F(kv_test, watchFromACompactedRevisionEnds)
 {
-    constexpr int moreThanTheHistory = 600;
-    std::int64_t standing = 0;
-    for (int i = 0; i < moreThanTheHistory; ++i) {
-        standing = swap(*m_client, "head", standing, "x").revision;
+    constexpr int writesBeyondTheHistory = 600;
+    std::int64_t storedRevision = 0;
+    for (int i = 0; i < writesBeyondTheHistory; ++i) {
+        storedRevision = swap(*m_client, "head", storedRevision, "x").revision;
     }
     int ends = 0;
     const auto handle = m_client->watch(
@@ -567,18 +568,18 @@
     }));
 }
 
-TEST_F(kv_test, watchMayBeDroppedAndClientDestroyedFromItsCallback)
+TEST_F(kv_test, watchCallbackMayDropTheWatchAndDestroyTheClient)
 {
     const auto first = swap(*m_client, "head", 0, "one");
-    auto doomed = makeClient({m_standin->url()}, callTimeoutMs);
+    auto client = makeClient({m_standin->url()}, callTimeoutMs);
     std::shared_ptr<void> handle;
     int changes = 0;
-    handle = doomed->watch(
+    handle = client->watch(
         "head", first.revision,
         [&](const kv_entry &) {
             ++changes;
             handle.reset();
-            doomed.reset();
+            client.reset();
         },
         [] {
             FAIL();
@@ -591,22 +592,22 @@
     }));
 }
 
-// One of the service's gateways dies. The call that meets it fails, and the next must reach another one
-// instead of failing for as long as the first stays dead.
-TEST_F(kv_test, nextUrlIsTriedAfterAFailure)
+// One of the service's gateways goes down. The call that was made to it fails, and the next call must use
+// another gateway instead of failing until the first one is back.
+TEST_F(kv_test, nextCallAfterAFailureUsesTheNextUrl)
 {
-    auto dead = startStandin();
-    const auto client = makeClient({dead->url(), m_standin->url()}, callTimeoutMs);
+    auto failingGateway = startStandin();
+    const auto client = makeClient({failingGateway->url(), m_standin->url()}, callTimeoutMs);
     ASSERT_EQ(swap(*client, "where", 0, "first").status, kv_status::Ok);
     ASSERT_EQ(get(*client, "where").entries.size(), 1U);
-    dead.reset();
+    failingGateway.reset();
     EXPECT_EQ(get(*client, "where").status, kv_status::Unavailable);
     EXPECT_EQ(get(*client, "where").status, kv_status::Ok);
     EXPECT_EQ(swap(*client, "where", 0, "second").status, kv_status::Ok);
     EXPECT_EQ(get(*m_client, "where").entries.at(0).value, "second");
 }
 
-TEST_F(kv_test, countersCountEachCallByKind)
+TEST_F(kv_test, countersCountCallsByKind)
 {
     const auto lease = grant(millis{60'000});
     EXPECT_EQ(keepAlive(*m_client, lease), kv_status::Ok);
@@ -620,15 +621,15 @@
     EXPECT_EQ(m_client->counters().failed, 0U);
 }
 
-TEST_F(kv_test, standinTakesFaultsAndShowsItsRecordByHttp)
+TEST_F(kv_test, standinAcceptsFaultsAndReturnsItsRecordByHttp)
 {
     http_client http(m_loop);
     std::optional<http_result> result;
     const auto call = [&](const std::string &method, const std::string &path, const std::string &body) {
         result.reset();
-        http.start(
-            {.method = method, .url = m_standin->url() + path, .body = body}, [&](const http_result &answer) {
-                result = answer;
+        http.start({.method = method, .url = m_standin->url() + path, .body = body},
+            [&](const http_result &response) {
+                result = response;
             });
         return runUntil([&] {
             return result.has_value();
