--- a/packages/transport/backend_pool.cpp
+++ b/packages/transport/backend_pool.cpp
@@ -93,7 +93,7 @@
         bool discarding = false; ///< the current response belongs to another request
         bool discardedAny = false; ///< some response on this connection belonged to another request
         millis connectDeadline;
-        send_handlers calls;
+        send_handlers handlers;
     };
     using request_ptr = std::shared_ptr<request_state>;
 
@@ -121,7 +121,8 @@
 
     /// Returns an idle connection to `to` that is still usable, or null.
     std::unique_ptr<connection> takeIdle(const peer_address &to);
-    /// Keeps a connection idle for reuse, or closes it if `idleTimeout` is not positive or enough are kept.
+    /// Keeps a connection idle for reuse. Closes it if `idleTimeout` is not positive or its server already
+    /// has maxIdlePerServer idle connections.
     void keepIdle(std::unique_ptr<connection> link, millis idleTimeout);
     void open(send_id id, request_state &request);
     void watch(send_id id, connection &link, int mask);
@@ -129,10 +130,14 @@
     void onWritable(send_id id, request_state &request);
     void onReadable(send_id id, request_state &request);
     bool parse(send_id id, request_state &request);
+    /// Calls onHead with the head of the current response.
     void deliverHead(request_state &request);
     void end(send_id id, send_result how, const char *detail);
+    /// Ends a request in the next round of the loop, so that no callback runs inside start().
     void endLater(send_id id, send_result how, std::string detail);
+    /// Ends a request whose response is complete and keeps its connection if it is reusable.
     void onComplete(send_id id, request_state &request);
+    /// Closes expired idle connections and fails requests whose connection attempt timed out.
     void sweep();
 };
 
@@ -288,14 +293,14 @@
 void backend_pool::impl::deliverHead(request_state &request)
 {
     request.headDelivered = true;
-    request.discarding = !request.calls.onHead(request.reader.head());
+    request.discarding = !request.handlers.onHead(request.reader.head());
     request.discardedAny = request.discardedAny || request.discarding;
 }
 
 /// Parses one step of the received bytes; true if there may be more to parse.
 bool backend_pool::impl::parse(send_id id, request_state &request)
 {
-    const request_ptr keepAlive = requests.at(id); // its callbacks may cancel the request
+    const request_ptr requestGuard = requests.at(id); // its callbacks may cancel the request
     if (request.in.empty()) {
         return false;
     }
@@ -318,7 +323,7 @@
     }
     std::string body = request.reader.takeBody();
     if (!interim && !request.discarding && !body.empty()) {
-        request.calls.onBody(std::move(body));
+        request.handlers.onBody(std::move(body));
         if (requests.count(id) == 0) {
             return false;
         }
@@ -370,7 +375,7 @@
     if (how != send_result::Complete) {
         why = {error_kind::ConnectionLost, "backend server", detail};
     }
-    request->calls.onEnd(how, why);
+    request->handlers.onEnd(how, why);
 }
 
 void backend_pool::impl::endLater(send_id id, send_result how, std::string detail)
@@ -410,13 +415,13 @@
 backend_pool::~backend_pool() = default;
 
 backend_pool::send_id backend_pool::start(
-    const peer_address &to, std::string bytes, bool noBody, send_handlers calls)
+    const peer_address &to, std::string bytes, bool noBody, send_handlers handlers)
 {
     const send_id id = ++m_impl->lastId;
     auto request = std::make_shared<impl::request_state>();
     request->out = std::move(bytes);
     request->noBody = noBody;
-    request->calls = std::move(calls);
+    request->handlers = std::move(handlers);
     if (noBody) {
         request->reader.expectNoBody();
     }
--- a/packages/transport/backend_pool.h
+++ b/packages/transport/backend_pool.h
@@ -56,7 +56,7 @@
     using send_id = std::uint64_t;
     /// Sends `bytes`, one complete request. `noBody`: the response has no body (HEAD). onEnd is called
     /// exactly once unless the request is cancelled or aborted.
-    send_id start(const peer_address &to, std::string bytes, bool noBody, send_handlers calls);
+    send_id start(const peer_address &to, std::string bytes, bool noBody, send_handlers handlers);
     /// Cancels a request by closing its connection, so that the server stops working on it. No callback
     /// follows.
     void cancel(send_id id);
--- a/packages/transport/kv_client.h
+++ b/packages/transport/kv_client.h
@@ -76,7 +76,7 @@
 class kv_client
 {
 public:
-    /// Uses the first of `urls`, and moves on to the next one, in a circle, after a failure.
+    /// Calls use the first of `urls`; a failure switches to the next one, and after the last to the first.
     kv_client(loop &eventLoop, std::vector<std::string> urls, millis timeout);
     ~kv_client();
     kv_client(const kv_client &) = delete;
--- a/packages/transport/response_notice.h
+++ b/packages/transport/response_notice.h
@@ -11,7 +11,7 @@
 /// What a response announces about the server that sent it, apart from the request's own result.
 struct response_notice
 {
-    bool leaving = false; ///< the server is about to leave and takes no new requests
+    bool leaving = false; ///< the server will leave the fleet
     millis pause; ///< for which the server wants no more requests from this process; 0: none announced
 };
 
--- a/tests/unit/engine_test.cpp
+++ b/tests/unit/engine_test.cpp
@@ -85,7 +85,7 @@
         });
     }
 
-    engine_run request(const adapter_ref &adapter, std::uint64_t fencingToken)
+    engine_run makeRun(const adapter_ref &adapter, std::uint64_t fencingToken)
     {
         engine_run run;
         run.path = "/v1/completions";
@@ -159,7 +159,7 @@
 {
     ASSERT_TRUE(load(syllabus, 1).ok);
     for (const bool chat : {false, true}) {
-        engine_run run = request(syllabus, 1);
+        engine_run run = makeRun(syllabus, 1);
         const json messages = json::array({{{"role", "user"}, {"content", "week 1"}}});
         if (chat) {
             run.path = "/v1/chat/completions";
@@ -180,7 +180,7 @@
 TEST_F(engine_test, SendsNonIdempotencyPriorityAndFencingToken)
 {
     ASSERT_TRUE(load(syllabus, 1).ok);
-    engine_run run = request(syllabus, 1);
+    engine_run run = makeRun(syllabus, 1);
     run.idempotent = false;
     run.rank = priority::Low;
     ASSERT_EQ(endOf(run).result, outcome::Done);
@@ -195,29 +195,29 @@
     // A caller may send a request that was not run again. So each of the engine's refusals must end as
     // NotRun, and the engine must not have begun a run.
     ASSERT_TRUE(load(syllabus, 5).ok);
-    EXPECT_EQ(endOf(request(galley, 5)).why.kind, error_kind::NoServer);
-    EXPECT_EQ(endOf(request(syllabus, 4)).why.kind, error_kind::StaleFencing);
+    EXPECT_EQ(endOf(makeRun(galley, 5)).why.kind, error_kind::NoServer);
+    EXPECT_EQ(endOf(makeRun(syllabus, 4)).why.kind, error_kind::StaleFencing);
     m_engine->setFaults({{"refuse_runs", true}});
-    const engine_run_end busy = endOf(request(syllabus, 5));
+    const engine_run_end busy = endOf(makeRun(syllabus, 5));
     EXPECT_EQ(busy.why.kind, error_kind::Overloaded);
     EXPECT_EQ(busy.retryAfter, millis{500});
     m_engine->setFaults({{"leaving", true}});
-    EXPECT_EQ(endOf(request(syllabus, 5)).why.kind, error_kind::NotReady);
-    engine_run malformed = request(syllabus, 5);
+    EXPECT_EQ(endOf(makeRun(syllabus, 5)).why.kind, error_kind::NotReady);
+    engine_run malformed = makeRun(syllabus, 5);
     malformed.body = "{";
     EXPECT_EQ(endOf(malformed).why.kind, error_kind::BadRequest);
 
     EXPECT_EQ(m_engine->recorded("refused").size(), 5U);
     EXPECT_TRUE(m_engine->recorded("run").empty());
     for (const adapter_ref &adapter : {syllabus, galley}) {
-        EXPECT_EQ(endOf(request(adapter, 5)).result, outcome::NotRun);
+        EXPECT_EQ(endOf(makeRun(adapter, 5)).result, outcome::NotRun);
     }
 }
 
 TEST_F(engine_test, RunsAndOrdersToAnUnreachableEngineAreCertainlyNotExecuted)
 {
     m_engine.reset();
-    const engine_run_end end = endOf(request(syllabus, 1));
+    const engine_run_end end = endOf(makeRun(syllabus, 1));
     EXPECT_EQ(end.result, outcome::NotRun);
     EXPECT_EQ(end.why.kind, error_kind::ConnectionLost);
     const engine_order_end order = load(syllabus, 1);
@@ -232,7 +232,7 @@
     ASSERT_TRUE(load(syllabus, 1).ok);
     for (const int tokens : {0, 3}) {
         m_engine->setFaults({{"drop_after_tokens", tokens}});
-        const run_view_ptr view = finish(request(syllabus, 1));
+        const run_view_ptr view = finish(makeRun(syllabus, 1));
         ASSERT_EQ(view->ends.size(), 1U);
         EXPECT_EQ(view->ends[0].result, outcome::Unknown) << tokens;
         EXPECT_EQ(view->ends[0].why.kind, error_kind::ConnectionLost) << tokens;
@@ -254,12 +254,12 @@
             reply.write(stream);
             reply.end();
         });
-        EXPECT_EQ(endOf(request(syllabus, 1)).result, outcome::Unknown) << stream;
+        EXPECT_EQ(endOf(makeRun(syllabus, 1)).result, outcome::Unknown) << stream;
     }
     const auto server = serveAll([&](http_reply &reply) {
         reply.respond(200, {}, "data: {\"id\":1}\r\n\r\ndata: [DONE]\r\n\r\n");
     });
-    EXPECT_EQ(endOf(request(syllabus, 1)).result, outcome::Done);
+    EXPECT_EQ(endOf(makeRun(syllabus, 1)).result, outcome::Done);
 }
 
 TEST_F(engine_test, ErrorsWithoutAnEngineCodeEndAsUnknown)
@@ -273,7 +273,7 @@
         const auto server = serveAll([&, status = status, body = body](http_reply &reply) {
             reply.respond(status, {}, body);
         });
-        EXPECT_EQ(endOf(request(syllabus, 1)).result, outcome::Unknown) << status << body;
+        EXPECT_EQ(endOf(makeRun(syllabus, 1)).result, outcome::Unknown) << status << body;
         const engine_order_end order = load(syllabus, 1);
         EXPECT_FALSE(order.ok) << status;
         EXPECT_FALSE(order.certain) << status;
@@ -286,7 +286,7 @@
     // can know, so the run ends as Unknown at its deadline.
     ASSERT_TRUE(load(syllabus, 1).ok);
     m_engine->setFaults({{"hang", true}});
-    engine_run run = request(syllabus, 1);
+    engine_run run = makeRun(syllabus, 1);
     run.deadline = millis{50};
     const engine_run_end end = endOf(run);
     EXPECT_EQ(end.result, outcome::Unknown);
@@ -309,7 +309,7 @@
     ASSERT_NE(server, nullptr) << message(why);
     m_client = std::make_unique<engine_client>(m_http, "http://127.0.0.1:" + std::to_string(server->port()));
     for (const auto &[deadline, expected] : {std::pair{millis{30'000}, "29500"}, {millis{800}, "700"}}) {
-        engine_run run = request(syllabus, 1);
+        engine_run run = makeRun(syllabus, 1);
         run.deadline = deadline;
         EXPECT_EQ(endOf(run).result, outcome::Unknown);
         EXPECT_EQ(deadlineHeader, expected);
@@ -323,7 +323,7 @@
     ASSERT_TRUE(load(syllabus, 1).ok);
     leaveKeptConnection();
     m_engine->setFaults({{"drop_after_tokens", 0}});
-    EXPECT_EQ(endOf(request(syllabus, 1)).result, outcome::Unknown);
+    EXPECT_EQ(endOf(makeRun(syllabus, 1)).result, outcome::Unknown);
     EXPECT_EQ(m_engine->recorded("run").size(), 1U);
     EXPECT_TRUE(m_engine->recorded("violation").empty());
 }
@@ -365,7 +365,7 @@
     startEngine({.checksFencing = false});
     ASSERT_TRUE(load(syllabus, 5).ok);
     ASSERT_TRUE(claim(6).ok);
-    EXPECT_EQ(endOf(request(syllabus, 5)).result, outcome::Done);
+    EXPECT_EQ(endOf(makeRun(syllabus, 5)).result, outcome::Done);
     EXPECT_TRUE(unload(syllabus, 5).ok);
     const auto violations = m_engine->recorded("violation");
     ASSERT_EQ(violations.size(), 2U);
@@ -395,7 +395,7 @@
 {
     ASSERT_TRUE(load(syllabus, 1).ok);
     m_engine->setFaults({{"paused", true}});
-    const engine_run run = request(syllabus, 1);
+    const engine_run run = makeRun(syllabus, 1);
     const run_view_ptr view = start(run);
     const auto queued = [&] {
         return m_engine->summary()["queued"].get<int>();
@@ -416,9 +416,9 @@
     startEngine({.reportLag = {}, .eventLag = {}, .eventGap = 2});
     ASSERT_TRUE(load(syllabus, 9).ok);
     ASSERT_TRUE(load(galley, 9).ok);
-    const engine_run run = request(syllabus, 9);
+    const engine_run run = makeRun(syllabus, 9);
     ASSERT_EQ(endOf(run).result, outcome::Done);
-    ASSERT_EQ(endOf(request(galley, 9)).result, outcome::Done);
+    ASSERT_EQ(endOf(makeRun(galley, 9)).result, outcome::Done);
 
     std::optional<engine_state> state;
     std::optional<engine_report> report;
@@ -442,7 +442,7 @@
     EXPECT_TRUE(state->checksFencing);
     EXPECT_EQ(report->fencingToken, 9U);
     EXPECT_EQ(report->running, 0U);
-    // The second event is lost; `next` shows the gap.
+    // The stand-in drops the second event; `next` shows the gap.
     EXPECT_EQ(events->next, 3U);
     ASSERT_EQ(events->events.size(), 1U);
     EXPECT_EQ(events->events[0].adapter, syllabus);
