--- a/packages/coordination/config_store.cpp
+++ b/packages/coordination/config_store.cpp
@@ -176,7 +176,7 @@
     // Each daemon polls the head. Reading all of a head with many patches each time would exceed the budget
     // of control traffic, so only a change since the last read is requested.
     const std::int64_t known = m_lastRead ? m_lastRead->revision : 0;
-    m_kv.getChanged(headKey, known + 1, [this, done = std::move(done)](const kv_read &read) {
+    m_kv.getIfChanged(headKey, known + 1, [this, done = std::move(done)](const kv_read &read) {
         if (read.status != kv_status::Ok) {
             done(std::nullopt, serviceDown(headKey, read.status));
             return;
--- a/packages/daemon/entry_admit.cpp
+++ b/packages/daemon/entry_admit.cpp
@@ -5,7 +5,7 @@
 #include "daemon/entry_task.h"
 #include "daemon/responses.h"
 #include "state/key_hash.h"
-#include "transport/answer_words.h"
+#include "transport/response_notice.h"
 
 #include <nlohmann/json.hpp>
 #include <spdlog/spdlog.h>
@@ -523,7 +523,7 @@
         return;
     }
     request->serviceCall = 0;
-    const answer_words notice = wordsOf(result);
+    const response_notice notice = readResponseNotice(result);
     std::erase_if(m_notices.leaving, [](const auto &entry) {
         return bootNow() - entry.second > serviceLeavingRetention;
     });
--- a/packages/serving/server_owner_orders.cpp
+++ b/packages/serving/server_owner_orders.cpp
@@ -91,7 +91,7 @@
 /// Records the server notices in the response to one of this daemon's own calls.
 void server_owner_task::recordNotices(const backend_server &server, const call_result &result)
 {
-    if (result.how == send_end::Whole) {
+    if (result.how == send_result::Complete) {
         m_words.onResponse("", server.id, incarnationOf(server), m_codec.readUnsignedResponse(result.head));
     }
 }
@@ -119,7 +119,7 @@
         }
         error why;
         const auto report =
-            result.how == send_end::Whole ? m_codec.readReport(result.body, why) : std::nullopt;
+            result.how == send_result::Complete ? m_codec.readReport(result.body, why) : std::nullopt;
         const millis now = bootNow();
         if (!report) {
             current.scheduler.ledger.notBefore = now + reportRetryPause;
@@ -177,13 +177,13 @@
                             sent = *order, target = server](const call_result &result) {
         recordNotices(target, result);
         switch (result.how) {
-        case send_end::Whole:
+        case send_result::Complete:
             onOrderDone(id, startedAtMs, fencingToken, sent, m_codec.readOrderResult(result.status));
             return;
-        case send_end::Unsent:
+        case send_result::NotSent:
             onOrderDone(id, startedAtMs, fencingToken, sent, order_result::Refused);
             return;
-        case send_end::Broken:
+        case send_result::Broken:
             onOrderDone(id, startedAtMs, fencingToken, sent, order_result::Unknown);
             return;
         }
--- a/packages/transport/connect_probe.cpp
+++ b/packages/transport/connect_probe.cpp
@@ -13,58 +13,63 @@
 
 constexpr int eventWrite = 2;
 
+/// One connection attempt; it ends when `done` is called or the handle, its only owner, is dropped.
 struct connect_probe : std::enable_shared_from_this<connect_probe>
 {
     loop &events;
-    std::function<void(reach)> done;
+    std::function<void(connect_result)> done;
     owned_fd fd;
     std::shared_ptr<void> watch;
     std::shared_ptr<void> timer;
 
-    connect_probe(loop &eventLoop, std::function<void(reach)> call)
+    connect_probe(loop &eventLoop, std::function<void(connect_result)> onDone)
         : events(eventLoop)
-        , done(std::move(call))
+        , done(std::move(onDone))
     {
     }
 
-    void end(reach result)
+    void end(connect_result result)
     {
         watch.reset();
         timer.reset();
         fd = owned_fd();
-        if (const auto call = std::exchange(done, nullptr)) {
-            call(result);
+        if (const auto callback = std::exchange(done, nullptr)) {
+            callback(result);
         }
     }
-    void endLater(reach result)
+    /// Ends the probe in the next round of the loop, so that `done` is not called from inside probeConnect()
+    /// or from the callbacks that end() destroys.
+    void endLater(connect_result result)
     {
         events.post([weak = weak_from_this(), result] {
-            if (const auto same = weak.lock()) {
-                same->end(result);
+            if (const auto probe = weak.lock()) {
+                probe->end(result);
             }
         });
     }
-    void start(const peer_address &to, millis patience)
+    void start(const peer_address &to, millis timeout)
     {
         const auto address = toSocketAddress(to);
         if (address) {
             fd = owned_fd(socket(address->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
         }
         if (!fd) {
-            endLater(reach::Silent);
+            endLater(connect_result::Unknown);
             return;
         }
         if (connect(fd.get(), address->raw(), address->size) != 0 && errno != EINPROGRESS) {
-            endLater(errno == ECONNREFUSED ? reach::Refuses : reach::Silent);
+            endLater(errno == ECONNREFUSED ? connect_result::Refused : connect_result::Unknown);
             return;
         }
         watch = events.watch(fd.get(), eventWrite, [this](int) {
             const int code = pendingError(fd.get());
-            endLater(code == 0 ? reach::Accepts : code == ECONNREFUSED ? reach::Refuses : reach::Silent);
+            endLater(code == 0             ? connect_result::Accepted
+                    : code == ECONNREFUSED ? connect_result::Refused
+                                           : connect_result::Unknown);
             watch.reset();
         });
-        timer = events.timer(patience, {}, [this] {
-            endLater(reach::Silent);
+        timer = events.timer(timeout, {}, [this] {
+            endLater(connect_result::Unknown);
         });
     }
 };
@@ -72,10 +77,10 @@
 }
 
 std::shared_ptr<void> probeConnect(
-    loop &eventLoop, const peer_address &to, millis patience, std::function<void(reach)> done)
+    loop &eventLoop, const peer_address &to, millis timeout, std::function<void(connect_result)> done)
 {
     auto probe = std::make_shared<connect_probe>(eventLoop, std::move(done));
-    probe->start(to, patience);
+    probe->start(to, timeout);
     return probe;
 }
 
--- a/tests/serving/wire_test.cpp
+++ b/tests/serving/wire_test.cpp
@@ -222,7 +222,7 @@
     struct send_outcome
     {
         bool done = false;
-        send_end how = send_end::Unsent;
+        send_result how = send_result::NotSent;
         int status = 0;
         std::string body;
     };
@@ -241,7 +241,7 @@
         calls.onBody = [outcome](const std::string &bytes) {
             outcome->body += bytes;
         };
-        calls.onEnd = [outcome](send_end how, const error &) {
+        calls.onEnd = [outcome](send_result how, const error &) {
             outcome->done = true;
             outcome->how = how;
         };
@@ -284,7 +284,7 @@
     ASSERT_TRUE(runUntilReceived(0, "a"));
     respond(0, completeResponse("a", "one"));
     ASSERT_TRUE(runUntilDone(*first));
-    EXPECT_EQ(first->how, send_end::Whole);
+    EXPECT_EQ(first->how, send_result::Complete);
     EXPECT_EQ(first->body, "one");
     const auto second = send("b");
     ASSERT_TRUE(runUntilReceived(0, "b"));
@@ -317,7 +317,7 @@
     ASSERT_TRUE(runUntilReceived(0, "b"));
     respond(0, completeResponse("a", "again") + completeResponse("b", "two"));
     ASSERT_TRUE(runUntilDone(*second));
-    EXPECT_EQ(second->how, send_end::Whole);
+    EXPECT_EQ(second->how, send_result::Complete);
     EXPECT_EQ(second->body, "two");
     const auto third = send("c");
     EXPECT_TRUE(runUntilReceived(1, "c")) << "a connection that was out of step is not reused";
@@ -345,14 +345,14 @@
     respond(0, open);
     m_connections[0]->socket->hangUp();
     ASSERT_TRUE(runUntilDone(*closed));
-    EXPECT_EQ(closed->how, send_end::Whole);
+    EXPECT_EQ(closed->how, send_result::Complete);
     const auto reset = send("a");
     ASSERT_TRUE(runUntilReceived(1, "a"));
     respond(1, open);
     runRounds(20);
     m_connections[1]->socket->reset();
     ASSERT_TRUE(runUntilDone(*reset));
-    EXPECT_EQ(reset->how, send_end::Broken);
+    EXPECT_EQ(reset->how, send_result::Broken);
 }
 
 TEST_F(pool_test, TruncatedResponseIsBroken)
@@ -366,7 +366,7 @@
         respond(at, bytes);
         m_connections[at]->socket->hangUp();
         ASSERT_TRUE(runUntilDone(*outcome));
-        EXPECT_EQ(outcome->how, send_end::Broken) << bytes;
+        EXPECT_EQ(outcome->how, send_result::Broken) << bytes;
     }
 }
 
@@ -382,7 +382,7 @@
     ASSERT_TRUE(runUntilReceived(0, "b"));
     m_connections[0]->socket->reset();
     ASSERT_TRUE(runUntilDone(*second));
-    EXPECT_EQ(second->how, send_end::Broken);
+    EXPECT_EQ(second->how, send_result::Broken);
     runRounds(50);
     acceptAndReceive();
     EXPECT_EQ(m_connections.size(), 1U);
@@ -399,7 +399,7 @@
         return true;
     };
     calls.onBody = [](const std::string &) {};
-    calls.onEnd = [outcome](send_end how, const error &) {
+    calls.onEnd = [outcome](send_result how, const error &) {
         outcome->done = true;
         outcome->how = how;
     };
@@ -420,7 +420,7 @@
     ASSERT_TRUE(runUntil([&] {
         return outcome->done;
     }));
-    EXPECT_EQ(outcome->how, send_end::Whole);
+    EXPECT_EQ(outcome->how, send_result::Complete);
     EXPECT_EQ(outcome->status, 200);
     const auto next = send("b");
     ASSERT_TRUE(runUntilReceived(1, "b"));
@@ -434,7 +434,7 @@
     m_listener->hangUp();
     const auto outcome = send("a");
     ASSERT_TRUE(runUntilDone(*outcome));
-    EXPECT_EQ(outcome->how, send_end::Unsent);
+    EXPECT_EQ(outcome->how, send_result::NotSent);
 }
 
 TEST_F(pool_test, CancelledSendClosesItsConnection)
@@ -444,7 +444,7 @@
         return true;
     };
     calls.onBody = [](const std::string &) {};
-    calls.onEnd = [](send_end, const error &) {
+    calls.onEnd = [](send_result, const error &) {
         FAIL() << "a cancelled send must not call back";
     };
     const auto id =
