--- a/packages/coordination/membership_task.cpp
+++ b/packages/coordination/membership_task.cpp
@@ -90,7 +90,7 @@
 void membership_task::send(const std::vector<outgoing_datagram> &datagrams)
 {
     for (const outgoing_datagram &outgoing : datagrams) {
-        m_link.datagram(outgoing.to, outgoing.datagram);
+        m_link.sendDatagram(outgoing.to, outgoing.datagram);
     }
 }
 
--- a/packages/daemon/daemon.cpp
+++ b/packages/daemon/daemon.cpp
@@ -186,7 +186,7 @@
             cut("the time limit");
         });
         m_check = m_loop.timer({drainCheckMs}, {drainCheckMs}, [this] {
-            if (m_graceOver && m_ownerDrained && m_entry->open() == 0 && m_server->busy() == 0) {
+            if (m_graceOver && m_ownerDrained && m_entry->open() == 0 && m_server->activeRequests() == 0) {
                 spdlog::info("daemon: Nothing is in progress. Bye.");
                 m_loop.stop();
             }
--- a/packages/daemon/peer_router.cpp
+++ b/packages/daemon/peer_router.cpp
@@ -28,7 +28,7 @@
                 m_link->close(name);
             } else if (replaced) {
                 // The new process may be linked already; only the old one's requests are lost.
-                m_link->closeOlder(name, found->second.incarnation);
+                m_link->closeOlderIncarnations(name, found->second.incarnation);
             }
             if (gone || replaced) {
                 m_bus.post(peer_unreachable{name});
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -321,7 +321,7 @@
         .add("silent_ms", bootNow() - m_lastPeerDatagramAt);
     m_front.setIsolated(isolated);
     m_orderer.setAlone(isolated);
-    m_callers->setClosing(isolated || m_shuttingDown);
+    m_callers->setCloseAfterResponse(isolated || m_shuttingDown);
 }
 
 void daemon_impl::sendHeartbeats()
@@ -434,7 +434,7 @@
     m_shuttingDown = true;
     m_shutdownBeganAt = bootNow();
     m_log.important("process.ending").add("active", static_cast<std::int64_t>(m_front.active()));
-    m_callers->closeAfterAnswers(idleTimeoutAtShutdown);
+    m_callers->closeAfterResponses(idleTimeoutAtShutdown);
     m_handles.push_back(m_loop.timer(shutdownCheckInterval, shutdownCheckInterval, [this] {
         checkShutdown();
     }));
@@ -443,7 +443,8 @@
 void daemon_impl::checkShutdown()
 {
     const millis since = bootNow() - m_shutdownBeganAt;
-    const bool idle = m_front.active() == 0 && m_callers->busy() == 0 && m_callers->connections() == 0;
+    const bool idle =
+        m_front.active() == 0 && m_callers->activeRequests() == 0 && m_callers->connections() == 0;
     const bool timeUp = since > m_settings.shutdown - shutdownMargin;
     if (since > handOverAfter && !m_handedOver) {
         m_handedOver = true;
--- a/packages/serving/front_task.cpp
+++ b/packages/serving/front_task.cpp
@@ -127,7 +127,7 @@
         refuse(pending, "this instance is ending", retryAfterOtherInstance);
         return;
     }
-    pending->reply->onGone([this, weak = std::weak_ptr<pending_request>(pending)] {
+    pending->reply->onDisconnect([this, weak = std::weak_ptr<pending_request>(pending)] {
         if (const auto locked = weak.lock()) {
             abandonServer(locked, slot_event::Ended);
             finish(locked, "caller_left");
--- a/packages/transport/backend_pool.cpp
+++ b/packages/transport/backend_pool.cpp
@@ -84,7 +84,7 @@
         std::string out;
         std::size_t sent = 0;
         std::string in;
-        http_reader reader{http_side::Answer, {}};
+        http_reader reader{http_side::Response, {}};
         bool noBody = false;
         bool headTold = false;
         bool dropping = false; ///< this answer belongs to another request
@@ -265,7 +265,7 @@
         return;
     }
     if (got == 0) {
-        const bool whole = one.headTold && !one.dropping && one.reader.finishAtEnd();
+        const bool whole = one.headTold && !one.dropping && one.reader.finishAtEof();
         if (whole) {
             onWhole(id, one);
         } else {
@@ -295,7 +295,7 @@
     std::size_t used = 0;
     const read_state state = one.reader.feed(one.in, used);
     one.in.erase(0, used);
-    if (state == read_state::Bad) {
+    if (state == read_state::Invalid) {
         end(id, send_end::Broken, "the server's answer is no HTTP");
         return false;
     }
@@ -320,7 +320,7 @@
         return false;
     }
     if (interim || one.dropping) {
-        one.reader = http_reader(http_side::Answer, {});
+        one.reader = http_reader(http_side::Response, {});
         if (one.noBody) {
             one.reader.expectNoBody();
         }
--- a/packages/transport/front_server.cpp
+++ b/packages/transport/front_server.cpp
@@ -66,10 +66,10 @@
 {
     std::size_t hosts = 0;
     for (const http_field &field : head.fields) {
-        if (sameText(field.name, "transfer-encoding") && !sameText(field.value, "chunked")) {
+        if (equalsIgnoreCase(field.name, "transfer-encoding") && !equalsIgnoreCase(field.value, "chunked")) {
             return false;
         }
-        hosts += sameText(field.name, "host") ? 1 : 0;
+        hosts += equalsIgnoreCase(field.name, "host") ? 1 : 0;
     }
     return hosts == 1;
 }
@@ -138,12 +138,12 @@
     {
         m_limits = limits;
     }
-    void closeAfterAnswers(millis idle) override
+    void closeAfterResponses(millis idle) override
     {
         m_closing = true;
-        m_limits.idleTime = idle;
+        m_limits.idleTimeout = idle;
     }
-    void setClosing(bool closing) override
+    void setCloseAfterResponse(bool closing) override
     {
         m_closing = closing;
     }
@@ -154,7 +154,7 @@
         m_listenWatch.reset();
         m_listener = owned_fd();
     }
-    std::size_t busy() const override;
+    std::size_t activeRequests() const override;
     std::size_t connections() const override
     {
         return m_connections.size();
@@ -173,7 +173,7 @@
 private:
     http_reader newReader() const
     {
-        return {http_side::Request, {m_limits.headBytes, m_limits.bodyBytes}};
+        return {http_side::Request, {m_limits.maxHeadBytes, m_limits.maxBodyBytes}};
     }
     void acceptAll();
     void onEvents(connection &one, int events);
@@ -273,13 +273,13 @@
             m_host->close(*one);
         }
     }
-    void onGone(std::function<void()> call) override
+    void onDisconnect(std::function<void()> call) override
     {
         if (auto one = open()) {
             one->gone = std::move(call);
         }
     }
-    std::size_t pending() const override
+    std::size_t pendingBytes() const override
     {
         const auto one = open();
         return one ? one->out.size() - one->sent : 0;
@@ -325,7 +325,7 @@
     return true;
 }
 
-std::size_t front_impl::busy() const
+std::size_t front_impl::activeRequests() const
 {
     std::size_t count = 0;
     for (const auto &[id, one] : m_connections) {
@@ -417,7 +417,7 @@
         std::size_t used = 0;
         const read_state state = one.reader.feed(one.in, used);
         one.in.erase(0, used);
-        if (state == read_state::Bad) {
+        if (state == read_state::Invalid) {
             switch (one.reader.fault()) {
             case read_fault::HeadTooLarge:
                 refuse(one, 431);
@@ -430,13 +430,13 @@
                 return;
             }
         }
-        if (state == read_state::Head && one.in.size() > m_limits.headBytes) {
+        if (state == read_state::Head && one.in.size() > m_limits.maxHeadBytes) {
             refuse(one, 431);
             return;
         }
         if (state == read_state::Body) {
             const std::string *expect = findField(one.reader.head(), "expect");
-            if (expect != nullptr && sameText(*expect, "100-continue") && !one.continued) {
+            if (expect != nullptr && equalsIgnoreCase(*expect, "100-continue") && !one.continued) {
                 one.continued = true;
                 append(one, "HTTP/1.1 100 Continue\r\n\r\n");
             }
@@ -588,8 +588,8 @@
         const millis quiet = now - one->lastByte;
         const bool reading = one->at == phase::Reading;
         const bool inHead = reading && one->headBegan.count != 0 && one->reader.state() == read_state::Head;
-        const bool headLate = inHead && now - one->headBegan > m_limits.headTime;
-        const bool idleLate = reading && one->out.empty() && quiet > m_limits.idleTime;
+        const bool headLate = inHead && now - one->headBegan > m_limits.headTimeout;
+        const bool idleLate = reading && one->out.empty() && quiet > m_limits.idleTimeout;
         const bool lingerLate = one->at == phase::Lingering && quiet > lingerTime;
         if (headLate || idleLate || lingerLate) {
             late.push_back(one);
--- a/packages/transport/front_server.h
+++ b/packages/transport/front_server.h
@@ -17,10 +17,10 @@
 /// What a caller may send and how long it may take.
 struct front_limits
 {
-    std::uint32_t headBytes = 16 * 1024;
-    std::uint64_t bodyBytes = 4ULL * 1024 * 1024;
-    millis headTime{3'000}; ///< from a request's first byte to the end of its head
-    millis idleTime{15'000}; ///< without a byte, between requests and within a body
+    std::uint32_t maxHeadBytes = 16 * 1024;
+    std::uint64_t maxBodyBytes = 4ULL * 1024 * 1024;
+    millis headTimeout{3'000}; ///< from a request's first byte to the end of its head
+    millis idleTimeout{15'000}; ///< without a byte, between requests and within a body
 };
 
 /// A caller's request, whole.
@@ -44,9 +44,9 @@
     /// Breaks the connection off, so that the caller sees that the answer is not whole.
     virtual void abort() = 0;
     /// Called once if the caller closes its connection before the answer is whole.
-    virtual void onGone(std::function<void()> call) = 0;
+    virtual void onDisconnect(std::function<void()> call) = 0;
     /// Bytes written and not yet taken by the socket.
-    virtual std::size_t pending() const = 0;
+    virtual std::size_t pendingBytes() const = 0;
 };
 
 /// HTTP towards callers, on the loop. It keeps what libmicrohttpd would change or hide: the target as sent,
@@ -64,13 +64,13 @@
     /// In force for heads that begin after the call.
     virtual void setLimits(const front_limits &limits) = 0;
     /// From now on each answer closes its connection, and idle connections are closed after `idle`.
-    virtual void closeAfterAnswers(millis idle) = 0;
+    virtual void closeAfterResponses(millis idle) = 0;
     /// While set, each answer closes its connection: its caller is to come back to another daemon.
-    virtual void setClosing(bool closing) = 0;
+    virtual void setCloseAfterResponse(bool closing) = 0;
     /// Takes no further connections; those that wait to be taken are taken first.
     virtual void stopListening() = 0;
     /// Requests that are being worked on.
-    virtual std::size_t busy() const = 0;
+    virtual std::size_t activeRequests() const = 0;
     virtual std::size_t connections() const = 0;
 };
 
--- a/packages/transport/header_text.cpp
+++ b/packages/transport/header_text.cpp
@@ -36,7 +36,7 @@
     });
 }
 
-std::optional<int> statusOf(std::string_view line)
+std::optional<int> parseStatusLine(std::string_view line)
 {
     if (!line.starts_with("HTTP/")) {
         return std::nullopt;
--- a/packages/transport/header_text.h
+++ b/packages/transport/header_text.h
@@ -14,7 +14,7 @@
 bool hasControlBytes(std::string_view text);
 
 /// The status of a line like "HTTP/1.1 200 OK", or nothing if it is no status line.
-std::optional<int> statusOf(std::string_view line);
+std::optional<int> parseStatusLine(std::string_view line);
 
 /// Adds a "Name: value" line. The values of a repeated header are joined by a comma.
 void addHeader(std::map<std::string, std::string> &headers, std::string_view line);
--- a/packages/transport/http_client.cpp
+++ b/packages/transport/http_client.cpp
@@ -269,7 +269,7 @@
 {
     auto &result = static_cast<transfer *>(self)->result;
     const std::string_view line(data, size * count);
-    if (const auto status = detail::statusOf(line)) {
+    if (const auto status = detail::parseStatusLine(line)) {
         // Interim answers (1xx) and their headers are not the answer.
         result.status = *status >= firstFinalStatus ? *status : 0;
         result.headers.clear();
--- a/packages/transport/http_exchange.cpp
+++ b/packages/transport/http_exchange.cpp
@@ -140,7 +140,7 @@
     }
 }
 
-std::size_t reply_handle::pending() const
+std::size_t reply_handle::pendingBytes() const
 {
     return m_target->out.size() - m_target->taken;
 }
--- a/packages/transport/http_exchange.h
+++ b/packages/transport/http_exchange.h
@@ -95,7 +95,7 @@
     void end() override;
     void abort() override;
     void onClosed(std::function<void()> call) override;
-    std::size_t pending() const override;
+    std::size_t pendingBytes() const override;
 
 private:
     exchange_ptr m_target;
--- a/packages/transport/http_server.cpp
+++ b/packages/transport/http_server.cpp
@@ -93,7 +93,7 @@
 
     bool start(const std::string &address, std::uint16_t port, error &why);
     std::uint16_t port() const override;
-    std::size_t busy() const override;
+    std::size_t activeRequests() const override;
     void stopListening() override;
 
 private:
@@ -222,7 +222,7 @@
     return m_port;
 }
 
-std::size_t server_impl::busy() const
+std::size_t server_impl::activeRequests() const
 {
     return m_exchanges.size();
 }
--- a/packages/transport/http_server.h
+++ b/packages/transport/http_server.h
@@ -46,7 +46,7 @@
     /// then aborted. A caller that closes its sending side counts as gone only if this was set.
     virtual void onClosed(std::function<void()> call) = 0;
     /// Bytes written and not yet taken by the socket.
-    virtual std::size_t pending() const = 0;
+    virtual std::size_t pendingBytes() const = 0;
 };
 
 /// HTTP towards callers and operators, by libmicrohttpd driven from the loop.
@@ -61,7 +61,7 @@
     virtual ~http_server() = default;
     virtual std::uint16_t port() const = 0;
     /// Connections that have a request in progress.
-    virtual std::size_t busy() const = 0;
+    virtual std::size_t activeRequests() const = 0;
     /// Takes no further connections; those in progress go on. Answers begun after this close theirs.
     virtual void stopListening() = 0;
 };
--- a/packages/transport/http_wire.cpp
+++ b/packages/transport/http_wire.cpp
@@ -53,8 +53,8 @@
     explicit collector(const http_reader::limits &bounds)
     {
         base::eager(true);
-        base::header_limit(bounds.headBytes);
-        base::body_limit(bounds.bodyBytes);
+        base::header_limit(bounds.maxHeadBytes);
+        base::body_limit(bounds.maxBodyBytes);
     }
     std::size_t put(std::string_view bytes, error_code &code) override
     {
@@ -145,7 +145,7 @@
 
 }
 
-bool sameText(std::string_view a, std::string_view b)
+bool equalsIgnoreCase(std::string_view a, std::string_view b)
 {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
         return lower(x) == lower(y);
@@ -155,7 +155,7 @@
 const std::string *findField(const http_head &head, std::string_view name)
 {
     for (const http_field &field : head.fields) {
-        if (sameText(field.name, name)) {
+        if (equalsIgnoreCase(field.name, name)) {
             return &field.value;
         }
     }
@@ -200,7 +200,7 @@
 read_state http_reader::feed(std::string_view bytes, std::size_t &used)
 {
     used = 0;
-    while (m_impl->state != read_state::Done && m_impl->state != read_state::Bad && used < bytes.size()) {
+    while (m_impl->state != read_state::Done && m_impl->state != read_state::Invalid && used < bytes.size()) {
         error_code code;
         const std::size_t taken = m_impl->parser->put(bytes.substr(used), code);
         used += taken;
@@ -209,7 +209,7 @@
             break;
         }
         if (code) {
-            m_impl->state = read_state::Bad;
+            m_impl->state = read_state::Invalid;
             m_impl->fault = faultOf(code);
         } else if (taken == 0) {
             break;
@@ -218,7 +218,7 @@
     return m_impl->state;
 }
 
-bool http_reader::finishAtEnd()
+bool http_reader::finishAtEof()
 {
     if (m_impl->state != read_state::Body || !m_impl->parser->needsEnd()) {
         return m_impl->state == read_state::Done;
--- a/packages/transport/http_wire.h
+++ b/packages/transport/http_wire.h
@@ -29,12 +29,12 @@
 /// The value of the first field of that name in any case, or null.
 const std::string *findField(const http_head &head, std::string_view name);
 /// Whether `a` and `b` are the same but for the case of ASCII letters.
-bool sameText(std::string_view a, std::string_view b);
+bool equalsIgnoreCase(std::string_view a, std::string_view b);
 
 enum class http_side : std::uint8_t
 {
     Request,
-    Answer,
+    Response,
 };
 
 enum class read_state : std::uint8_t
@@ -42,7 +42,7 @@
     Head, ///< the head is still coming in
     Body, ///< the head is there, the body is coming in
     Done,
-    Bad, ///< no HTTP message, or over a limit; `fault` says which
+    Invalid, ///< no HTTP message, or over a limit; `fault` says which
 };
 
 enum class read_fault : std::uint8_t
@@ -61,8 +61,8 @@
 public:
     struct limits
     {
-        std::uint32_t headBytes = 64 * 1024;
-        std::uint64_t bodyBytes = 64ULL * 1024 * 1024;
+        std::uint32_t maxHeadBytes = 64 * 1024;
+        std::uint64_t maxBodyBytes = 64ULL * 1024 * 1024;
     };
 
     http_reader(http_side side, limits bounds);
@@ -76,7 +76,7 @@
     /// more behind it.
     read_state feed(std::string_view bytes, std::size_t &used);
     /// The stream has ended in order. True if that completes the message (one without a length).
-    bool finishAtEnd();
+    bool finishAtEof();
 
     read_state state() const;
     read_fault fault() const;
--- a/packages/transport/peer_link.cpp
+++ b/packages/transport/peer_link.cpp
@@ -48,11 +48,11 @@
     peer_link_impl &operator=(const peer_link_impl &) = delete;
 
     std::uint16_t port() const override;
-    void datagram(const peer_address &to, const peer_datagram &datagram) override;
+    void sendDatagram(const peer_address &to, const peer_datagram &datagram) override;
     bool send(const std::string &name, const peer_address &to, const peer_message &message) override;
-    std::size_t pending(const std::string &name) const override;
+    std::size_t queuedBytes(const std::string &name) const override;
     void close(const std::string &name) override;
-    void closeOlder(const std::string &name, std::uint64_t incarnation) override;
+    void closeOlderIncarnations(const std::string &name, std::uint64_t incarnation) override;
     const peer_counters &counters() const override;
 
 private:
@@ -122,7 +122,7 @@
     return m_self.counters;
 }
 
-void peer_link_impl::datagram(const peer_address &to, const peer_datagram &datagram)
+void peer_link_impl::sendDatagram(const peer_address &to, const peer_datagram &datagram)
 {
     const auto address = toSocketAddress(to);
     if (!address) {
@@ -231,7 +231,7 @@
     if (record.breaking || queued.bytes.size() > maxFrameBytes || name == m_self.name) {
         return false;
     }
-    if (pending(name) + size > maxQueuedBytes) {
+    if (queuedBytes(name) + size > maxQueuedBytes) {
         // The peer takes nothing any more. Holding more for it would end in running out of memory, and
         // what is held is too old to be of use; its senders are told by onBroken.
         breakLater(name);
@@ -261,7 +261,7 @@
     return true;
 }
 
-std::size_t peer_link_impl::pending(const std::string &name) const
+std::size_t peer_link_impl::queuedBytes(const std::string &name) const
 {
     const auto found = m_peers.find(name);
     if (found == m_peers.end()) {
@@ -279,7 +279,7 @@
     }
 }
 
-void peer_link_impl::closeOlder(const std::string &name, std::uint64_t incarnation)
+void peer_link_impl::closeOlderIncarnations(const std::string &name, std::uint64_t incarnation)
 {
     const auto found = m_peers.find(name);
     if (found != m_peers.end() && !found->second.ready.empty()
--- a/packages/transport/peer_link.h
+++ b/packages/transport/peer_link.h
@@ -66,16 +66,16 @@
     virtual ~peer_link() = default;
     virtual std::uint16_t port() const = 0;
 
-    virtual void datagram(const peer_address &to, const peer_datagram &datagram) = 0;
+    virtual void sendDatagram(const peer_address &to, const peer_datagram &datagram) = 0;
     /// Queues a frame, connecting first where no link stands (either side's connection is used). False:
     /// certain that nothing was or will be sent.
     virtual bool send(const std::string &name, const peer_address &to, const peer_message &message) = 0;
     /// Bytes queued on the link to a peer.
-    virtual std::size_t pending(const std::string &name) const = 0;
+    virtual std::size_t queuedBytes(const std::string &name) const = 0;
     /// Ends the links to a peer, found dead by other means; onBroken follows where there was one.
     virtual void close(const std::string &name) = 0;
     /// The same for links to the peer's processes before `incarnation` only.
-    virtual void closeOlder(const std::string &name, std::uint64_t incarnation) = 0;
+    virtual void closeOlderIncarnations(const std::string &name, std::uint64_t incarnation) = 0;
     virtual const peer_counters &counters() const = 0;
 };
 
--- a/tests/serving/backend_standin.cpp
+++ b/tests/serving/backend_standin.cpp
@@ -235,7 +235,7 @@
         reply->abort();
         return;
     case behavior::Silent:
-        reply->onGone([this] {
+        reply->onDisconnect([this] {
             ++callersGone;
         });
         m_held.emplace_back(requestId, reply);
--- a/tests/serving/edge_process_test.cpp
+++ b/tests/serving/edge_process_test.cpp
@@ -83,7 +83,7 @@
         char *arguments[] = {program.data(), argument.data(), nullptr};
         ASSERT_EQ(posix_spawn(&m_pid, program.c_str(), &files, nullptr, arguments, environ), 0);
         posix_spawn_file_actions_destroy(&files);
-        const millis end = bootNow() + http_testing::patience;
+        const millis end = bootNow() + http_testing::testTimeout;
         while (!m_isReady && bootNow() < end) {
             m_isReady = ready();
             runRounds(20);
--- a/tests/serving/platform_test.cpp
+++ b/tests/serving/platform_test.cpp
@@ -253,7 +253,7 @@
     EXPECT_EQ(config->routes[2].kind, route_kind::Once) << "what isn't known must not be repeated";
     EXPECT_EQ(engineOf(*config, "s1")->adapterSlots, 5);
     EXPECT_EQ(engineOf(*config, "s2"), nullptr);
-    EXPECT_EQ(config->limits.idleTime.count, 15'000);
+    EXPECT_EQ(config->limits.idleTimeout.count, 15'000);
     EXPECT_NE(findRoute(*config, "h.example", "/a/1"), nullptr);
 }
 
--- a/tests/serving/wire_test.cpp
+++ b/tests/serving/wire_test.cpp
@@ -95,8 +95,8 @@
 TEST_F(wire_test, LimitsOnHeadAndBodyAnswerWithTheirStatus)
 {
     front_limits limits;
-    limits.headBytes = 2'000;
-    limits.bodyBytes = 1'000;
+    limits.maxHeadBytes = 2'000;
+    limits.maxBodyBytes = 1'000;
     serve(limits);
     EXPECT_EQ(
         exchange(head + "X: " + std::string(3'000, 'x') + "\r\n\r\n", "431").substr(0, 12), "HTTP/1.1 431");
@@ -109,7 +109,7 @@
 TEST_F(wire_test, ASlowHeadIsEnded)
 {
     front_limits limits;
-    limits.headTime = {150};
+    limits.headTimeout = {150};
     serve(limits);
     EXPECT_EQ(exchange("POST / HTTP/1.1\r\nHo", "408").substr(0, 12), "HTTP/1.1 408");
 }
@@ -141,7 +141,7 @@
         return m_open.size() == 1;
     }));
     bool gone = false;
-    m_open[0]->onGone([&] {
+    m_open[0]->onDisconnect([&] {
         gone = true;
     });
     caller->hangUp();
@@ -177,7 +177,7 @@
     ASSERT_TRUE(runUntil([&] {
         return m_open.size() == 1;
     }));
-    m_front->closeAfterAnswers({200});
+    m_front->closeAfterResponses({200});
     m_front->stopListening();
     m_open[0]->respond(200, {}, "x");
     std::string seen;
--- a/tests/soak/crashing_request_test.cpp
+++ b/tests/soak/crashing_request_test.cpp
@@ -87,7 +87,7 @@
     }
     void crashServers(std::size_t count)
     {
-        const millis end = bootNow() + http_testing::patience;
+        const millis end = bootNow() + http_testing::testTimeout;
         for (std::size_t i = 0; m_fatalRuns < count && bootNow() < end; ++i) {
             answerTo(m_daemons[i % m_daemons.size()], fatalBody);
         }
@@ -140,7 +140,7 @@
     for (const auto &[id, server] : m_servers) {
         server->fatalBody.clear();
     }
-    const millis end = bootNow() + probeDelays[0] + http_testing::patience;
+    const millis end = bootNow() + probeDelays[0] + http_testing::testTimeout;
     std::size_t served = 0;
     while (served < m_daemons.size() && bootNow() < end) {
         runRounds(100);
--- a/tests/soak/fleet_fixture.h
+++ b/tests/soak/fleet_fixture.h
@@ -103,7 +103,7 @@
             start(daemon, BRIARHEAD_EDGE);
         }
         for (const daemon_process &daemon : m_daemons) {
-            const millis end = bootNow() + http_testing::patience;
+            const millis end = bootNow() + http_testing::testTimeout;
             bool ready = false;
             while (!ready && bootNow() < end) {
                 runRounds(20);
--- a/tests/unit/http_client_test.cpp
+++ b/tests/unit/http_client_test.cpp
@@ -265,7 +265,7 @@
     EXPECT_EQ(data, 1);
     EXPECT_EQ(done, 0);
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
--- a/tests/unit/http_fixture.h
+++ b/tests/unit/http_fixture.h
@@ -22,7 +22,7 @@
 namespace briarhead::http_testing {
 
 /// Long enough for a loaded machine; a test that reaches it has failed.
-inline constexpr millis patience{20'000};
+inline constexpr millis testTimeout{20'000};
 inline constexpr std::size_t bodyLimit = 100'000;
 inline constexpr auto loopback = "127.0.0.1";
 
@@ -143,7 +143,7 @@
     /// Runs the loop until the condition holds; false after the bound.
     bool runUntil(const std::function<bool()> &condition)
     {
-        const millis end = bootNow() + patience;
+        const millis end = bootNow() + testTimeout;
         bool held = condition();
         const auto check = m_loop.timer({1}, {1}, [&] {
             held = condition();
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -39,7 +39,7 @@
     EXPECT_EQ(request.headers.at("content-type"), "application/json");
     EXPECT_FALSE(request.headers.contains("expect"));
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
@@ -58,7 +58,7 @@
     ASSERT_TRUE(runUntil([&] {
         return m_requests.size() == calls;
     }));
-    EXPECT_EQ(m_server->busy(), static_cast<std::size_t>(calls));
+    EXPECT_EQ(m_server->activeRequests(), static_cast<std::size_t>(calls));
     for (std::size_t i = m_requests.size(); i-- > 0;) {
         m_replies[i]->respond(200, {}, "for " + m_requests[i].path);
     }
@@ -106,7 +106,7 @@
     EXPECT_EQ(statusAtData, 200);
     EXPECT_EQ(typeAtData, "text/event-stream");
     EXPECT_FALSE(result);
-    EXPECT_EQ(m_replies[0]->pending(), 0U);
+    EXPECT_EQ(m_replies[0]->pendingBytes(), 0U);
     m_replies[0]->end();
     ASSERT_TRUE(runUntil([&] {
         return result.has_value();
@@ -114,7 +114,7 @@
     EXPECT_TRUE(result->complete);
     EXPECT_TRUE(result->body.empty());
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
@@ -157,7 +157,7 @@
     for (std::size_t at = 0; at < expected.size(); at += 7'777) {
         m_replies[0]->write(std::string_view(expected).substr(at, 7'777));
     }
-    EXPECT_GT(m_replies[0]->pending(), 0U);
+    EXPECT_GT(m_replies[0]->pendingBytes(), 0U);
     m_replies[0]->end();
     ASSERT_TRUE(runUntil([&] {
         return result.has_value();
@@ -183,7 +183,7 @@
     m_replies[0]->begin(200, {});
     m_replies[0]->write("half of the pl");
     ASSERT_TRUE(runUntil([&] {
-        return m_replies[0]->pending() == 0;
+        return m_replies[0]->pendingBytes() == 0;
     }));
     m_replies[0]->abort();
     ASSERT_TRUE(runUntil([&] {
@@ -194,7 +194,7 @@
     EXPECT_TRUE(result->sent);
     EXPECT_EQ(result->why.kind, error_kind::ConnectionLost);
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
@@ -230,13 +230,13 @@
     // Full is when nothing was taken for a while; the kernel grows its buffers meanwhile.
     std::size_t before = 0;
     do {
-        before = m_replies[0]->pending();
+        before = m_replies[0]->pendingBytes();
         runRounds(50);
-    } while (m_replies[0]->pending() != before);
+    } while (m_replies[0]->pendingBytes() != before);
     ASSERT_GT(before, 0U);
     m_replies[0]->abort();
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
@@ -247,7 +247,7 @@
     listen([](const http_request &, const std::shared_ptr<http_reply> &) {});
     EXPECT_FALSE(get(url("/")).complete);
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
@@ -272,7 +272,7 @@
         return closed == 1;
     }));
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
     m_replies[0]->respond(200, {}, "too late");
     runRounds(5);
@@ -305,7 +305,7 @@
         return closed == 1;
     }));
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
@@ -330,7 +330,7 @@
         return closed == 1;
     }));
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
@@ -474,7 +474,7 @@
     }
     EXPECT_EQ(get(url("/")).body, "ok");
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
--- a/tests/unit/peer_link_test.cpp
+++ b/tests/unit/peer_link_test.cpp
@@ -127,7 +127,7 @@
     EXPECT_GT(a.link->counters().controlBytesIn, 0U);
     EXPECT_LT(a.link->counters().controlBytesOut, a.link->counters().frameBytesOut);
     EXPECT_EQ(a.link->counters().framesOut, expected.size());
-    EXPECT_EQ(a.link->pending("b"), 0U);
+    EXPECT_EQ(a.link->queuedBytes("b"), 0U);
 }
 
 TEST(peer_link, carriesDatagramsAndLargeMessages)
@@ -138,7 +138,7 @@
     peer_datagram sent;
     sent.from = "a";
     sent.sequence = 5;
-    a.link->datagram(b.address(), sent);
+    a.link->sendDatagram(b.address(), sent);
     EXPECT_TRUE(a.link->send("b", b.address(), bytesMessage(1, maxFrameBytes - 100)));
     EXPECT_FALSE(a.link->send("b", b.address(), bytesMessage(2, maxFrameBytes + 1)));
     ASSERT_TRUE(runUntil(events, [&] {
@@ -258,7 +258,7 @@
         return !a.broken.empty();
     }));
     EXPECT_EQ(a.unsent.size(), taken);
-    EXPECT_EQ(a.link->pending("b"), 0U);
+    EXPECT_EQ(a.link->queuedBytes("b"), 0U);
 }
 
 TEST(peer_link, tellsOfALinkThatWasClosedHere)
@@ -270,7 +270,7 @@
     ASSERT_TRUE(runUntil(events, [&] {
         return b.messages.size() == 1;
     }));
-    a.link->closeOlder("b", 1);
+    a.link->closeOlderIncarnations("b", 1);
     a.link->send("b", b.address(), bytesMessage(2));
     ASSERT_TRUE(runUntil(events, [&] {
         return b.messages.size() == 2;
@@ -289,7 +289,7 @@
     end_point a(events, "a");
     end_point b(events, "b", 1, otherKey);
     b.link->send("a", a.address(), bytesMessage(1));
-    b.link->datagram(a.address(), {probe_kind::Ping, "b"});
+    b.link->sendDatagram(a.address(), {probe_kind::Ping, "b"});
     ASSERT_TRUE(runUntil(events, [&] {
         return a.link->counters().dropped == 2 && b.broken.size() == 1;
     }));
