--- a/packages/transport/bus.h
+++ b/packages/transport/bus.h
@@ -11,8 +11,9 @@
 
 namespace briarhead {
 
-/// Typed messages between the tasks of one process. A task owns its state and its sockets; others
-/// reach it only by a message. Delivery is queued on the loop, in order, so handlers never nest.
+/// Delivers typed messages between the tasks of one process. A task owns its state and sockets, and other
+/// tasks interact with it only through messages. Messages are queued on the loop and delivered in order, so
+/// handlers never nest.
 class bus
 {
 public:
@@ -21,26 +22,27 @@
     {
     }
 
-    /// Registers a handler for every message of type `message`.
+    /// Registers a handler for all messages of type `message`. Handlers cannot be removed.
     template <class message>
     void on(std::function<void(const message &)> handler)
     {
-        m_handlers[typeid(message)].push_back([call = std::move(handler)](const std::any &any) {
-            call(std::any_cast<const message &>(any));
-        });
+        m_handlers[typeid(message)].push_back(
+            [typedHandler = std::move(handler)](const std::any &payload) {
+                typedHandler(std::any_cast<const message &>(payload));
+            });
     }
 
     /// Queues a message for all handlers of its type.
     template <class message>
     void post(message value)
     {
-        m_loop.post([this, any = std::any(std::move(value))] {
-            const auto found = m_handlers.find(any.type());
+        m_loop.post([this, payload = std::any(std::move(value))] {
+            const auto found = m_handlers.find(payload.type());
             if (found == m_handlers.end()) {
                 return;
             }
             for (const auto &handler : found->second) {
-                handler(any);
+                handler(payload);
             }
         });
     }
--- a/packages/transport/fence.cpp
+++ b/packages/transport/fence.cpp
@@ -24,19 +24,19 @@
 constexpr int noSocket = -1;
 constexpr std::int64_t msPerSecond = 1'000;
 constexpr std::int64_t nsPerMs = 1'000'000;
-/// Above the first real-time signals, which debuggers and profilers like to take.
+/// Offset from SIGRTMIN; debuggers and profilers often use the first real-time signals.
 constexpr int signalOffset = 5;
 
 enum class fence_state : int
 {
-    Idle, ///< not armed; orders aren't sent, sockets are left alone
+    Idle, ///< not armed: no orders are sent, sockets stay open
     Armed,
-    Fallen, ///< the end passed; sockets are cut off
+    Expired, ///< the lease has ended: sockets are reset
 };
 
-/// What the signal handler reads and writes. It is reached from a handler, so it is static, of fixed size
-/// and made of lock-free atomics only.
-struct guarded_sockets
+/// State that the signal handler reads and writes. A signal handler may access it only because it is static,
+/// has a fixed size and consists of lock-free atomics.
+struct guard_state
 {
     std::array<std::atomic<int>, fence::maxSockets> fds;
     std::atomic<fence_state> state{fence_state::Idle};
@@ -46,51 +46,52 @@
 
 static_assert(std::atomic<int>::is_always_lock_free && std::atomic<std::int64_t>::is_always_lock_free
         && std::atomic<fence_state>::is_always_lock_free,
-    "the signal handler may only touch lock-free atomics");
+    "a signal handler may only access lock-free atomics");
 
-constinit guarded_sockets guarded{};
+constinit guard_state guard{};
 
 int fenceSignal()
 {
     return SIGRTMIN + signalOffset;
 }
 
-/// Cuts one socket off for good. Async-signal-safe.
-void cutOff(int fd)
+/// Resets the socket's connection and makes the socket unusable. Async-signal-safe.
+void resetSocket(int fd)
 {
-    // Connecting to "no address" resets a TCP connection and drops its send buffer. shutdown() alone would
-    // still deliver the buffer, with SO_LINGER 0 too, and close() would free a number that libcurl uses.
-    sockaddr nowhere{};
-    nowhere.sa_family = AF_UNSPEC;
-    static_cast<void>(::connect(fd, &nowhere, sizeof(nowhere)));
-    // A socket that had not connected yet, or that is connected once more, could still send; after this
-    // every send fails.
+    // Connecting to AF_UNSPEC resets a TCP connection and discards its send buffer. shutdown() alone would
+    // still deliver the buffer, even with SO_LINGER 0, and close() would free a descriptor number that
+    // libcurl still uses.
+    sockaddr unspecified{};
+    unspecified.sa_family = AF_UNSPEC;
+    static_cast<void>(::connect(fd, &unspecified, sizeof(unspecified)));
+    // A socket that was not yet connected, or is connected again, could still send. After shutdown() every
+    // send fails.
     ::shutdown(fd, SHUT_RDWR);
 }
 
-std::int64_t bootMs()
+std::int64_t bootClockMs()
 {
     timespec now{};
     clock_gettime(CLOCK_BOOTTIME, &now);
     return now.tv_sec * msPerSecond + now.tv_nsec / nsPerMs;
 }
 
-void onDeadline(int)
+void onLeaseEnd(int)
 {
     const int savedErrno = errno;
-    // The end is compared again: the signal may stem from a timer that has been set further since.
-    if (guarded.state == fence_state::Armed && bootMs() >= guarded.endMs) {
-        guarded.state = fence_state::Fallen;
-        for (const auto &fd : guarded.fds) {
+    // The signal may come from a timer that has since been set to a later time.
+    if (guard.state == fence_state::Armed && bootClockMs() >= guard.endMs) {
+        guard.state = fence_state::Expired;
+        for (const auto &fd : guard.fds) {
             if (fd != noSocket) {
-                cutOff(fd);
+                resetSocket(fd);
             }
         }
     }
     errno = savedErrno;
 }
 
-error systemFailure(const char *call)
+error systemCallError(const char *call)
 {
     return {error_kind::Internal, "fence", std::string(call) + ": " + std::strerror(errno)};
 }
@@ -99,24 +100,24 @@
 
 fence::fence()
 {
-    if (guarded.inUse.exchange(true)) {
-        m_failure = error{error_kind::Internal, "fence", "there is one already in this process"};
+    if (guard.inUse.exchange(true)) {
+        m_failure = error{error_kind::Internal, "fence", "another fence exists in this process"};
         return;
     }
-    m_owner = true;
-    for (auto &slot : guarded.fds) {
+    m_ownsGuard = true;
+    for (auto &slot : guard.fds) {
         slot = noSocket;
     }
-    guarded.state = fence_state::Idle;
+    guard.state = fence_state::Idle;
 
-    struct sigaction action
+    struct sigaction signalAction
     {
     };
-    action.sa_handler = onDeadline;
-    action.sa_flags = SA_RESTART;
-    sigfillset(&action.sa_mask);
-    if (sigaction(fenceSignal(), &action, nullptr) != 0) {
-        m_failure = systemFailure("sigaction");
+    signalAction.sa_handler = onLeaseEnd;
+    signalAction.sa_flags = SA_RESTART;
+    sigfillset(&signalAction.sa_mask);
+    if (sigaction(fenceSignal(), &signalAction, nullptr) != 0) {
+        m_failure = systemCallError("sigaction");
         return;
     }
     sigset_t unblocked;
@@ -130,22 +131,22 @@
     event.sigev_notify_thread_id = gettid();
     if (timer_create(CLOCK_BOOTTIME, &event, &m_timer) != 0) {
         m_timer = nullptr;
-        m_failure = systemFailure("timer_create");
+        m_failure = systemCallError("timer_create");
     }
 }
 
 fence::~fence()
 {
-    if (!m_owner) {
+    if (!m_ownsGuard) {
         return;
     }
     if (!m_failure) {
         timer_delete(m_timer);
-        // A signal that is still pending must not meet the default action, which ends the process.
+        // The default action of a signal that is still pending would terminate the process.
         signal(fenceSignal(), SIG_IGN);
     }
-    guarded.state = fence_state::Idle;
-    guarded.inUse = false;
+    guard.state = fence_state::Idle;
+    guard.inUse = false;
 }
 
 const std::optional<error> &fence::failure() const
@@ -155,23 +156,23 @@
 
 void fence::addSocket(int fd)
 {
-    const auto free = std::find_if(guarded.fds.begin(), guarded.fds.end(), [](const auto &slot) {
+    const auto unused = std::find_if(guard.fds.begin(), guard.fds.end(), [](const auto &slot) {
         return slot == noSocket;
     });
-    if (free == guarded.fds.end()) {
-        cutOff(fd);
+    if (unused == guard.fds.end()) {
+        resetSocket(fd);
         return;
     }
-    // Registered first and looked at second, so that a fall in between finds it one way or the other.
-    *free = fd;
-    if (guarded.state == fence_state::Fallen) {
-        cutOff(fd);
+    // Registered before the state is checked, so that a socket is reset also if the lease ends in between.
+    *unused = fd;
+    if (guard.state == fence_state::Expired) {
+        resetSocket(fd);
     }
 }
 
 void fence::removeSocket(int fd)
 {
-    for (auto &slot : guarded.fds) {
+    for (auto &slot : guard.fds) {
         if (slot == fd) {
             slot = noSocket;
         }
@@ -180,40 +181,40 @@
 
 bool fence::arm(millis end)
 {
-    return guarded.state != fence_state::Fallen && open(end);
+    return guard.state != fence_state::Expired && armUntil(end);
 }
 
 bool fence::rearm(millis end)
 {
-    return open(end);
+    return armUntil(end);
 }
 
-bool fence::open(millis end)
+bool fence::armUntil(millis end)
 {
     if (m_failure) {
         return false;
     }
-    if (guarded.state != fence_state::Armed && end.count <= bootMs()) {
+    if (guard.state != fence_state::Armed && end.count <= bootClockMs()) {
         return false;
     }
-    // The order of these three matters. The new end comes first, so that a signal of the old one that
-    // arrives here changes nothing before the new end. The timer comes last: a timer set to a time that
-    // has passed, because the process was paused on the way here, fires before this call returns.
-    guarded.endMs = end.count;
-    guarded.state = fence_state::Armed;
+    // The order of these three steps matters. The new end is stored first, so that a signal of the previous
+    // timer that arrives now has no effect before the new end. The timer is set last: if the process was
+    // paused here until after the end, the timer fires before this function returns.
+    guard.endMs = end.count;
+    guard.state = fence_state::Armed;
     if (!setTimer(end)) {
-        m_failure = systemFailure("timer_settime");
-        guarded.state = fence_state::Idle;
+        m_failure = systemCallError("timer_settime");
+        guard.state = fence_state::Idle;
     }
     return !fenced();
 }
 
 bool fence::setTimer(millis end)
 {
-    itimerspec when{};
-    when.it_value.tv_sec = end.count / msPerSecond;
-    when.it_value.tv_nsec = end.count % msPerSecond * nsPerMs;
-    return timer_settime(m_timer, TIMER_ABSTIME, &when, nullptr) == 0;
+    itimerspec expiry{};
+    expiry.it_value.tv_sec = end.count / msPerSecond;
+    expiry.it_value.tv_nsec = end.count % msPerSecond * nsPerMs;
+    return timer_settime(m_timer, TIMER_ABSTIME, &expiry, nullptr) == 0;
 }
 
 void fence::disarm()
@@ -221,14 +222,14 @@
     if (m_failure) {
         return;
     }
-    guarded.state = fence_state::Idle;
-    const itimerspec never{};
-    timer_settime(m_timer, 0, &never, nullptr);
+    guard.state = fence_state::Idle;
+    const itimerspec disarmed{};
+    timer_settime(m_timer, 0, &disarmed, nullptr);
 }
 
 bool fence::fenced() const
 {
-    return guarded.state != fence_state::Armed;
+    return guard.state != fence_state::Armed;
 }
 
 }
--- a/packages/transport/front_server.cpp
+++ b/packages/transport/front_server.cpp
@@ -19,22 +19,23 @@
 namespace {
 
 constexpr int listenBacklog = 512;
-constexpr std::size_t readBlockBytes = 16 * 1024;
-/// What a caller may send ahead while its request is worked on; past it the socket isn't read.
-constexpr std::size_t aheadBytes = 64 * 1024;
-/// Bytes that a caller hasn't taken; past it the caller counts as gone, since it doesn't read.
-constexpr std::size_t unreadBytes = 1024 * 1024;
-/// How often time limits are looked at; they are seconds long.
-constexpr millis sweepEvery{200};
-/// After a refusal that leaves bytes unread, closing at once would reset the connection and the caller
-/// might never see the answer. So the sending side is closed first and what comes is read and dropped.
-constexpr millis lingerTime{1'000};
-/// Bytes that are not acknowledged for so long mean that the caller is gone.
+constexpr std::size_t readBufferBytes = 16 * 1024;
+/// Limit on data received while a request is handled; the socket isn't read beyond it.
+constexpr std::size_t maxPipelinedBytes = 64 * 1024;
+/// Limit on unsent response data. A caller that exceeds it isn't reading and is disconnected.
+constexpr std::size_t maxUnsentBytes = 1024 * 1024;
+/// Interval between checks of the timeouts, which are seconds long.
+constexpr millis timeoutCheckInterval{200};
+/// Closing a connection at once after rejecting a request with unread bytes would reset it, and the caller
+/// might never receive the response. So only the sending side is closed, and input is read and discarded
+/// until the caller closes or nothing is received for this long.
+constexpr millis lingerTimeout{1'000};
+/// A caller that doesn't acknowledge sent bytes for this long is disconnected.
 constexpr unsigned callerTimeoutMs = 8'000;
 constexpr int eventRead = 1;
 constexpr int eventWrite = 2;
 
-std::string_view reasonOf(int status)
+std::string_view reasonPhrase(int status)
 {
     switch (status) {
     case 200:
@@ -60,72 +61,72 @@
     }
 }
 
-/// Whether everyone on the way reads the same message in these bytes. A transfer coding that one side takes
-/// for "chunked" and the other doesn't, or a second Host, lets a caller hide a request in another's body.
-bool framedPlainly(const http_head &head)
+/// Whether every proxy and server on the route parses the same message from these bytes. A transfer coding
+/// that only some of them take for "chunked", or a second Host field, allows request smuggling.
+bool hasUnambiguousFraming(const http_head &head)
 {
-    std::size_t hosts = 0;
+    std::size_t hostFields = 0;
     for (const http_field &field : head.fields) {
         if (equalsIgnoreCase(field.name, "transfer-encoding") && !equalsIgnoreCase(field.value, "chunked")) {
             return false;
         }
-        hosts += equalsIgnoreCase(field.name, "host") ? 1 : 0;
+        hostFields += equalsIgnoreCase(field.name, "host") ? 1 : 0;
     }
-    return hosts == 1;
+    return hostFields == 1;
 }
 
-enum class phase : std::uint8_t
+enum class connection_phase : std::uint8_t
 {
     Reading,
-    Working, ///< with the handler
-    Streaming, ///< begin() was called
-    Lingering, ///< answered; reading and dropping until the caller closes
+    Handling, ///< the handler has the request
+    Streaming, ///< the response has begun
+    Lingering, ///< the response is complete; discarding input until the caller closes
     Closed,
 };
 
-class front_impl;
+class front_server_impl;
 
-struct connection : std::enable_shared_from_this<connection>
+struct caller_connection : std::enable_shared_from_this<caller_connection>
 {
-    front_impl *host = nullptr;
+    front_server_impl *server = nullptr;
     std::uint64_t id = 0;
     owned_fd fd;
-    phase at = phase::Reading;
-    std::string in;
-    std::string out;
-    std::size_t sent = 0;
+    connection_phase phase = connection_phase::Reading;
+    std::string input;
+    std::string output;
+    std::size_t sentBytes = 0;
     http_reader reader;
     std::shared_ptr<void> watch;
-    int watched = 0;
-    millis lastByte;
-    millis headBegan; ///< 0 while no byte of a request is there
-    bool closeAfter = false;
-    bool headOnly = false;
-    bool http10 = false;
-    bool continued = false; ///< "100 Continue" was sent for the request that is coming in
-    std::uint64_t exchange = 0; ///< number of the request in progress
-    std::function<void()> gone;
-
-    explicit connection(http_reader first)
-        : reader(std::move(first))
+    int watchedEvents = 0;
+    millis lastByteAt;
+    millis headStartedAt; ///< when a request's first byte was received; 0 between requests
+    bool closeAfterResponse = false;
+    bool isHeadRequest = false;
+    bool isHttp10Request = false;
+    bool sentContinue = false; ///< "100 Continue" was sent for the current request
+    std::uint64_t requestNumber = 0; ///< number of the current request on this connection
+    std::function<void()> onDisconnect;
+
+    explicit caller_connection(http_reader initialReader)
+        : reader(std::move(initialReader))
     {
     }
 };
 
-class front_impl final : public front_server
+class front_server_impl final : public front_server
 {
 public:
-    front_impl(loop &eventLoop, handler onRequest)
+    front_server_impl(loop &eventLoop, handler onRequest)
         : m_loop(eventLoop)
         , m_handler(std::move(onRequest))
     {
     }
-    ~front_impl() override
+    ~front_server_impl() override
     {
         *m_alive = false;
     }
-    front_impl(const front_impl &) = delete;
-    front_impl &operator=(const front_impl &) = delete;
+    front_server_impl(const front_server_impl &) = delete;
+    front_server_impl &operator=(const front_server_impl &) = delete;
 
     bool start(const std::string &ip, std::uint16_t port, error &why);
     std::uint16_t port() const override
@@ -140,16 +141,16 @@
     }
     void closeAfterResponses(millis idle) override
     {
-        m_closing = true;
+        m_closeAfterResponses = true;
         m_limits.idleTimeout = idle;
     }
     void setCloseAfterResponse(bool closing) override
     {
-        m_closing = closing;
+        m_closeAfterResponses = closing;
     }
     void stopListening() override
     {
-        // Closing the listener resets what still waits in its queue, so that is taken first.
+        // Closing the listener would reset connections in its queue, so they are accepted first.
         acceptAll();
         m_listenWatch.reset();
         m_listener = owned_fd();
@@ -160,11 +161,13 @@
         return m_connections.size();
     }
 
-    void answer(connection &one, std::string_view head, std::string_view body, bool whole);
-    void append(connection &one, std::string_view bytes);
-    void finish(connection &one);
-    void close(connection &one);
-    std::string headText(connection &one, int status, const std::vector<http_field> &fields) const;
+    void startResponse(
+        caller_connection &connection, std::string_view head, std::string_view body, bool complete);
+    void append(caller_connection &connection, std::string_view bytes);
+    void finishResponse(caller_connection &connection);
+    void close(caller_connection &connection);
+    std::string headText(
+        caller_connection &connection, int status, const std::vector<http_field> &fields) const;
     std::shared_ptr<bool> alive() const
     {
         return m_alive;
@@ -176,430 +179,447 @@
         return {http_side::Request, {m_limits.maxHeadBytes, m_limits.maxBodyBytes}};
     }
     void acceptAll();
-    void onEvents(connection &one, int events);
-    void onReadable(connection &one);
-    void parse(connection &one);
-    void refuse(connection &one, int status);
-    void flush(connection &one);
-    void rewatch(connection &one);
-    void sweep();
-    void lost(connection &one);
+    void onEvents(caller_connection &connection, int events);
+    void onReadable(caller_connection &connection);
+    void parse(caller_connection &connection);
+    void reject(caller_connection &connection, int status);
+    void flush(caller_connection &connection);
+    void updateWatch(caller_connection &connection);
+    void closeTimedOut();
+    void onConnectionLost(caller_connection &connection);
 
     loop &m_loop;
     handler m_handler;
     front_limits m_limits;
-    bool m_closing = false;
+    bool m_closeAfterResponses = false;
     owned_fd m_listener;
     std::shared_ptr<void> m_listenWatch;
-    std::shared_ptr<void> m_sweep;
+    std::shared_ptr<void> m_timeoutTimer;
     std::uint64_t m_lastId = 0;
-    std::unordered_map<std::uint64_t, std::shared_ptr<connection>> m_connections;
+    std::unordered_map<std::uint64_t, std::shared_ptr<caller_connection>> m_connections;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
-/// What a handler holds. It names one exchange of one connection, so that a late call can't reach the next.
-class reply_impl final : public front_reply
+/// Reply of one request. It holds the request's number, so that a late call has no effect on the next request
+/// of the connection.
+class front_reply_impl final : public front_reply
 {
 public:
-    reply_impl(front_impl &host, const std::shared_ptr<connection> &one)
-        : m_host(&host)
-        , m_alive(host.alive())
-        , m_connection(one)
-        , m_exchange(one->exchange)
+    front_reply_impl(front_server_impl &server, const std::shared_ptr<caller_connection> &connection)
+        : m_server(&server)
+        , m_alive(server.alive())
+        , m_connection(connection)
+        , m_requestNumber(connection->requestNumber)
     {
     }
-    ~reply_impl() override
+    ~front_reply_impl() override
     {
-        if (auto one = open()) {
-            m_host->close(*one);
+        if (auto connection = current()) {
+            m_server->close(*connection);
         }
     }
-    reply_impl(const reply_impl &) = delete;
-    reply_impl &operator=(const reply_impl &) = delete;
+    front_reply_impl(const front_reply_impl &) = delete;
+    front_reply_impl &operator=(const front_reply_impl &) = delete;
 
     void respond(int status, const std::vector<http_field> &fields, std::string_view body) override
     {
-        auto one = open();
-        if (!one || one->at != phase::Working) {
+        auto connection = current();
+        if (!connection || connection->phase != connection_phase::Handling) {
             return;
         }
-        std::string head = m_host->headText(*one, status, fields);
+        std::string head = m_server->headText(*connection, status, fields);
         head += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
-        m_host->answer(*one, head, one->headOnly ? std::string_view{} : body, true);
+        m_server->startResponse(
+            *connection, head, connection->isHeadRequest ? std::string_view{} : body, true);
     }
     void begin(int status, const std::vector<http_field> &fields) override
     {
-        auto one = open();
-        if (!one || one->at != phase::Working) {
+        auto connection = current();
+        if (!connection || connection->phase != connection_phase::Handling) {
             return;
         }
-        if (one->http10) {
-            one->closeAfter = true;
+        if (connection->isHttp10Request) {
+            connection->closeAfterResponse = true;
         }
-        std::string head = m_host->headText(*one, status, fields);
-        head += one->http10 ? "\r\n" : "Transfer-Encoding: chunked\r\n\r\n";
-        m_host->answer(*one, head, {}, false);
+        std::string head = m_server->headText(*connection, status, fields);
+        head += connection->isHttp10Request ? "\r\n" : "Transfer-Encoding: chunked\r\n\r\n";
+        m_server->startResponse(*connection, head, {}, false);
     }
     void write(std::string_view bytes) override
     {
-        auto one = open();
-        if (!one || one->at != phase::Streaming || bytes.empty() || one->headOnly) {
+        auto connection = current();
+        if (!connection || connection->phase != connection_phase::Streaming || bytes.empty()
+            || connection->isHeadRequest) {
             return;
         }
-        if (one->http10) {
-            m_host->append(*one, bytes);
+        if (connection->isHttp10Request) {
+            m_server->append(*connection, bytes);
             return;
         }
         std::array<char, 20> size{};
         const auto end = std::to_chars(size.data(), size.data() + size.size(), bytes.size(), 16);
         std::string chunk(size.data(), end.ptr);
         chunk.append("\r\n").append(bytes).append("\r\n");
-        m_host->append(*one, chunk);
+        m_server->append(*connection, chunk);
     }
     void end() override
     {
-        auto one = open();
-        if (!one || one->at != phase::Streaming) {
+        auto connection = current();
+        if (!connection || connection->phase != connection_phase::Streaming) {
             return;
         }
-        if (!one->http10 && !one->headOnly) {
-            m_host->append(*one, "0\r\n\r\n");
+        if (!connection->isHttp10Request && !connection->isHeadRequest) {
+            m_server->append(*connection, "0\r\n\r\n");
         }
-        m_host->finish(*one);
+        m_server->finishResponse(*connection);
     }
     void abort() override
     {
-        if (auto one = open()) {
-            m_host->close(*one);
+        if (auto connection = current()) {
+            m_server->close(*connection);
         }
     }
     void onDisconnect(std::function<void()> call) override
     {
-        if (auto one = open()) {
-            one->gone = std::move(call);
+        if (auto connection = current()) {
+            connection->onDisconnect = std::move(call);
         }
     }
     std::size_t pendingBytes() const override
     {
-        const auto one = open();
-        return one ? one->out.size() - one->sent : 0;
+        const auto connection = current();
+        return connection ? connection->output.size() - connection->sentBytes : 0;
     }
 
 private:
-    std::shared_ptr<connection> open() const
+    std::shared_ptr<caller_connection> current() const
     {
-        auto one = *m_alive ? m_connection.lock() : nullptr;
-        const bool current =
-            one && one->exchange == m_exchange && (one->at == phase::Working || one->at == phase::Streaming);
-        return current ? one : nullptr;
+        auto connection = *m_alive ? m_connection.lock() : nullptr;
+        const bool isCurrent = connection && connection->requestNumber == m_requestNumber
+            && (connection->phase == connection_phase::Handling
+                || connection->phase == connection_phase::Streaming);
+        return isCurrent ? connection : nullptr;
     }
 
-    front_impl *m_host;
+    front_server_impl *m_server;
     std::shared_ptr<bool> m_alive;
-    std::weak_ptr<connection> m_connection;
-    std::uint64_t m_exchange;
+    std::weak_ptr<caller_connection> m_connection;
+    std::uint64_t m_requestNumber;
 };
 
-bool front_impl::start(const std::string &ip, std::uint16_t port, error &why)
+bool front_server_impl::start(const std::string &ip, std::uint16_t port, error &why)
 {
     why = {error_kind::BadSettings, ip + ':' + std::to_string(port), ""};
     auto address = toSocketAddress({ip, port});
     if (!address) {
-        why.detail = "the address to listen on is no IP number";
+        why.detail = "the listen address is not an IP address";
         return false;
     }
     m_listener = owned_fd(socket(address->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    const int yes = 1;
-    (void)setsockopt(m_listener.get(), SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
+    const int enabled = 1;
+    (void)setsockopt(m_listener.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof(enabled));
     if (bind(m_listener.get(), address->raw(), address->size) != 0
         || ::listen(m_listener.get(), listenBacklog) != 0) {
-        why.detail = std::string("cannot listen there: ") + std::strerror(errno);
+        why.detail = std::string("cannot listen on this address: ") + std::strerror(errno);
         return false;
     }
     m_listenWatch = m_loop.watch(m_listener.get(), eventRead, [this](int) {
         acceptAll();
     });
-    m_sweep = m_loop.timer(sweepEvery, sweepEvery, [this] {
-        sweep();
+    m_timeoutTimer = m_loop.timer(timeoutCheckInterval, timeoutCheckInterval, [this] {
+        closeTimedOut();
     });
     return true;
 }
 
-std::size_t front_impl::activeRequests() const
+std::size_t front_server_impl::activeRequests() const
 {
     std::size_t count = 0;
-    for (const auto &[id, one] : m_connections) {
-        const bool working = one->at == phase::Working || one->at == phase::Streaming;
-        count += working || one->out.size() > one->sent || one->headBegan.count != 0 ? 1 : 0;
+    for (const auto &[id, connection] : m_connections) {
+        const bool handling = connection->phase == connection_phase::Handling
+            || connection->phase == connection_phase::Streaming;
+        count += handling || connection->output.size() > connection->sentBytes
+                || connection->headStartedAt.count != 0
+            ? 1
+            : 0;
     }
     return count;
 }
 
-void front_impl::acceptAll()
+void front_server_impl::acceptAll()
 {
     for (;;) {
         owned_fd fd(accept4(m_listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd) {
             return;
         }
-        const int yes = 1;
-        (void)setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
+        const int enabled = 1;
+        (void)setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
         (void)setsockopt(fd.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, &callerTimeoutMs, sizeof(callerTimeoutMs));
-        auto one = std::make_shared<connection>(newReader());
-        one->host = this;
-        one->id = ++m_lastId;
-        one->fd = std::move(fd);
-        one->lastByte = bootNow();
-        m_connections.emplace(one->id, one);
-        rewatch(*one);
+        auto connection = std::make_shared<caller_connection>(newReader());
+        connection->server = this;
+        connection->id = ++m_lastId;
+        connection->fd = std::move(fd);
+        connection->lastByteAt = bootNow();
+        m_connections.emplace(connection->id, connection);
+        updateWatch(*connection);
     }
 }
 
-void front_impl::rewatch(connection &one)
+void front_server_impl::updateWatch(caller_connection &connection)
 {
-    int wanted = one.in.size() < aheadBytes ? eventRead : 0;
-    wanted |= one.out.size() > one.sent ? eventWrite : 0;
-    if (one.at == phase::Closed || (wanted == one.watched && one.watch)) {
+    int wantedEvents = connection.input.size() < maxPipelinedBytes ? eventRead : 0;
+    wantedEvents |= connection.output.size() > connection.sentBytes ? eventWrite : 0;
+    if (connection.phase == connection_phase::Closed
+        || (wantedEvents == connection.watchedEvents && connection.watch)) {
         return;
     }
-    one.watched = wanted;
-    one.watch = m_loop.watch(one.fd.get(), wanted, [this, id = one.id](int events) {
-        const auto found = m_connections.find(id);
-        if (found != m_connections.end()) {
-            const auto keep = found->second;
-            onEvents(*keep, events);
-        }
-    });
+    connection.watchedEvents = wantedEvents;
+    connection.watch =
+        m_loop.watch(connection.fd.get(), wantedEvents, [this, id = connection.id](int events) {
+            const auto found = m_connections.find(id);
+            if (found != m_connections.end()) {
+                const auto keepAlive = found->second;
+                onEvents(*keepAlive, events);
+            }
+        });
 }
 
-void front_impl::onEvents(connection &one, int events)
+void front_server_impl::onEvents(caller_connection &connection, int events)
 {
     if ((events & eventRead) != 0) {
-        onReadable(one);
+        onReadable(connection);
     }
-    if (one.at != phase::Closed && (events & eventWrite) != 0) {
-        flush(one);
+    if (connection.phase != connection_phase::Closed && (events & eventWrite) != 0) {
+        flush(connection);
     }
-    if (one.at != phase::Closed) {
-        rewatch(one);
+    if (connection.phase != connection_phase::Closed) {
+        updateWatch(connection);
     }
 }
 
-void front_impl::onReadable(connection &one)
+void front_server_impl::onReadable(caller_connection &connection)
 {
-    std::array<char, readBlockBytes> block{};
-    const ssize_t got = recv(one.fd.get(), block.data(), block.size(), 0);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) {
+    std::array<char, readBufferBytes> buffer{};
+    const ssize_t received = recv(connection.fd.get(), buffer.data(), buffer.size(), 0);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
-    if (got <= 0) {
-        lost(one);
+    if (received <= 0) {
+        onConnectionLost(connection);
         return;
     }
-    one.lastByte = bootNow();
-    if (one.at == phase::Lingering) {
+    connection.lastByteAt = bootNow();
+    if (connection.phase == connection_phase::Lingering) {
         return;
     }
-    one.in.append(block.data(), static_cast<std::size_t>(got));
-    if (one.at == phase::Reading) {
-        parse(one);
+    connection.input.append(buffer.data(), static_cast<std::size_t>(received));
+    if (connection.phase == connection_phase::Reading) {
+        parse(connection);
     }
 }
 
-void front_impl::parse(connection &one)
+void front_server_impl::parse(caller_connection &connection)
 {
-    while (one.at == phase::Reading && !one.in.empty()) {
-        if (one.headBegan.count == 0) {
-            one.headBegan = bootNow();
-            one.reader = newReader();
-            one.continued = false;
+    while (connection.phase == connection_phase::Reading && !connection.input.empty()) {
+        if (connection.headStartedAt.count == 0) {
+            connection.headStartedAt = bootNow();
+            connection.reader = newReader();
+            connection.sentContinue = false;
         }
-        std::size_t used = 0;
-        const read_state state = one.reader.feed(one.in, used);
-        one.in.erase(0, used);
+        std::size_t parsedBytes = 0;
+        const read_state state = connection.reader.feed(connection.input, parsedBytes);
+        connection.input.erase(0, parsedBytes);
         if (state == read_state::Invalid) {
-            switch (one.reader.fault()) {
+            switch (connection.reader.fault()) {
             case read_fault::HeadTooLarge:
-                refuse(one, 431);
+                reject(connection, 431);
                 return;
             case read_fault::BodyTooLarge:
-                refuse(one, 413);
+                reject(connection, 413);
                 return;
             default:
-                refuse(one, 400);
+                reject(connection, 400);
                 return;
             }
         }
-        if (state == read_state::Head && one.in.size() > m_limits.maxHeadBytes) {
-            refuse(one, 431);
+        if (state == read_state::Head && connection.input.size() > m_limits.maxHeadBytes) {
+            reject(connection, 431);
             return;
         }
         if (state == read_state::Body) {
-            const std::string *expect = findField(one.reader.head(), "expect");
-            if (expect != nullptr && equalsIgnoreCase(*expect, "100-continue") && !one.continued) {
-                one.continued = true;
-                append(one, "HTTP/1.1 100 Continue\r\n\r\n");
+            const std::string *expect = findField(connection.reader.head(), "expect");
+            if (expect != nullptr && equalsIgnoreCase(*expect, "100-continue") && !connection.sentContinue) {
+                connection.sentContinue = true;
+                append(connection, "HTTP/1.1 100 Continue\r\n\r\n");
             }
         }
-        if (state != read_state::Head && !framedPlainly(one.reader.head())) {
-            refuse(one, 400);
+        if (state != read_state::Head && !hasUnambiguousFraming(connection.reader.head())) {
+            reject(connection, 400);
             return;
         }
         if (state != read_state::Done) {
             return;
         }
-        front_request request{one.reader.head(), one.reader.takeBody()};
-        one.closeAfter = !one.reader.keepsConnection();
-        one.headOnly = request.head.method == "HEAD";
-        one.http10 = one.reader.isHttp10();
-        one.headBegan = {};
-        one.at = phase::Working;
-        ++one.exchange;
-        one.gone = nullptr;
-        m_handler(std::move(request), std::make_shared<reply_impl>(*this, one.shared_from_this()));
+        front_request request{connection.reader.head(), connection.reader.takeBody()};
+        connection.closeAfterResponse = !connection.reader.keepsConnection();
+        connection.isHeadRequest = request.head.method == "HEAD";
+        connection.isHttp10Request = connection.reader.isHttp10();
+        connection.headStartedAt = {};
+        connection.phase = connection_phase::Handling;
+        ++connection.requestNumber;
+        connection.onDisconnect = nullptr;
+        m_handler(
+            std::move(request), std::make_shared<front_reply_impl>(*this, connection.shared_from_this()));
     }
 }
 
-/// Answers what is no request, and ends the connection: where its next request begins can't be known.
-void front_impl::refuse(connection &one, int status)
+/// Responds to an invalid or timed-out request and closes the connection, because the start of the next
+/// request is unknown.
+void front_server_impl::reject(caller_connection &connection, int status)
 {
-    one.headBegan = {};
-    one.at = phase::Working;
-    ++one.exchange;
-    one.closeAfter = true;
-    std::string head = headText(one, status, {});
+    connection.headStartedAt = {};
+    connection.phase = connection_phase::Handling;
+    ++connection.requestNumber;
+    connection.closeAfterResponse = true;
+    std::string head = headText(connection, status, {});
     head += "Content-Length: 0\r\n\r\n";
-    answer(one, head, {}, true);
+    startResponse(connection, head, {}, true);
 }
 
-std::string front_impl::headText(connection &one, int status, const std::vector<http_field> &fields) const
+std::string front_server_impl::headText(
+    caller_connection &connection, int status, const std::vector<http_field> &fields) const
 {
-    one.closeAfter = one.closeAfter || m_closing;
-    std::string text = "HTTP/1.1 " + std::to_string(status) + ' ' + std::string(reasonOf(status)) + "\r\n";
+    connection.closeAfterResponse = connection.closeAfterResponse || m_closeAfterResponses;
+    std::string text =
+        "HTTP/1.1 " + std::to_string(status) + ' ' + std::string(reasonPhrase(status)) + "\r\n";
     for (const http_field &field : fields) {
         text.append(field.name).append(": ").append(field.value).append("\r\n");
     }
-    if (one.closeAfter) {
+    if (connection.closeAfterResponse) {
         text += "Connection: close\r\n";
     }
     return text;
 }
 
-void front_impl::answer(connection &one, std::string_view head, std::string_view body, bool whole)
+void front_server_impl::startResponse(
+    caller_connection &connection, std::string_view head, std::string_view body, bool complete)
 {
-    one.at = phase::Streaming;
-    one.out.append(head).append(body);
-    if (whole) {
-        finish(one);
+    connection.phase = connection_phase::Streaming;
+    connection.output.append(head).append(body);
+    if (complete) {
+        finishResponse(connection);
     } else {
-        flush(one);
-        if (one.at != phase::Closed) {
-            rewatch(one);
+        flush(connection);
+        if (connection.phase != connection_phase::Closed) {
+            updateWatch(connection);
         }
     }
 }
 
-void front_impl::append(connection &one, std::string_view bytes)
+void front_server_impl::append(caller_connection &connection, std::string_view bytes)
 {
-    one.out.append(bytes);
-    flush(one);
-    if (one.at == phase::Closed) {
+    connection.output.append(bytes);
+    flush(connection);
+    if (connection.phase == connection_phase::Closed) {
         return;
     }
-    if (one.out.size() - one.sent > unreadBytes) {
-        lost(one);
+    if (connection.output.size() - connection.sentBytes > maxUnsentBytes) {
+        onConnectionLost(connection);
         return;
     }
-    rewatch(one);
+    updateWatch(connection);
 }
 
-void front_impl::finish(connection &one)
+void front_server_impl::finishResponse(caller_connection &connection)
 {
-    one.gone = nullptr;
-    one.lastByte = bootNow();
-    one.at = one.closeAfter ? phase::Lingering : phase::Reading;
-    flush(one);
-    if (one.at == phase::Closed) {
+    connection.onDisconnect = nullptr;
+    connection.lastByteAt = bootNow();
+    connection.phase =
+        connection.closeAfterResponse ? connection_phase::Lingering : connection_phase::Reading;
+    flush(connection);
+    if (connection.phase == connection_phase::Closed) {
         return;
     }
-    rewatch(one);
-    if (one.at == phase::Reading && !one.in.empty()) {
-        // Not from here: the handler of the request that just ended may still be running.
-        m_loop.post([this, alive = m_alive, id = one.id] {
+    updateWatch(connection);
+    if (connection.phase == connection_phase::Reading && !connection.input.empty()) {
+        // Deferred: the handler of the request that just ended may still be running.
+        m_loop.post([this, alive = m_alive, id = connection.id] {
             const auto found = *alive ? m_connections.find(id) : m_connections.end();
             if (*alive && found != m_connections.end()) {
-                const auto keep = found->second;
-                parse(*keep);
-                if (keep->at != phase::Closed) {
-                    rewatch(*keep);
+                const auto keepAlive = found->second;
+                parse(*keepAlive);
+                if (keepAlive->phase != connection_phase::Closed) {
+                    updateWatch(*keepAlive);
                 }
             }
         });
     }
 }
 
-void front_impl::flush(connection &one)
+void front_server_impl::flush(caller_connection &connection)
 {
-    while (one.sent < one.out.size()) {
-        const ssize_t put =
-            send(one.fd.get(), one.out.data() + one.sent, one.out.size() - one.sent, MSG_NOSIGNAL);
-        if (put < 0 && (errno == EAGAIN || errno == EINTR)) {
+    while (connection.sentBytes < connection.output.size()) {
+        const ssize_t written = send(connection.fd.get(), connection.output.data() + connection.sentBytes,
+            connection.output.size() - connection.sentBytes, MSG_NOSIGNAL);
+        if (written < 0 && (errno == EAGAIN || errno == EINTR)) {
             return;
         }
-        if (put < 0) {
-            lost(one);
+        if (written < 0) {
+            onConnectionLost(connection);
             return;
         }
-        one.sent += static_cast<std::size_t>(put);
+        connection.sentBytes += static_cast<std::size_t>(written);
     }
-    one.out.clear();
-    one.sent = 0;
-    if (one.at == phase::Lingering) {
-        shutdown(one.fd.get(), SHUT_WR);
+    connection.output.clear();
+    connection.sentBytes = 0;
+    if (connection.phase == connection_phase::Lingering) {
+        shutdown(connection.fd.get(), SHUT_WR);
     }
 }
 
-void front_impl::lost(connection &one)
+void front_server_impl::onConnectionLost(caller_connection &connection)
 {
-    const auto keep = one.shared_from_this();
-    const auto call = std::exchange(one.gone, nullptr);
-    close(one);
+    const auto keepAlive = connection.shared_from_this();
+    const auto call = std::exchange(connection.onDisconnect, nullptr);
+    close(connection);
     if (call) {
-        // Not from here: the handler may be the one that just wrote.
+        // Deferred: this may run inside a write() of the handler that set the function.
         m_loop.post(call);
     }
 }
 
-void front_impl::close(connection &one)
+void front_server_impl::close(caller_connection &connection)
 {
-    const auto keep = one.shared_from_this();
-    one.at = phase::Closed;
-    one.gone = nullptr;
-    one.watch.reset();
-    one.fd = owned_fd();
-    m_connections.erase(one.id);
+    const auto keepAlive = connection.shared_from_this();
+    connection.phase = connection_phase::Closed;
+    connection.onDisconnect = nullptr;
+    connection.watch.reset();
+    connection.fd = owned_fd();
+    m_connections.erase(connection.id);
 }
 
-void front_impl::sweep()
+void front_server_impl::closeTimedOut()
 {
     const millis now = bootNow();
-    std::vector<std::shared_ptr<connection>> late;
-    for (const auto &[id, one] : m_connections) {
-        const millis quiet = now - one->lastByte;
-        const bool reading = one->at == phase::Reading;
-        const bool inHead = reading && one->headBegan.count != 0 && one->reader.state() == read_state::Head;
-        const bool headLate = inHead && now - one->headBegan > m_limits.headTimeout;
-        const bool idleLate = reading && one->out.empty() && quiet > m_limits.idleTimeout;
-        const bool lingerLate = one->at == phase::Lingering && quiet > lingerTime;
-        if (headLate || idleLate || lingerLate) {
-            late.push_back(one);
+    std::vector<std::shared_ptr<caller_connection>> timedOut;
+    for (const auto &[id, connection] : m_connections) {
+        const millis idle = now - connection->lastByteAt;
+        const bool reading = connection->phase == connection_phase::Reading;
+        const bool inHead =
+            reading && connection->headStartedAt.count != 0 && connection->reader.state() == read_state::Head;
+        const bool headTimedOut = inHead && now - connection->headStartedAt > m_limits.headTimeout;
+        const bool idleTimedOut = reading && connection->output.empty() && idle > m_limits.idleTimeout;
+        const bool lingerTimedOut = connection->phase == connection_phase::Lingering && idle > lingerTimeout;
+        if (headTimedOut || idleTimedOut || lingerTimedOut) {
+            timedOut.push_back(connection);
         }
     }
-    for (const auto &one : late) {
-        if (one->at == phase::Reading && one->headBegan.count != 0) {
-            refuse(*one, 408);
+    for (const auto &connection : timedOut) {
+        if (connection->phase == connection_phase::Reading && connection->headStartedAt.count != 0) {
+            reject(*connection, 408);
         } else {
-            close(*one);
+            close(*connection);
         }
     }
 }
@@ -609,7 +629,7 @@
 std::unique_ptr<front_server> front_server::listen(
     loop &eventLoop, const std::string &ip, std::uint16_t port, handler onRequest, error &why)
 {
-    auto server = std::make_unique<front_impl>(eventLoop, std::move(onRequest));
+    auto server = std::make_unique<front_server_impl>(eventLoop, std::move(onRequest));
     return server->start(ip, port, why) ? std::move(server) : nullptr;
 }
 
--- a/packages/transport/header_text.cpp
+++ b/packages/transport/header_text.cpp
@@ -10,12 +10,12 @@
 
 std::string_view trimmed(std::string_view text)
 {
-    constexpr std::string_view blanks = " \t\r\n";
-    const auto first = text.find_first_not_of(blanks);
+    constexpr std::string_view whitespace = " \t\r\n";
+    const auto first = text.find_first_not_of(whitespace);
     if (first == std::string_view::npos) {
         return {};
     }
-    return text.substr(first, text.find_last_not_of(blanks) - first + 1);
+    return text.substr(first, text.find_last_not_of(whitespace) - first + 1);
 }
 
 }
@@ -41,12 +41,12 @@
     if (!line.starts_with("HTTP/")) {
         return std::nullopt;
     }
-    const auto blank = line.find(' ');
-    if (blank == std::string_view::npos) {
+    const auto space = line.find(' ');
+    if (space == std::string_view::npos) {
         return std::nullopt;
     }
     int status = 0;
-    const auto parsed = std::from_chars(line.data() + blank + 1, line.data() + line.size(), status);
+    const auto parsed = std::from_chars(line.data() + space + 1, line.data() + line.size(), status);
     return parsed.ec == std::errc() ? std::optional(status) : std::nullopt;
 }
 
@@ -57,8 +57,8 @@
         return;
     }
     const std::string_view value = trimmed(line.substr(colon + 1));
-    const auto [found, isNew] = headers.try_emplace(lowerCase(trimmed(line.substr(0, colon))), value);
-    if (!isNew) {
+    const auto [found, inserted] = headers.try_emplace(lowerCase(trimmed(line.substr(0, colon))), value);
+    if (!inserted) {
         found->second.append(", ").append(value);
     }
 }
--- a/packages/transport/http_server.cpp
+++ b/packages/transport/http_server.cpp
@@ -29,11 +29,11 @@
 using detail::reply_phase;
 
 constexpr unsigned int listenBacklog = 1024;
-constexpr unsigned int connectionLimit = 16384;
-/// A connection on which nothing moves for so long is closed; suspended ones are not counted.
+constexpr unsigned int maxConnections = 16384;
+/// A connection without traffic for this long is closed, unless it is suspended.
 constexpr unsigned int idleTimeoutSeconds = 75;
 constexpr std::size_t streamBlockBytes = 8192;
-constexpr int hangupBatch = 64;
+constexpr int maxHangupsPerBatch = 64;
 
 struct response_deleter
 {
@@ -44,7 +44,7 @@
 };
 using response_ptr = std::unique_ptr<MHD_Response, response_deleter>;
 
-/// An address by IP number in the form that bind() takes.
+/// An IP address in the form that bind() takes.
 struct bind_address
 {
     sockaddr_storage storage{};
@@ -75,15 +75,15 @@
     }
 };
 
-/// The daemon on the loop. No function of a user ever runs inside libmicrohttpd: requests and lost
-/// connections are noted there and told after MHD_run() returned, so that a handler may answer, abort or
-/// destroy whatever it likes, the server included.
+/// Runs a libmicrohttpd daemon on the loop. User callbacks never run inside libmicrohttpd: its callbacks only
+/// queue new requests and lost connections, and the handlers are called after MHD_run() has returned. So a
+/// handler may respond, abort or destroy anything, including the server.
 class server_impl final : public http_server, private detail::exchange_host
 {
 public:
-    server_impl(loop &eventLoop, std::size_t bodyLimit, handler onRequest)
+    server_impl(loop &eventLoop, std::size_t maxBodyBytes, handler onRequest)
         : m_loop(eventLoop)
-        , m_bodyLimit(bodyLimit)
+        , m_maxBodyBytes(maxBodyBytes)
         , m_handler(std::make_shared<handler>(std::move(onRequest)))
     {
     }
@@ -102,27 +102,28 @@
     void watchDaemon();
     void runDaemon();
     void armTimer();
-    void tellHandlers();
+    void notifyHandlers();
     void collectHangups();
-    void onHangup(connection_state &peer);
+    void onHangup(connection_state &connection);
     MHD_Result onAccess(MHD_Connection *connection, const char *url, const char *method, const char *upload,
         std::size_t *uploadSize, void **context);
     MHD_Result onFirstCall(MHD_Connection *connection, const char *url, const char *method, void **context);
-    void takeUpload(exchange &one, const char *upload, std::size_t size) const;
-    MHD_Result queueAnswer(exchange &one);
-    void onCompleted(exchange &one, MHD_RequestTerminationCode how);
-    void onConnection(MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode what);
+    void appendUpload(exchange &httpExchange, const char *upload, std::size_t size) const;
+    MHD_Result queueResponse(exchange &httpExchange);
+    void onCompleted(exchange &httpExchange, MHD_RequestTerminationCode code);
+    void onConnection(
+        MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode notification);
 
     static MHD_Result accessThunk(void *self, MHD_Connection *connection, const char *url, const char *method,
         const char *version, const char *upload, std::size_t *uploadSize, void **context);
     static void completedThunk(
-        void *self, MHD_Connection *connection, void **context, MHD_RequestTerminationCode how);
+        void *self, MHD_Connection *connection, void **context, MHD_RequestTerminationCode code);
     static void connectionThunk(
-        void *self, MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode what);
+        void *self, MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode notification);
     static void logThunk(void *self, const char *format, va_list arguments);
 
     loop &m_loop;
-    std::size_t m_bodyLimit;
+    std::size_t m_maxBodyBytes;
     std::shared_ptr<handler> m_handler;
     MHD_Daemon *m_daemon = nullptr;
     std::uint16_t m_port = 0;
@@ -136,9 +137,10 @@
     std::unordered_map<exchange *, exchange_ptr> m_exchanges;
     std::unordered_map<std::uint64_t, std::unique_ptr<connection_state>> m_connections;
     std::uint64_t m_lastConnection = 0;
-    std::deque<exchange_ptr> m_arrived;
-    std::deque<exchange_ptr> m_lost;
-    std::vector<std::function<void()>> m_unused; ///< functions of users to destroy outside libmicrohttpd
+    std::deque<exchange_ptr> m_newExchanges;
+    std::deque<exchange_ptr> m_closedExchanges;
+    /// User callbacks, to be destroyed outside libmicrohttpd.
+    std::vector<std::function<void()>> m_discardedCallbacks;
     std::string m_lastLog;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
@@ -153,44 +155,45 @@
     ev_timer_stop(m_loop.raw(), &m_timer);
     m_daemonWatch.reset();
     m_hangupWatch.reset();
-    // libmicrohttpd ends the process when it is stopped with suspended connections. They are resumed as
-    // aborted, and the run closes them.
-    for (const auto &[raw, one] : m_exchanges) {
-        one->phase = reply_phase::Aborted;
-        if (one->suspended) {
-            one->suspended = false;
-            MHD_resume_connection(one->connection);
+    // libmicrohttpd aborts the process if it is stopped with suspended connections. So they are marked as
+    // aborted and resumed, and MHD_run() closes them.
+    for (const auto &[raw, openExchange] : m_exchanges) {
+        openExchange->phase = reply_phase::Aborted;
+        if (openExchange->suspended) {
+            openExchange->suspended = false;
+            MHD_resume_connection(openExchange->connection);
         }
     }
     MHD_run(m_daemon);
     MHD_stop_daemon(m_daemon);
     ::close(m_hangupFd);
-    for (const auto &[raw, one] : m_exchanges) {
-        one->connection = nullptr;
+    for (const auto &[raw, openExchange] : m_exchanges) {
+        openExchange->connection = nullptr;
     }
 }
 
 bool server_impl::start(const std::string &address, std::uint16_t port, error &why)
 {
-    const std::string where = address + ':' + std::to_string(port);
-    bind_address bindTo;
-    if (!bindTo.parse(address, port)) {
-        why = {error_kind::BadSettings, where, "the address to listen on is no IP number"};
+    const std::string listenAddress = address + ':' + std::to_string(port);
+    bind_address bindTarget;
+    if (!bindTarget.parse(address, port)) {
+        why = {error_kind::BadSettings, listenAddress, "the listen address is not an IP address"};
         return false;
     }
     m_hangupFd = epoll_create1(EPOLL_CLOEXEC);
     unsigned int flags = MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_ERROR_LOG;
-    if (bindTo.isV6()) {
+    if (bindTarget.isV6()) {
         flags |= MHD_USE_IPv6;
     }
     m_daemon = MHD_start_daemon(flags, port, nullptr, nullptr, accessThunk, this, MHD_OPTION_EXTERNAL_LOGGER,
-        logThunk, this, MHD_OPTION_SOCK_ADDR, bindTo.raw(), MHD_OPTION_NOTIFY_COMPLETED, completedThunk, this,
-        MHD_OPTION_NOTIFY_CONNECTION, connectionThunk, this, MHD_OPTION_LISTEN_BACKLOG_SIZE, listenBacklog,
-        MHD_OPTION_CONNECTION_LIMIT, connectionLimit, MHD_OPTION_CONNECTION_TIMEOUT, idleTimeoutSeconds,
-        MHD_OPTION_END);
+        logThunk, this, MHD_OPTION_SOCK_ADDR, bindTarget.raw(), MHD_OPTION_NOTIFY_COMPLETED, completedThunk,
+        this, MHD_OPTION_NOTIFY_CONNECTION, connectionThunk, this, MHD_OPTION_LISTEN_BACKLOG_SIZE,
+        listenBacklog, MHD_OPTION_CONNECTION_LIMIT, maxConnections, MHD_OPTION_CONNECTION_TIMEOUT,
+        idleTimeoutSeconds, MHD_OPTION_END);
     if (m_daemon == nullptr) {
         ::close(m_hangupFd);
-        why = {error_kind::BadSettings, where, m_lastLog.empty() ? "cannot listen there" : m_lastLog};
+        why = {error_kind::BadSettings, listenAddress,
+            m_lastLog.empty() ? "cannot listen on this address" : m_lastLog};
         return false;
     }
     m_port = MHD_get_daemon_info(m_daemon, MHD_DAEMON_INFO_BIND_PORT)->port;
@@ -237,15 +240,17 @@
     if (fd < 0) {
         return;
     }
-    // The kernel has taken connections that wait in the listen queue; closing the socket would reset
-    // them, and their callers would see a request lost in a graceful shutdown.
+    // The kernel has already accepted the connections in the listen queue. Closing the socket would reset
+    // them, and their callers would lose requests in a graceful shutdown.
     sockaddr_storage from{};
     socklen_t length = sizeof(from);
-    int taken = -1;
-    while ((taken = accept4(fd, reinterpret_cast<sockaddr *>(&from), &length, SOCK_CLOEXEC | SOCK_NONBLOCK))
+    int acceptedFd = -1;
+    while (
+        (acceptedFd = accept4(fd, reinterpret_cast<sockaddr *>(&from), &length, SOCK_CLOEXEC | SOCK_NONBLOCK))
         >= 0) {
-        if (MHD_add_connection(m_daemon, taken, reinterpret_cast<sockaddr *>(&from), length) != MHD_YES) {
-            spdlog::debug("http: a connection from the listen queue was not taken");
+        if (MHD_add_connection(m_daemon, acceptedFd, reinterpret_cast<sockaddr *>(&from), length)
+            != MHD_YES) {
+            spdlog::debug("http: libmicrohttpd did not accept a connection from the listen queue");
         }
         length = sizeof(from);
     }
@@ -268,7 +273,7 @@
 
 void server_impl::scheduleClosed(exchange_ptr lost)
 {
-    m_lost.push_back(std::move(lost));
+    m_closedExchanges.push_back(std::move(lost));
     scheduleRun();
 }
 
@@ -277,7 +282,7 @@
     m_runScheduled = false;
     MHD_run(m_daemon);
     armTimer();
-    tellHandlers();
+    notifyHandlers();
 }
 
 void server_impl::armTimer()
@@ -290,56 +295,57 @@
     }
 }
 
-void server_impl::tellHandlers()
+void server_impl::notifyHandlers()
 {
     const auto alive = m_alive;
     const auto handlerCopy = m_handler;
-    m_unused.clear();
-    while (*alive && !m_lost.empty()) {
-        const exchange_ptr one = std::move(m_lost.front());
-        m_lost.pop_front();
-        if (one->isOpen() && one->phase == reply_phase::Answered) {
-            // Answered since the hangup was seen; whether it can be delivered shows when it is written.
+    m_discardedCallbacks.clear();
+    while (*alive && !m_closedExchanges.empty()) {
+        const exchange_ptr lost = std::move(m_closedExchanges.front());
+        m_closedExchanges.pop_front();
+        if (lost->isOpen() && lost->phase == reply_phase::Answered) {
+            // The response was completed after the disconnect was detected. Writing it shows whether it can
+            // still be delivered.
             continue;
         }
-        const auto call = std::exchange(one->onClosed, nullptr);
-        one->abort();
+        const auto call = std::exchange(lost->onClosed, nullptr);
+        lost->abort();
         if (call) {
             call();
         }
     }
-    while (*alive && !m_arrived.empty()) {
-        const exchange_ptr one = std::move(m_arrived.front());
-        m_arrived.pop_front();
-        (*handlerCopy)(std::move(one->request), std::make_shared<detail::reply_handle>(one));
+    while (*alive && !m_newExchanges.empty()) {
+        const exchange_ptr arrived = std::move(m_newExchanges.front());
+        m_newExchanges.pop_front();
+        (*handlerCopy)(std::move(arrived->request), std::make_shared<detail::reply_handle>(arrived));
     }
 }
 
 void server_impl::collectHangups()
 {
-    std::array<epoll_event, hangupBatch> events{};
-    const int count = epoll_wait(m_hangupFd, events.data(), hangupBatch, 0);
+    std::array<epoll_event, maxHangupsPerBatch> events{};
+    const int count = epoll_wait(m_hangupFd, events.data(), maxHangupsPerBatch, 0);
     for (int i = 0; i < count; ++i) {
-        // Looked up by number: the connection may have closed since the kernel noted the event.
+        // Looked up by id: the connection may have been closed since the kernel queued the event.
         const auto found = m_connections.find(events[static_cast<std::size_t>(i)].data.u64);
         if (found != m_connections.end()) {
             onHangup(*found->second);
         }
     }
-    tellHandlers();
+    notifyHandlers();
 }
 
-void server_impl::onHangup(connection_state &peer)
+void server_impl::onHangup(connection_state &connection)
 {
-    peer.hungUp = true;
-    exchange *one = peer.current;
-    if (one == nullptr || !one->isOpen() || one->phase == reply_phase::Answered) {
+    connection.hungUp = true;
+    exchange *httpExchange = connection.current;
+    if (httpExchange == nullptr || !httpExchange->isOpen() || httpExchange->phase == reply_phase::Answered) {
         return;
     }
-    // Whoever set no onClosed does not care whether the caller is still there. The answer is then tried
-    // all the same, which also serves a caller that only closed its sending side.
-    if (one->onClosed) {
-        m_lost.push_back(one->shared_from_this());
+    // Without onClosed, the handler doesn't need to know whether the caller is still connected. The response
+    // is then sent anyway, which also serves a caller that closed only its sending side.
+    if (httpExchange->onClosed) {
+        m_closedExchanges.push_back(httpExchange->shared_from_this());
     }
 }
 
@@ -347,39 +353,39 @@
     MHD_Connection *connection, const char *url, const char *method, void **context)
 {
     const auto *info = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_SOCKET_CONTEXT);
-    auto one = std::make_shared<exchange>();
-    one->host = this;
-    one->connection = connection;
-    one->peer = static_cast<connection_state *>(info->socket_context);
-    one->peer->current = one.get();
-    one->request.method = method;
-    one->request.path = url;
-    const auto addTo = [](void *map, MHD_ValueKind kind, const char *key, std::size_t keySize,
-                           const char *value, std::size_t valueSize) {
+    auto httpExchange = std::make_shared<exchange>();
+    httpExchange->host = this;
+    httpExchange->connection = connection;
+    httpExchange->peer = static_cast<connection_state *>(info->socket_context);
+    httpExchange->peer->current = httpExchange.get();
+    httpExchange->request.method = method;
+    httpExchange->request.path = url;
+    const auto addValue = [](void *map, MHD_ValueKind kind, const char *key, std::size_t keySize,
+                              const char *value, std::size_t valueSize) {
         std::string name(key, keySize);
         if (kind == MHD_HEADER_KIND) {
             name = detail::lowerCase(name);
         }
         const std::string text(value == nullptr ? "" : value, value == nullptr ? 0 : valueSize);
         auto &values = *static_cast<std::map<std::string, std::string> *>(map);
-        const auto [found, isNew] = values.try_emplace(std::move(name), text);
-        if (!isNew && kind == MHD_HEADER_KIND) {
+        const auto [found, inserted] = values.try_emplace(std::move(name), text);
+        if (!inserted && kind == MHD_HEADER_KIND) {
             found->second.append(", ").append(text);
         }
         return MHD_YES;
     };
-    MHD_get_connection_values_n(connection, MHD_GET_ARGUMENT_KIND, addTo, &one->request.query);
-    MHD_get_connection_values_n(connection, MHD_HEADER_KIND, addTo, &one->request.headers);
-    *context = one.get();
-    m_exchanges.emplace(one.get(), std::move(one));
+    MHD_get_connection_values_n(connection, MHD_GET_ARGUMENT_KIND, addValue, &httpExchange->request.query);
+    MHD_get_connection_values_n(connection, MHD_HEADER_KIND, addValue, &httpExchange->request.headers);
+    *context = httpExchange.get();
+    m_exchanges.emplace(httpExchange.get(), std::move(httpExchange));
     return MHD_YES;
 }
 
-void server_impl::takeUpload(exchange &one, const char *upload, std::size_t size) const
+void server_impl::appendUpload(exchange &httpExchange, const char *upload, std::size_t size) const
 {
-    http_request &request = one.request;
-    if (request.tooLarge || size > m_bodyLimit - request.body.size()) {
-        // Read on and dropped: a caller that is still sending would not see an earlier answer.
+    http_request &request = httpExchange.request;
+    if (request.tooLarge || size > m_maxBodyBytes - request.body.size()) {
+        // The rest is read and discarded: a caller that is still sending would not see an earlier response.
         request.tooLarge = true;
         std::string().swap(request.body);
         return;
@@ -393,119 +399,121 @@
     if (*context == nullptr) {
         return onFirstCall(connection, url, method, context);
     }
-    auto &one = *static_cast<exchange *>(*context);
+    auto &httpExchange = *static_cast<exchange *>(*context);
     if (*uploadSize > 0) {
-        takeUpload(one, upload, *uploadSize);
+        appendUpload(httpExchange, upload, *uploadSize);
         *uploadSize = 0;
         return MHD_YES;
     }
-    // Guards against: a request that arrives in the destructor's last turn is suspended, and stopping the
-    // server with a suspended connection ends the process. It shows as an abort at shutdown under load.
+    // A request that arrives in the destructor's MHD_run() must not be suspended: stopping libmicrohttpd with
+    // a suspended connection aborts the process, which happened at shutdown under load.
     if (m_stopping) {
         return MHD_NO;
     }
-    switch (one.phase) {
+    switch (httpExchange.phase) {
     case reply_phase::Reading:
-        one.phase = reply_phase::Waiting;
-        m_arrived.push_back(one.shared_from_this());
-        one.suspend();
+        httpExchange.phase = reply_phase::Waiting;
+        m_newExchanges.push_back(httpExchange.shared_from_this());
+        httpExchange.suspend();
         return MHD_YES;
     case reply_phase::Waiting:
-        one.suspend();
+        httpExchange.suspend();
         return MHD_YES;
     case reply_phase::Answering:
     case reply_phase::Answered:
-        return queueAnswer(one);
+        return queueResponse(httpExchange);
     case reply_phase::Aborted:
         break;
     }
     return MHD_NO;
 }
 
-MHD_Result server_impl::queueAnswer(exchange &one)
+MHD_Result server_impl::queueResponse(exchange &httpExchange)
 {
-    if (one.queued) {
+    if (httpExchange.queued) {
         return MHD_YES;
     }
-    // The response may be the last to go, so it owns a share of the exchange that its bytes live in.
-    auto owner = std::make_unique<exchange_ptr>(one.shared_from_this());
-    const auto drop = [](void *share) {
-        delete static_cast<exchange_ptr *>(share);
+    // The response may be destroyed last, so it shares ownership of the exchange that holds its bytes.
+    auto owner = std::make_unique<exchange_ptr>(httpExchange.shared_from_this());
+    const auto releaseOwner = [](void *ownerPointer) {
+        delete static_cast<exchange_ptr *>(ownerPointer);
     };
     response_ptr response;
-    if (one.streamed) {
-        const auto reader = [](void *share, std::uint64_t, char *buffer, std::size_t size) {
-            return (*static_cast<exchange_ptr *>(share))->read(buffer, size);
+    if (httpExchange.streamed) {
+        const auto reader = [](void *ownerPointer, std::uint64_t, char *buffer, std::size_t size) {
+            return (*static_cast<exchange_ptr *>(ownerPointer))->read(buffer, size);
         };
-        response.reset(
-            MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, streamBlockBytes, reader, owner.get(), drop));
+        response.reset(MHD_create_response_from_callback(
+            MHD_SIZE_UNKNOWN, streamBlockBytes, reader, owner.get(), releaseOwner));
     } else {
         response.reset(MHD_create_response_from_buffer_with_free_callback_cls(
-            one.out.size(), one.out.data(), drop, owner.get()));
+            httpExchange.out.size(), httpExchange.out.data(), releaseOwner, owner.get()));
     }
     if (!response) {
         return MHD_NO;
     }
     static_cast<void>(owner.release());
-    for (const auto &[name, value] : one.headers) {
-        const std::string lower = detail::lowerCase(name);
-        // The framing of the answer is libmicrohttpd's own.
-        if (lower == "content-length" || lower == "transfer-encoding") {
+    for (const auto &[name, value] : httpExchange.headers) {
+        const std::string lowerName = detail::lowerCase(name);
+        // libmicrohttpd sets the framing headers itself.
+        if (lowerName == "content-length" || lowerName == "transfer-encoding") {
             continue;
         }
         if (MHD_add_response_header(response.get(), name.c_str(), value.c_str()) != MHD_YES) {
-            spdlog::debug("http: header {} cannot be sent", name);
+            spdlog::debug("http: response header {} is invalid and was left out", name);
         }
     }
     if (!m_listening) {
-        // A caller that kept the connection would send its next request to an instance that is leaving.
+        // Otherwise, the caller would send its next request on this connection to an instance that shuts
+        // down.
         MHD_add_response_header(response.get(), MHD_HTTP_HEADER_CONNECTION, "close");
     }
-    one.queued = true;
-    return MHD_queue_response(one.connection, static_cast<unsigned int>(one.status), response.get());
+    httpExchange.queued = true;
+    return MHD_queue_response(
+        httpExchange.connection, static_cast<unsigned int>(httpExchange.status), response.get());
 }
 
-void server_impl::onCompleted(exchange &one, MHD_RequestTerminationCode how)
+void server_impl::onCompleted(exchange &httpExchange, MHD_RequestTerminationCode code)
 {
-    const exchange_ptr held = one.shared_from_this();
-    m_exchanges.erase(&one);
-    one.peer->current = nullptr;
-    one.peer = nullptr;
-    one.connection = nullptr;
-    one.suspended = false;
-    if (!one.onClosed) {
+    const exchange_ptr keepAlive = httpExchange.shared_from_this();
+    m_exchanges.erase(&httpExchange);
+    httpExchange.peer->current = nullptr;
+    httpExchange.peer = nullptr;
+    httpExchange.connection = nullptr;
+    httpExchange.suspended = false;
+    if (!httpExchange.onClosed) {
         return;
     }
-    if (how == MHD_REQUEST_TERMINATED_COMPLETED_OK || m_stopping) {
-        m_unused.push_back(std::exchange(one.onClosed, nullptr));
+    if (code == MHD_REQUEST_TERMINATED_COMPLETED_OK || m_stopping) {
+        m_discardedCallbacks.push_back(std::exchange(httpExchange.onClosed, nullptr));
     } else {
-        m_lost.push_back(held);
+        m_closedExchanges.push_back(keepAlive);
     }
 }
 
 void server_impl::onConnection(
-    MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode what)
+    MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode notification)
 {
-    if (what == MHD_CONNECTION_NOTIFY_CLOSED) {
-        auto *peer = static_cast<connection_state *>(*context);
-        epoll_ctl(m_hangupFd, EPOLL_CTL_DEL, peer->fd, nullptr);
-        m_connections.erase(peer->id);
+    if (notification == MHD_CONNECTION_NOTIFY_CLOSED) {
+        auto *state = static_cast<connection_state *>(*context);
+        epoll_ctl(m_hangupFd, EPOLL_CTL_DEL, state->fd, nullptr);
+        m_connections.erase(state->id);
         return;
     }
-    auto peer = std::make_unique<connection_state>();
-    peer->id = ++m_lastConnection;
-    peer->fd = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd;
-    const int on = 1;
-    setsockopt(peer->fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    // libmicrohttpd does not look at suspended connections, so a caller that goes away while its answer
-    // is being made would be seen by nobody. A second epoll set reports the end of each connection
-    // once, and nothing else: bytes of a next request do not wake it.
+    auto state = std::make_unique<connection_state>();
+    state->id = ++m_lastConnection;
+    state->fd = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd;
+    const int enabled = 1;
+    setsockopt(state->fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
+    // libmicrohttpd doesn't watch suspended connections, so it would not detect a caller that disconnects
+    // while its response is prepared. A second epoll set reports the end of each connection once and nothing
+    // else: the bytes of a pipelined request don't wake it.
     epoll_event event{};
     event.events = EPOLLRDHUP | EPOLLET;
-    event.data.u64 = peer->id;
-    epoll_ctl(m_hangupFd, EPOLL_CTL_ADD, peer->fd, &event);
-    *context = peer.get();
-    m_connections.emplace(peer->id, std::move(peer));
+    event.data.u64 = state->id;
+    epoll_ctl(m_hangupFd, EPOLL_CTL_ADD, state->fd, &event);
+    *context = state.get();
+    m_connections.emplace(state->id, std::move(state));
 }
 
 MHD_Result server_impl::accessThunk(void *self, MHD_Connection *connection, const char *url,
@@ -514,38 +522,39 @@
     return static_cast<server_impl *>(self)->onAccess(connection, url, method, upload, uploadSize, context);
 }
 
-void server_impl::completedThunk(void *self, MHD_Connection *, void **context, MHD_RequestTerminationCode how)
+void server_impl::completedThunk(
+    void *self, MHD_Connection *, void **context, MHD_RequestTerminationCode code)
 {
     if (*context != nullptr) {
-        static_cast<server_impl *>(self)->onCompleted(*static_cast<exchange *>(*context), how);
+        static_cast<server_impl *>(self)->onCompleted(*static_cast<exchange *>(*context), code);
         *context = nullptr;
     }
 }
 
 void server_impl::connectionThunk(
-    void *self, MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode what)
+    void *self, MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode notification)
 {
-    static_cast<server_impl *>(self)->onConnection(connection, context, what);
+    static_cast<server_impl *>(self)->onConnection(connection, context, notification);
 }
 
 void server_impl::logThunk(void *self, const char *format, va_list arguments)
 {
     std::array<char, 512> line{};
     std::vsnprintf(line.data(), line.size(), format, arguments);
-    auto &last = static_cast<server_impl *>(self)->m_lastLog;
-    last = line.data();
-    while (!last.empty() && (last.back() == '\n' || last.back() == '.')) {
-        last.pop_back();
+    auto &lastLine = static_cast<server_impl *>(self)->m_lastLog;
+    lastLine = line.data();
+    while (!lastLine.empty() && (lastLine.back() == '\n' || lastLine.back() == '.')) {
+        lastLine.pop_back();
     }
-    spdlog::debug("http: {}", last);
+    spdlog::debug("http: {}", lastLine);
 }
 
 }
 
 std::unique_ptr<http_server> http_server::listen(loop &eventLoop, const std::string &address,
-    std::uint16_t port, std::size_t bodyLimit, handler onRequest, error &why)
+    std::uint16_t port, std::size_t maxBodyBytes, handler onRequest, error &why)
 {
-    auto server = std::make_unique<server_impl>(eventLoop, bodyLimit, std::move(onRequest));
+    auto server = std::make_unique<server_impl>(eventLoop, maxBodyBytes, std::move(onRequest));
     if (!server->start(address, port, why)) {
         return nullptr;
     }
--- a/packages/transport/http_server.h
+++ b/packages/transport/http_server.h
@@ -15,7 +15,7 @@
 
 namespace briarhead {
 
-/// A request as it came in, whole.
+/// A complete request.
 struct http_request
 {
     std::string method;
@@ -23,46 +23,48 @@
     std::map<std::string, std::string> query;
     std::map<std::string, std::string> headers; ///< names in lower case
     std::string body;
-    bool tooLarge = false; ///< the body passed the limit and was dropped; answer 413
+    bool tooLarge = false; ///< the body exceeded the limit and was discarded; respond with 413
 };
 
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
-/// The answer to one request; kept by whoever answers it, at any later time, on the loop's thread.
-/// Either respond() once, or begin(), write() any number of times, end(). Content-Length and
-/// Transfer-Encoding are the server's own and are left out of `headers`. When the last holder drops the
-/// reply without a whole answer, the connection is broken off.
+/// Sends the response to one request, at any later time on the loop's thread: either respond() once, or
+/// begin(), any number of write(), end(). The server sets Content-Length and Transfer-Encoding itself and
+/// ignores them in `headers`. If the last reference is dropped before the response is complete, the
+/// connection is closed.
 class http_reply
 {
 public:
     virtual ~http_reply() = default;
     virtual void respond(int status, const header_list &headers, std::string body) = 0;
+    /// Begins a response of unknown length.
     virtual void begin(int status, const header_list &headers) = 0;
     virtual void write(std::string_view bytes) = 0;
     virtual void end() = 0;
-    /// Breaks the connection off, so that the caller sees that the streamed answer is not whole.
+    /// Closes the connection, so that the caller can tell that a streamed response is incomplete.
     virtual void abort() = 0;
-    /// Called once if the caller's connection goes away before the answer was complete; the reply is
-    /// then aborted. A caller that closes its sending side counts as gone only if this was set.
+    /// Sets a function that is called once if the caller disconnects before the response is complete; the
+    /// reply is then aborted. A caller that closes only its sending side counts as disconnected only if
+    /// this function is set.
     virtual void onClosed(std::function<void()> call) = 0;
-    /// Bytes written and not yet taken by the socket.
+    /// Bytes written but not yet accepted by the socket.
     virtual std::size_t pendingBytes() const = 0;
 };
 
-/// HTTP towards callers and operators, by libmicrohttpd driven from the loop.
+/// HTTP server for callers and operators, using libmicrohttpd on the event loop.
 class http_server
 {
 public:
     using handler = std::function<void(http_request request, std::shared_ptr<http_reply> reply)>;
 
-    /// Listens on an address by IP number; port 0 takes a free one. `why` tells what failed.
+    /// Listens on an IP address; port 0 selects a free port. Returns null and sets `why` on failure.
     static std::unique_ptr<http_server> listen(loop &eventLoop, const std::string &address,
-        std::uint16_t port, std::size_t bodyLimit, handler onRequest, error &why);
+        std::uint16_t port, std::size_t maxBodyBytes, handler onRequest, error &why);
     virtual ~http_server() = default;
     virtual std::uint16_t port() const = 0;
-    /// Connections that have a request in progress.
     virtual std::size_t activeRequests() const = 0;
-    /// Takes no further connections; those in progress go on. Answers begun after this close theirs.
+    /// Accepts the connections in the listen queue, then closes the listening socket. Requests in progress
+    /// continue, and responses that begin after this call close their connection.
     virtual void stopListening() = 0;
 };
 
--- a/packages/transport/http_wire.cpp
+++ b/packages/transport/http_wire.cpp
@@ -15,56 +15,56 @@
 using beast_text = boost::beast::string_view;
 using error_code = boost::beast::error_code;
 
-std::string toText(beast_text text)
+std::string toString(beast_text text)
 {
     return {text.data(), text.size()};
 }
 
-char lower(char c)
+char toLower(char c)
 {
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
 
-/// What both kinds of parser do alike.
-class any_collector
+/// Interface of the request and the response parser, which collects the head and body.
+class message_collector
 {
 public:
-    virtual ~any_collector() = default;
-    virtual std::size_t put(std::string_view bytes, error_code &code) = 0;
-    virtual void putEnd(error_code &code) = 0;
-    virtual bool headDone() const = 0;
+    virtual ~message_collector() = default;
+    virtual std::size_t parse(std::string_view bytes, error_code &code) = 0;
+    virtual void parseEof(error_code &code) = 0;
+    virtual bool isHeadDone() const = 0;
     virtual bool done() const = 0;
-    virtual bool keeps() const = 0;
-    virtual bool needsEnd() const = 0;
+    virtual bool keepsConnection() const = 0;
+    virtual bool needsEof() const = 0;
     virtual void skipBody() = 0;
-    virtual std::optional<std::uint64_t> length() const = 0;
+    virtual std::optional<std::uint64_t> contentLength() const = 0;
 
     http_head head;
     std::string body;
-    int version = 11; ///< 10 or 11
+    int version = 11; ///< 10 for HTTP/1.0, 11 for HTTP/1.1
 };
 
 template <bool isRequest>
-class collector final : public any_collector, public beast_http::basic_parser<isRequest>
+class typed_collector final : public message_collector, public beast_http::basic_parser<isRequest>
 {
     using base = beast_http::basic_parser<isRequest>;
 
 public:
-    explicit collector(const http_reader::limits &bounds)
+    explicit typed_collector(const http_reader::limits &bounds)
     {
         base::eager(true);
         base::header_limit(bounds.maxHeadBytes);
         base::body_limit(bounds.maxBodyBytes);
     }
-    std::size_t put(std::string_view bytes, error_code &code) override
+    std::size_t parse(std::string_view bytes, error_code &code) override
     {
         return base::put(boost::asio::const_buffer(bytes.data(), bytes.size()), code);
     }
-    void putEnd(error_code &code) override
+    void parseEof(error_code &code) override
     {
         base::put_eof(code);
     }
-    bool headDone() const override
+    bool isHeadDone() const override
     {
         return base::is_header_done();
     }
@@ -72,11 +72,11 @@
     {
         return base::is_done();
     }
-    bool keeps() const override
+    bool keepsConnection() const override
     {
         return base::keep_alive();
     }
-    bool needsEnd() const override
+    bool needsEof() const override
     {
         return base::need_eof();
     }
@@ -84,7 +84,7 @@
     {
         base::skip(true);
     }
-    std::optional<std::uint64_t> length() const override
+    std::optional<std::uint64_t> contentLength() const override
     {
         const auto value = base::content_length();
         return value ? std::optional<std::uint64_t>(*value) : std::nullopt;
@@ -92,21 +92,21 @@
 
 private:
     void on_request_impl(
-        beast_http::verb, beast_text method, beast_text target, int number, error_code &) override
+        beast_http::verb, beast_text method, beast_text target, int httpVersion, error_code &) override
     {
-        version = number;
-        head.method = toText(method);
-        head.target = toText(target);
+        version = httpVersion;
+        head.method = toString(method);
+        head.target = toString(target);
     }
-    void on_response_impl(int status, beast_text reason, int number, error_code &) override
+    void on_response_impl(int status, beast_text reason, int httpVersion, error_code &) override
     {
-        version = number;
+        version = httpVersion;
         head.status = status;
-        head.reason = toText(reason);
+        head.reason = toString(reason);
     }
     void on_field_impl(beast_http::field, beast_text name, beast_text value, error_code &) override
     {
-        head.fields.push_back({toText(name), toText(value)});
+        head.fields.push_back({toString(name), toString(value)});
     }
     void on_header_impl(error_code &) override
     {
@@ -148,7 +148,7 @@
 bool equalsIgnoreCase(std::string_view a, std::string_view b)
 {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
-        return lower(x) == lower(y);
+        return toLower(x) == toLower(y);
     });
 }
 
@@ -164,15 +164,15 @@
 
 struct http_reader::impl
 {
-    std::unique_ptr<any_collector> parser;
+    std::unique_ptr<message_collector> parser;
     read_state state = read_state::Head;
     read_fault fault = read_fault::None;
 
-    void settle()
+    void updateState()
     {
         if (parser->done()) {
             state = read_state::Done;
-        } else if (parser->headDone()) {
+        } else if (parser->isHeadDone()) {
             state = read_state::Body;
         }
     }
@@ -182,9 +182,9 @@
     : m_impl(std::make_unique<impl>())
 {
     if (side == http_side::Request) {
-        m_impl->parser = std::make_unique<collector<true>>(bounds);
+        m_impl->parser = std::make_unique<typed_collector<true>>(bounds);
     } else {
-        m_impl->parser = std::make_unique<collector<false>>(bounds);
+        m_impl->parser = std::make_unique<typed_collector<false>>(bounds);
     }
 }
 
@@ -202,16 +202,16 @@
     used = 0;
     while (m_impl->state != read_state::Done && m_impl->state != read_state::Invalid && used < bytes.size()) {
         error_code code;
-        const std::size_t taken = m_impl->parser->put(bytes.substr(used), code);
-        used += taken;
-        m_impl->settle();
+        const std::size_t parsed = m_impl->parser->parse(bytes.substr(used), code);
+        used += parsed;
+        m_impl->updateState();
         if (code == beast_http::error::need_more) {
             break;
         }
         if (code) {
             m_impl->state = read_state::Invalid;
             m_impl->fault = faultOf(code);
-        } else if (taken == 0) {
+        } else if (parsed == 0) {
             break;
         }
     }
@@ -220,12 +220,12 @@
 
 bool http_reader::finishAtEof()
 {
-    if (m_impl->state != read_state::Body || !m_impl->parser->needsEnd()) {
+    if (m_impl->state != read_state::Body || !m_impl->parser->needsEof()) {
         return m_impl->state == read_state::Done;
     }
     error_code code;
-    m_impl->parser->putEnd(code);
-    m_impl->settle();
+    m_impl->parser->parseEof(code);
+    m_impl->updateState();
     return !code && m_impl->state == read_state::Done;
 }
 
@@ -251,7 +251,7 @@
 
 bool http_reader::keepsConnection() const
 {
-    return m_impl->parser->keeps();
+    return m_impl->parser->keepsConnection();
 }
 
 bool http_reader::isHttp10() const
@@ -261,7 +261,7 @@
 
 std::optional<std::uint64_t> http_reader::bodyLength() const
 {
-    return m_impl->parser->length();
+    return m_impl->parser->contentLength();
 }
 
 }
--- a/packages/transport/http_wire.h
+++ b/packages/transport/http_wire.h
@@ -9,28 +9,29 @@
 
 namespace briarhead {
 
-/// One header line, the name as it was sent.
+/// One header field, with the name as it was sent.
 struct http_field
 {
     std::string name;
     std::string value;
 };
 
-/// All of a message but its body.
+/// The start line and header fields of a message.
 struct http_head
 {
     std::string method; ///< of a request
     std::string target; ///< of a request, as sent: neither decoded nor normalised
-    int status = 0; ///< of an answer
-    std::string reason; ///< of an answer
+    int status = 0; ///< of a response
+    std::string reason; ///< of a response
     std::vector<http_field> fields;
 };
 
-/// The value of the first field of that name in any case, or null.
+/// The value of the first field with this name, ignoring case; null if there is none.
 const std::string *findField(const http_head &head, std::string_view name);
-/// Whether `a` and `b` are the same but for the case of ASCII letters.
+/// Compares two texts, ignoring the case of ASCII letters.
 bool equalsIgnoreCase(std::string_view a, std::string_view b);
 
+/// The kind of message that an http_reader parses.
 enum class http_side : std::uint8_t
 {
     Request,
@@ -39,10 +40,10 @@
 
 enum class read_state : std::uint8_t
 {
-    Head, ///< the head is still coming in
-    Body, ///< the head is there, the body is coming in
+    Head, ///< the head is incomplete
+    Body, ///< the head is complete, the body is not
     Done,
-    Invalid, ///< no HTTP message, or over a limit; `fault` says which
+    Invalid, ///< malformed or over a limit; see http_reader::fault()
 };
 
 enum class read_fault : std::uint8_t
@@ -53,9 +54,9 @@
     BodyTooLarge,
 };
 
-/// Reads one HTTP/1.1 message off a byte stream, by Boost.Beast's parser. Unlike the libraries that own the
-/// socket, it leaves the target as sent, shows each byte after the message to the caller, and never sends
-/// anything by itself, which what may run only once depends on.
+/// Parses one HTTP/1.1 message from a byte stream with Boost.Beast's parser. Unlike libraries that own the
+/// socket, it keeps the target as sent, leaves all bytes after the message to its user, and never sends
+/// anything (such as a retry) by itself, which requests that may run only once depend on.
 class http_reader
 {
 public:
@@ -70,24 +71,25 @@
     http_reader(http_reader &&) noexcept;
     http_reader &operator=(http_reader &&) noexcept;
 
-    /// The answer that follows has no body whatever its head says (it answers a HEAD request).
+    /// The response has no body whatever its head says, because it responds to a HEAD request.
     void expectNoBody();
-    /// Takes bytes from the front of `bytes`; `used` gets how many. The rest is to be offered again, with
-    /// more behind it.
+    /// Parses bytes from the front of `bytes` and sets `used` to their number. Pass the rest again, followed
+    /// by further bytes.
     read_state feed(std::string_view bytes, std::size_t &used);
-    /// The stream has ended in order. True if that completes the message (one without a length).
+    /// Call when the stream has ended in an orderly way. Returns whether the message is complete; one
+    /// without a length is completed by the end of the stream.
     bool finishAtEof();
 
     read_state state() const;
     read_fault fault() const;
     const http_head &head() const;
-    /// The body bytes since the last call.
+    /// Returns and removes the body bytes parsed since the last call.
     std::string takeBody();
     /// Whether the connection may carry another message after this one.
     bool keepsConnection() const;
-    /// Whether the sender speaks HTTP/1.0, which knows no chunks.
+    /// Whether the sender uses HTTP/1.0, which has no chunked encoding.
     bool isHttp10() const;
-    /// The body's length where the head tells it.
+    /// The Content-Length, if the head has one.
     std::optional<std::uint64_t> bodyLength() const;
 
 private:
--- a/packages/transport/loop.cpp
+++ b/packages/transport/loop.cpp
@@ -14,27 +14,27 @@
 
 constexpr double msPerSecond = 1000.0;
 
-/// One libev watcher that stops when its handle is destroyed. It shares the ownership of the loop, so
-/// that a handle may outlive the `loop` object. The function is held by a shared pointer of its own:
-/// a callback that drops its handle would otherwise destroy the closure it is running in.
+/// A libev watcher that stops when its handle is destroyed. It shares ownership of the libev loop, so that a
+/// handle may outlive the `loop` object. The callback has its own shared pointer: a callback that destroys
+/// its handle would otherwise destroy the closure that is running.
 template <class watcher_type, class function_type>
 struct watcher
 {
-    std::shared_ptr<struct ev_loop> base;
+    std::shared_ptr<struct ev_loop> evLoop;
     std::shared_ptr<function_type> call;
     watcher_type raw{};
     void (*stop)(struct ev_loop *, watcher_type *) = nullptr;
 
     watcher(std::shared_ptr<struct ev_loop> sharedLoop, function_type function,
         void (*stopFunction)(struct ev_loop *, watcher_type *))
-        : base(std::move(sharedLoop))
+        : evLoop(std::move(sharedLoop))
         , call(std::make_shared<function_type>(std::move(function)))
         , stop(stopFunction)
     {
     }
     ~watcher()
     {
-        stop(base.get(), &raw);
+        stop(evLoop.get(), &raw);
     }
     watcher(const watcher &) = delete;
     watcher &operator=(const watcher &) = delete;
@@ -48,24 +48,25 @@
 
 struct loop::impl
 {
-    std::shared_ptr<struct ev_loop> base;
+    std::shared_ptr<struct ev_loop> evLoop;
     ev_prepare prepare{};
     ev_idle idle{};
-    std::deque<callback> queue;
+    std::deque<callback> postedCalls;
 
-    void drain()
+    void runPostedCalls()
     {
-        // Only what was queued at the start: calls that post calls would else starve the sockets.
-        for (std::size_t left = queue.size(); left > 0; --left) {
-            const callback call = std::move(queue.front());
-            queue.pop_front();
+        // Runs only the calls queued at the start; otherwise, calls that post further calls would starve the
+        // sockets.
+        for (std::size_t remaining = postedCalls.size(); remaining > 0; --remaining) {
+            const callback call = std::move(postedCalls.front());
+            postedCalls.pop_front();
             call();
         }
-        // An active idle watcher keeps libev from sleeping while calls are waiting.
-        if (queue.empty()) {
-            ev_idle_stop(base.get(), &idle);
+        // An active idle watcher keeps libev from sleeping while calls are queued.
+        if (postedCalls.empty()) {
+            ev_idle_stop(evLoop.get(), &idle);
         } else {
-            ev_idle_start(base.get(), &idle);
+            ev_idle_start(evLoop.get(), &idle);
         }
     }
 };
@@ -73,46 +74,47 @@
 loop::loop()
     : m_impl(std::make_unique<impl>())
 {
-    m_impl->base = std::shared_ptr<struct ev_loop>(ev_loop_new(EVFLAG_AUTO | EVFLAG_NOENV), ev_loop_destroy);
-    // The prepare watcher runs after the callbacks of each round and before libev sleeps, so a posted
-    // call waits for no wakeup and costs no system call.
+    m_impl->evLoop =
+        std::shared_ptr<struct ev_loop>(ev_loop_new(EVFLAG_AUTO | EVFLAG_NOENV), ev_loop_destroy);
+    // The prepare watcher runs after the callbacks of each iteration and before libev sleeps, so a posted
+    // call needs no wakeup and no system call.
     ev_prepare_init(&m_impl->prepare, [](struct ev_loop *, ev_prepare *self, int) {
-        static_cast<impl *>(self->data)->drain();
+        static_cast<impl *>(self->data)->runPostedCalls();
     });
     m_impl->prepare.data = m_impl.get();
-    ev_prepare_start(m_impl->base.get(), &m_impl->prepare);
+    ev_prepare_start(m_impl->evLoop.get(), &m_impl->prepare);
     ev_idle_init(&m_impl->idle, [](struct ev_loop *, ev_idle *, int) {});
 }
 
 loop::~loop()
 {
-    ev_prepare_stop(m_impl->base.get(), &m_impl->prepare);
-    ev_idle_stop(m_impl->base.get(), &m_impl->idle);
-    // Closures own handles and objects whose destructors may post once more; those are dropped too.
-    while (!m_impl->queue.empty()) {
-        const callback dropped = std::move(m_impl->queue.front());
-        m_impl->queue.pop_front();
+    ev_prepare_stop(m_impl->evLoop.get(), &m_impl->prepare);
+    ev_idle_stop(m_impl->evLoop.get(), &m_impl->idle);
+    // Closures own handles and objects whose destructors may post further calls; those are discarded too.
+    while (!m_impl->postedCalls.empty()) {
+        const callback discarded = std::move(m_impl->postedCalls.front());
+        m_impl->postedCalls.pop_front();
     }
 }
 
 void loop::run()
 {
-    ev_run(m_impl->base.get(), 0);
+    ev_run(m_impl->evLoop.get(), 0);
 }
 
 void loop::stop()
 {
-    ev_break(m_impl->base.get(), EVBREAK_ALL);
+    ev_break(m_impl->evLoop.get(), EVBREAK_ALL);
 }
 
 void loop::post(std::function<void()> call)
 {
-    m_impl->queue.push_back(std::move(call));
+    m_impl->postedCalls.push_back(std::move(call));
 }
 
 std::shared_ptr<void> loop::timer(millis after, millis repeat, std::function<void()> call)
 {
-    auto handle = std::make_shared<timer_watcher>(m_impl->base, std::move(call), ev_timer_stop);
+    auto handle = std::make_shared<timer_watcher>(m_impl->evLoop, std::move(call), ev_timer_stop);
     const auto onTimer = [](struct ev_loop *, ev_timer *self, int) {
         const auto running = static_cast<timer_watcher *>(self->data)->call;
         (*running)();
@@ -120,43 +122,43 @@
     ev_timer_init(&handle->raw, onTimer, static_cast<double>(after.count) / msPerSecond,
         static_cast<double>(repeat.count) / msPerSecond);
     handle->raw.data = handle.get();
-    // libev counts from the time it cached at the start of the round; after a long callback, or before
-    // run(), that lies in the past and the timer would fire early.
-    ev_now_update(m_impl->base.get());
-    ev_timer_start(m_impl->base.get(), &handle->raw);
+    // libev measures from the time it cached at the start of the iteration. After a long callback, or before
+    // run(), that time is in the past and the timer would fire early.
+    ev_now_update(m_impl->evLoop.get());
+    ev_timer_start(m_impl->evLoop.get(), &handle->raw);
     return handle;
 }
 
 std::shared_ptr<void> loop::watch(int fd, int events, std::function<void(int events)> call)
 {
-    static_assert(EV_READ == 1 && EV_WRITE == 2, "the interface's mask is libev's");
-    auto handle = std::make_shared<fd_watcher>(m_impl->base, std::move(call), ev_io_stop);
-    const auto onEvents = [](struct ev_loop *, ev_io *self, int happened) {
+    static_assert(EV_READ == 1 && EV_WRITE == 2, "the event mask of loop::watch() is that of libev");
+    auto handle = std::make_shared<fd_watcher>(m_impl->evLoop, std::move(call), ev_io_stop);
+    const auto onEvents = [](struct ev_loop *, ev_io *self, int received) {
         const auto running = static_cast<fd_watcher *>(self->data)->call;
-        (*running)(happened & (EV_READ | EV_WRITE));
+        (*running)(received & (EV_READ | EV_WRITE));
     };
     ev_io_init(&handle->raw, onEvents, fd, events & (EV_READ | EV_WRITE));
     handle->raw.data = handle.get();
-    ev_io_start(m_impl->base.get(), &handle->raw);
+    ev_io_start(m_impl->evLoop.get(), &handle->raw);
     return handle;
 }
 
 std::shared_ptr<void> loop::onSignal(int number, std::function<void()> call)
 {
-    auto handle = std::make_shared<signal_watcher>(m_impl->base, std::move(call), ev_signal_stop);
+    auto handle = std::make_shared<signal_watcher>(m_impl->evLoop, std::move(call), ev_signal_stop);
     const auto onEvent = [](struct ev_loop *, ev_signal *self, int) {
         const auto running = static_cast<signal_watcher *>(self->data)->call;
         (*running)();
     };
     ev_signal_init(&handle->raw, onEvent, number);
     handle->raw.data = handle.get();
-    ev_signal_start(m_impl->base.get(), &handle->raw);
+    ev_signal_start(m_impl->evLoop.get(), &handle->raw);
     return handle;
 }
 
 struct ev_loop *loop::raw()
 {
-    return m_impl->base.get();
+    return m_impl->evLoop.get();
 }
 
 }
--- a/packages/transport/loop.h
+++ b/packages/transport/loop.h
@@ -10,7 +10,8 @@
 
 namespace briarhead {
 
-/// The one event loop of a process, on libev. Everything runs on its thread; callbacks never nest.
+/// The event loop of a process, based on libev. All callbacks run on its thread and never nest. Handles
+/// returned by its functions may outlive it.
 class loop
 {
 public:
@@ -23,18 +24,23 @@
     void run();
     void stop();
 
-    /// Queues a call; it runs on the loop after the current callback returned, in order of posting.
+    /// Queues a call, to be run on the loop after the current callback returns. Calls run in the order in
+    /// which they were posted.
     void post(std::function<void()> call);
 
-    /// A timer that lives as long as the returned handle. `repeat` of 0 fires once.
+    /// Starts a timer, which is cancelled when the returned handle is destroyed. It fires once if `repeat` is
+    /// 0.
     std::shared_ptr<void> timer(millis after, millis repeat, std::function<void()> call);
 
-    /// Watches a file descriptor; events are a mask of 1 (readable) and 2 (writable).
+    /// Watches a file descriptor until the returned handle is destroyed. `events` is a mask of 1 (readable)
+    /// and 2 (writable).
     std::shared_ptr<void> watch(int fd, int events, std::function<void(int events)> call);
 
-    /// Calls back on a signal, on the loop and not inside the handler.
+    /// Calls `call` on the loop, not in the signal handler, after each signal `number` until the returned
+    /// handle is destroyed.
     std::shared_ptr<void> onSignal(int number, std::function<void()> call);
 
+    /// The underlying libev loop, for watchers that this class doesn't offer.
     struct ev_loop *raw();
 
 private:
--- a/packages/transport/peer_connection.cpp
+++ b/packages/transport/peer_connection.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr int readable = 1;
-constexpr int writable = 2;
-constexpr millis handshakeTimeout{1'000}; ///< with connecting
+constexpr int readableEvent = 1;
+constexpr int writableEvent = 2;
+constexpr millis handshakeTimeout{1'000}; ///< includes connecting
 constexpr std::size_t readChunkBytes = 64 * 1024;
-constexpr int readsPerEvent = 8; ///< then other sockets have their turn
-constexpr std::size_t keptInputBytes = 1024 * 1024; ///< a larger buffer is given back after use
-constexpr std::size_t framesPerWrite = 64;
+constexpr int maxReadsPerEvent = 8; ///< limited so that other sockets are not starved
+constexpr std::size_t maxIdleInputBytes = 1024 * 1024; ///< a larger empty buffer is freed
+constexpr std::size_t maxFramesPerWrite = 64;
 
 bool wouldBlock(int code)
 {
@@ -36,19 +36,19 @@
 }
 
 peer_connection::peer_connection(
-    loop &eventLoop, peer_identity &self, owned_fd fd, std::string expected, handlers calls)
+    loop &eventLoop, peer_identity &identity, owned_fd fd, std::string expectedName, handlers calls)
     : m_loop(eventLoop)
-    , m_self(self)
+    , m_identity(identity)
     , m_fd(std::move(fd))
-    , m_expected(std::move(expected))
-    , m_calls(std::move(calls))
-    , m_stage(m_expected.empty() ? stage::Hello : stage::Connecting)
+    , m_expectedName(std::move(expectedName))
+    , m_handlers(std::move(calls))
+    , m_stage(m_expectedName.empty() ? stage::AwaitingHello : stage::Connecting)
 {
 }
 
 peer_connection::~peer_connection()
 {
-    release();
+    releaseSocket();
 }
 
 void peer_connection::start()
@@ -56,15 +56,15 @@
     const auto weak = weak_from_this();
     m_handshakeTimer = m_loop.timer(handshakeTimeout, {}, [weak] {
         if (const auto self = weak.lock(); self && !self->ready()) {
-            self->end();
+            self->endConnection();
         }
     });
-    m_readWatch = m_loop.watch(m_fd.get(), readable, [weak](int events) {
+    m_readWatch = m_loop.watch(m_fd.get(), readableEvent, [weak](int events) {
         if (const auto self = weak.lock()) {
             self->onEvents(events);
         }
     });
-    m_ownHello = sealHello(m_self.keys, makeHello(m_self.name, m_self.incarnation));
+    m_ownHello = sealHello(m_identity.keys, makeHello(m_identity.name, m_identity.incarnation));
     queue({m_ownHello, true, false});
 }
 
@@ -78,27 +78,27 @@
 void peer_connection::close()
 {
     m_stage = stage::Ended;
-    release();
+    releaseSocket();
 }
 
 std::vector<queued_message> peer_connection::takeUnsent()
 {
-    // The peer acts on whole frames only, so one that the kernel didn't take to its last byte can't be
-    // acted on.
+    // The peer handles only complete frames, so it cannot have handled a frame whose last byte the kernel has
+    // not accepted.
     std::vector<queued_message> unsent;
-    for (const queued_frame &frame : m_out) {
+    for (const queued_frame &frame : m_outgoing) {
         if (frame.message) {
             unsent.push_back({frame.bytes.substr(frameHeaderBytes), frame.control});
         }
     }
-    m_out.clear();
-    m_outBytes = 0;
+    m_outgoing.clear();
+    m_outgoingBytes = 0;
     return unsent;
 }
 
 bool peer_connection::dialled() const
 {
-    return !m_expected.empty();
+    return !m_expectedName.empty();
 }
 
 bool peer_connection::ready() const
@@ -108,12 +108,12 @@
 
 std::size_t peer_connection::queuedBytes() const
 {
-    return m_outBytes - m_headWritten;
+    return m_outgoingBytes - m_firstFrameWrittenBytes;
 }
 
 const hello &peer_connection::peer() const
 {
-    return m_peer;
+    return m_peerHello;
 }
 
 void peer_connection::onEvents(int events)
@@ -122,10 +122,10 @@
     if (m_stage == stage::Connecting) {
         onConnected();
     }
-    if ((events & readable) != 0 && m_stage != stage::Ended) {
-        readSome();
+    if ((events & readableEvent) != 0 && m_stage != stage::Ended) {
+        readAvailable();
     }
-    if ((events & writable) != 0 && m_stage != stage::Ended) {
+    if ((events & writableEvent) != 0 && m_stage != stage::Ended) {
         flush();
     }
 }
@@ -133,31 +133,31 @@
 void peer_connection::onConnected()
 {
     if (pendingError(m_fd.get()) != 0) {
-        end();
+        endConnection();
         return;
     }
-    m_stage = stage::Hello;
+    m_stage = stage::AwaitingHello;
 }
 
-void peer_connection::readSome()
+void peer_connection::readAvailable()
 {
     std::array<char, readChunkBytes> chunk;
-    for (int i = 0; i < readsPerEvent && m_stage != stage::Ended; ++i) {
+    for (int i = 0; i < maxReadsPerEvent && m_stage != stage::Ended; ++i) {
         const ssize_t count = recv(m_fd.get(), chunk.data(), chunk.size(), 0);
         if (count < 0 && wouldBlock(errno)) {
             return;
         }
         if (count <= 0) {
-            end();
+            endConnection();
             return;
         }
-        m_in.append(chunk.data(), static_cast<std::size_t>(count));
-        while (m_stage != stage::Ended && parseOne()) {
+        m_input.append(chunk.data(), static_cast<std::size_t>(count));
+        while (m_stage != stage::Ended && parseNext()) {
         }
-        m_in.erase(0, m_parsed);
-        m_parsed = 0;
-        if (m_in.empty() && m_in.capacity() > keptInputBytes) {
-            m_in.shrink_to_fit();
+        m_input.erase(0, m_parsedBytes);
+        m_parsedBytes = 0;
+        if (m_input.empty() && m_input.capacity() > maxIdleInputBytes) {
+            m_input.shrink_to_fit();
         }
         if (static_cast<std::size_t>(count) < chunk.size()) {
             return;
@@ -165,33 +165,33 @@
     }
 }
 
-bool peer_connection::parseOne()
+bool peer_connection::parseNext()
 {
-    return m_stage == stage::Hello ? parseHello() : parseFrame();
+    return m_stage == stage::AwaitingHello ? parseHello() : parseFrame();
 }
 
 bool peer_connection::parseHello()
 {
     std::size_t used = 0;
-    const std::string_view buffer = std::string_view(m_in).substr(m_parsed);
-    const wire_state state = openHello(m_self.keys, buffer, m_peer, used);
+    const std::string_view buffer = std::string_view(m_input).substr(m_parsedBytes);
+    const wire_state state = openHello(m_identity.keys, buffer, m_peerHello, used);
     if (state == wire_state::Incomplete) {
         return false;
     }
-    // Another name than the expected one means that the address has passed to another instance: what
-    // waits for the old one must not reach it. Our own name means our own hello sent back to us.
-    const bool wanted = m_expected.empty() || m_peer.instance == m_expected;
-    if (state == wire_state::Bad || !wanted || m_peer.instance == m_self.name) {
-        refuseInput();
+    // An unexpected name means that the address now belongs to another instance, which must not receive the
+    // messages queued for the old one. This daemon's own name means that its hello was reflected.
+    const bool nameAccepted = m_expectedName.empty() || m_peerHello.instance == m_expectedName;
+    if (state == wire_state::Bad || !nameAccepted || m_peerHello.instance == m_identity.name) {
+        rejectInput();
         return false;
     }
-    const std::string_view theirs = buffer.substr(0, used);
-    m_sealer.emplace(directionKey(m_self.keys, m_ownHello, theirs));
-    m_opener.emplace(directionKey(m_self.keys, theirs, m_ownHello));
-    m_parsed += used;
-    m_self.counters.frameBytesIn += used;
-    m_self.counters.controlBytesIn += used;
-    m_stage = stage::Confirming;
+    const std::string_view peerHello = buffer.substr(0, used);
+    m_sealer.emplace(directionKey(m_identity.keys, m_ownHello, peerHello));
+    m_opener.emplace(directionKey(m_identity.keys, peerHello, m_ownHello));
+    m_parsedBytes += used;
+    m_identity.counters.frameBytesIn += used;
+    m_identity.counters.controlBytesIn += used;
+    m_stage = stage::AwaitingConfirmation;
     queue({m_sealer->seal({}), true, false});
     return true;
 }
@@ -200,49 +200,49 @@
 {
     std::string_view bytes;
     std::size_t used = 0;
-    const wire_state state = m_opener->open(std::string_view(m_in).substr(m_parsed), bytes, used);
+    const wire_state state = m_opener->open(std::string_view(m_input).substr(m_parsedBytes), bytes, used);
     if (state == wire_state::Bad) {
-        refuseInput();
+        rejectInput();
     }
     if (state != wire_state::Ready) {
         return false;
     }
-    m_parsed += used;
-    takeFrame(bytes, used);
+    m_parsedBytes += used;
+    onFrame(bytes, used);
     return true;
 }
 
-void peer_connection::takeFrame(std::string_view bytes, std::size_t size)
+void peer_connection::onFrame(std::string_view bytes, std::size_t size)
 {
-    m_self.counters.frameBytesIn += size;
-    if (m_stage == stage::Confirming) {
+    m_identity.counters.frameBytesIn += size;
+    if (m_stage == stage::AwaitingConfirmation) {
         if (!bytes.empty()) {
-            refuseInput();
+            rejectInput();
             return;
         }
-        m_self.counters.controlBytesIn += size;
+        m_identity.counters.controlBytesIn += size;
         m_stage = stage::Ready;
         m_handshakeTimer.reset();
-        m_calls.onReady(shared_from_this());
+        m_handlers.onReady(shared_from_this());
         return;
     }
     error why;
     auto message = decodePeerMessage(bytes, why);
     if (!message) {
-        refuseInput();
+        rejectInput();
         return;
     }
-    ++m_self.counters.framesIn;
+    ++m_identity.counters.framesIn;
     if (isControl(*message)) {
-        m_self.counters.controlBytesIn += size;
+        m_identity.counters.controlBytesIn += size;
     }
-    m_calls.onMessage(shared_from_this(), std::move(*message));
+    m_handlers.onMessage(shared_from_this(), std::move(*message));
 }
 
 void peer_connection::queue(queued_frame frame)
 {
-    m_outBytes += frame.bytes.size();
-    m_out.push_back(std::move(frame));
+    m_outgoingBytes += frame.bytes.size();
+    m_outgoing.push_back(std::move(frame));
     if (m_flushPosted || m_writeWatch) {
         return;
     }
@@ -258,16 +258,16 @@
 
 void peer_connection::flush()
 {
-    // On a socket that is still connecting the first write would block, which sets the write watch; it
-    // then fires when the connection is up or has failed.
-    while (!m_out.empty() && writeOnce()) {
+    // On a socket that is still connecting, the first write would block, which starts the write watch. The
+    // watch then fires when the connection is established or has failed.
+    while (!m_outgoing.empty() && writeBatch()) {
     }
-    if (m_stage == stage::Ended || m_out.empty()) {
+    if (m_stage == stage::Ended || m_outgoing.empty()) {
         m_writeWatch.reset();
         return;
     }
     if (!m_writeWatch) {
-        m_writeWatch = m_loop.watch(m_fd.get(), writable, [weak = weak_from_this()](int events) {
+        m_writeWatch = m_loop.watch(m_fd.get(), writableEvent, [weak = weak_from_this()](int events) {
             if (const auto self = weak.lock()) {
                 self->onEvents(events);
             }
@@ -275,64 +275,64 @@
     }
 }
 
-bool peer_connection::writeOnce()
+bool peer_connection::writeBatch()
 {
-    std::array<iovec, framesPerWrite> parts;
-    const std::size_t count = std::min(m_out.size(), parts.size());
+    std::array<iovec, maxFramesPerWrite> buffers;
+    const std::size_t count = std::min(m_outgoing.size(), buffers.size());
     for (std::size_t i = 0; i < count; ++i) {
-        parts[i] = {m_out[i].bytes.data(), m_out[i].bytes.size()};
+        buffers[i] = {m_outgoing[i].bytes.data(), m_outgoing[i].bytes.size()};
     }
-    parts[0].iov_base = m_out.front().bytes.data() + m_headWritten;
-    parts[0].iov_len -= m_headWritten;
-    msghdr header{};
-    header.msg_iov = parts.data();
-    header.msg_iovlen = count;
-    const ssize_t written = sendmsg(m_fd.get(), &header, MSG_NOSIGNAL);
+    buffers[0].iov_base = m_outgoing.front().bytes.data() + m_firstFrameWrittenBytes;
+    buffers[0].iov_len -= m_firstFrameWrittenBytes;
+    msghdr messageHeader{};
+    messageHeader.msg_iov = buffers.data();
+    messageHeader.msg_iovlen = count;
+    const ssize_t written = sendmsg(m_fd.get(), &messageHeader, MSG_NOSIGNAL);
     if (written >= 0) {
-        dropWritten(static_cast<std::size_t>(written));
+        removeWritten(static_cast<std::size_t>(written));
         return true;
     }
     if (!wouldBlock(errno)) {
-        end();
+        endConnection();
     }
     return false;
 }
 
-void peer_connection::dropWritten(std::size_t count)
+void peer_connection::removeWritten(std::size_t count)
 {
-    m_headWritten += count;
-    while (!m_out.empty() && m_headWritten >= m_out.front().bytes.size()) {
-        const queued_frame &frame = m_out.front();
+    m_firstFrameWrittenBytes += count;
+    while (!m_outgoing.empty() && m_firstFrameWrittenBytes >= m_outgoing.front().bytes.size()) {
+        const queued_frame &frame = m_outgoing.front();
         const std::size_t size = frame.bytes.size();
-        m_self.counters.framesOut += frame.message ? 1 : 0;
-        m_self.counters.frameBytesOut += size;
-        m_self.counters.controlBytesOut += frame.control ? size : 0;
-        m_headWritten -= size;
-        m_outBytes -= size;
-        m_out.pop_front();
+        m_identity.counters.framesOut += frame.message ? 1 : 0;
+        m_identity.counters.frameBytesOut += size;
+        m_identity.counters.controlBytesOut += frame.control ? size : 0;
+        m_firstFrameWrittenBytes -= size;
+        m_outgoingBytes -= size;
+        m_outgoing.pop_front();
     }
 }
 
-void peer_connection::refuseInput()
+void peer_connection::rejectInput()
 {
-    ++m_self.counters.dropped;
-    end();
+    ++m_identity.counters.dropped;
+    endConnection();
 }
 
-void peer_connection::end()
+void peer_connection::endConnection()
 {
     if (m_stage == stage::Ended) {
         return;
     }
     const auto keepAlive = shared_from_this();
     m_stage = stage::Ended;
-    release();
-    m_calls.onEnded(keepAlive);
+    releaseSocket();
+    m_handlers.onEnded(keepAlive);
 }
 
-void peer_connection::release()
+void peer_connection::releaseSocket()
 {
-    // Watchers go before their descriptor: its number may be given out again at once.
+    // Watchers are destroyed before the descriptor is closed, because its number may be reused at once.
     m_readWatch.reset();
     m_writeWatch.reset();
     m_handshakeTimer.reset();
--- a/packages/transport/peer_connection.h
+++ b/packages/transport/peer_connection.h
@@ -18,7 +18,7 @@
 
 namespace briarhead {
 
-/// What all connections of one daemon share.
+/// State shared by all peer connections of one daemon.
 struct peer_identity
 {
     std::string name;
@@ -27,19 +27,19 @@
     peer_counters counters;
 };
 
-/// An encoded message that waits to be sent.
+/// An encoded message waiting to be sent.
 struct queued_message
 {
     std::string bytes;
-    bool control = false; ///< counted as control traffic
+    bool control = false; ///< counted as control traffic, see isControl()
 };
 
-/// Whether a message counts as control traffic: all but those that carry requests and their answers.
+/// Whether a message counts as control traffic: all except those that carry requests and responses.
 bool isControl(const peer_message &message);
 
 /// One TCP connection to a peer. Both sides send a hello, then an empty frame under the connection's
-/// keys; the connection is ready once the peer's empty frame has come, which a replayed hello can't
-/// bring about. Only then are messages sent.
+/// keys. The connection is ready once the peer's empty frame has arrived, which a replayed hello alone
+/// cannot achieve. Messages are sent only after that.
 class peer_connection : public std::enable_shared_from_this<peer_connection>
 {
 public:
@@ -47,36 +47,40 @@
     {
         std::function<void(const std::shared_ptr<peer_connection> &)> onReady;
         std::function<void(const std::shared_ptr<peer_connection> &, peer_message)> onMessage;
-        /// Called once when it ends by itself, not after close().
+        /// Called once when the connection fails or the peer closes it, not after close().
         std::function<void(const std::shared_ptr<peer_connection> &)> onEnded;
     };
 
-    /// `expected` is the name the peer must show; empty takes any.
-    peer_connection(loop &eventLoop, peer_identity &self, owned_fd fd, std::string expected, handlers calls);
+    /// `expectedName` is the instance name that the peer must present. It is empty for an accepted
+    /// connection, which may come from any peer.
+    peer_connection(
+        loop &eventLoop, peer_identity &identity, owned_fd fd, std::string expectedName, handlers calls);
     ~peer_connection();
     peer_connection(const peer_connection &) = delete;
     peer_connection &operator=(const peer_connection &) = delete;
 
-    /// Begins the handshake; a dialled socket first waits for its connection.
+    /// Begins the handshake, for a dialled socket once it is connected.
     void start();
-    /// Queues a message; what is queued in one round of the loop goes out in as few calls as possible.
+    /// Queues a message; does nothing unless ready. Messages queued in one round of the loop are sent in
+    /// as few system calls as possible.
     void send(const queued_message &message);
     void close();
-    /// The messages of which no peer can have a whole frame. Ask after it ended or was closed.
+    /// Returns and removes the messages of which the peer cannot have received a complete frame. Call it
+    /// after the connection ended or was closed.
     std::vector<queued_message> takeUnsent();
 
     bool dialled() const;
     bool ready() const;
     std::size_t queuedBytes() const;
-    /// The peer's authenticated hello; empty before it came.
+    /// The peer's authenticated hello; empty until it is received.
     const hello &peer() const;
 
 private:
     enum class stage : std::uint8_t
     {
         Connecting,
-        Hello, ///< the peer's hello is awaited
-        Confirming, ///< the peer's empty frame is awaited
+        AwaitingHello,
+        AwaitingConfirmation, ///< waiting for the peer's empty frame
         Ready,
         Ended,
     };
@@ -89,34 +93,34 @@
 
     void onEvents(int events);
     void onConnected();
-    void readSome();
-    bool parseOne();
+    void readAvailable();
+    bool parseNext();
     bool parseHello();
     bool parseFrame();
-    void takeFrame(std::string_view bytes, std::size_t size);
+    void onFrame(std::string_view bytes, std::size_t size);
     void queue(queued_frame frame);
     void flush();
-    bool writeOnce();
-    void dropWritten(std::size_t count);
-    void refuseInput();
-    void end();
-    void release();
+    bool writeBatch();
+    void removeWritten(std::size_t count);
+    void rejectInput();
+    void endConnection();
+    void releaseSocket();
 
     loop &m_loop;
-    peer_identity &m_self;
+    peer_identity &m_identity;
     owned_fd m_fd;
-    std::string m_expected;
-    handlers m_calls;
+    std::string m_expectedName;
+    handlers m_handlers;
     stage m_stage;
     std::string m_ownHello;
-    hello m_peer;
+    hello m_peerHello;
     std::optional<frame_sealer> m_sealer;
     std::optional<frame_opener> m_opener;
-    std::string m_in;
-    std::size_t m_parsed = 0; ///< bytes of m_in that are done with
-    std::deque<queued_frame> m_out;
-    std::size_t m_outBytes = 0;
-    std::size_t m_headWritten = 0; ///< bytes of the first queued frame that the kernel has taken
+    std::string m_input;
+    std::size_t m_parsedBytes = 0; ///< at the front of m_input
+    std::deque<queued_frame> m_outgoing;
+    std::size_t m_outgoingBytes = 0;
+    std::size_t m_firstFrameWrittenBytes = 0; ///< of the first frame in m_outgoing, accepted by the kernel
     bool m_flushPosted = false;
     std::shared_ptr<void> m_readWatch;
     std::shared_ptr<void> m_writeWatch;
--- a/packages/transport/peer_link.cpp
+++ b/packages/transport/peer_link.cpp
@@ -17,26 +17,27 @@
 
 namespace {
 
-constexpr int readable = 1;
+constexpr int readableEvent = 1;
 constexpr std::size_t maxQueuedBytes = 32 * 1024 * 1024; ///< per peer
-constexpr std::size_t datagramBufferBytes = 2048; ///< ours are far smaller; a longer one is cut and refused
-constexpr int datagramsPerEvent = 64;
-constexpr int acceptsPerEvent = 64;
-constexpr std::size_t maxHandshakes = 256; ///< inbound, at a time
+constexpr std::size_t datagramBufferBytes =
+    2048; ///< peers send far smaller ones; a longer one is truncated and dropped
+constexpr int maxDatagramsPerEvent = 64;
+constexpr int maxAcceptsPerEvent = 64;
+constexpr std::size_t maxHandshakes = 256; ///< concurrent, on accepted connections
 constexpr millis acceptPause{100};
 
 using connection_ptr = std::shared_ptr<peer_connection>;
 
-/// All that stands between this daemon and one peer. Both sides may dial at once; then both connections
-/// are kept, and each side goes on sending on the one that was ready first for it. A side never changes
-/// the connection it sends on while that stands, so its messages arrive in order.
-struct peer_record
+/// Connections and queued messages for one peer. If both sides dial at the same time, both connections are
+/// kept, and each side sends on the one that became ready first on that side. A side never switches to
+/// another connection while the first is open, so its messages arrive in order.
+struct peer_channel
 {
-    std::vector<connection_ptr> ready; ///< we send on the first
+    std::vector<connection_ptr> ready; ///< messages are sent on the first
     connection_ptr dialling;
-    std::deque<queued_message> waiting; ///< for a connection to be ready
-    std::size_t waitingBytes = 0;
-    bool breaking = false; ///< onBroken is on its way
+    std::deque<queued_message> unsentMessages; ///< messages queued until a connection is ready
+    std::size_t unsentBytes = 0;
+    bool closeScheduled = false; ///< no messages are accepted until onBroken has been called
 };
 
 class peer_link_impl : public peer_link
@@ -57,41 +58,41 @@
 
 private:
     void readDatagrams();
-    void takeDatagram(std::string_view bytes, const socket_address &from);
-    void acceptSome();
+    void handleDatagram(std::string_view bytes, const socket_address &from);
+    void acceptConnections();
     void pauseAccepting();
     void watchListener();
-    bool dial(peer_record &record, const std::string &name, const peer_address &to);
-    connection_ptr connection(owned_fd fd, const std::string &expected);
+    bool dial(peer_channel &channel, const std::string &name, const peer_address &to);
+    connection_ptr makeConnection(owned_fd fd, const std::string &expectedName);
 
     void onReady(const connection_ptr &ready);
-    void onEnded(const connection_ptr &ended);
-    bool supersededBy(const peer_record &record, const peer_connection &newer) const;
-    void breakPeer(const std::string &name);
-    void breakLater(const std::string &name);
-    void reportBroken(const std::string &name, const std::vector<queued_message> &unsent);
-    void forgetIdle(const std::string &name);
+    void onEnded(const connection_ptr &endedConnection);
+    bool isSupersededBy(const peer_channel &channel, const peer_connection &newer) const;
+    void closeConnections(const std::string &name);
+    void scheduleClose(const std::string &name);
+    void notifyBroken(const std::string &name, const std::vector<queued_message> &unsent);
+    void removeIfUnused(const std::string &name);
 
     loop &m_loop;
-    peer_identity m_self;
+    peer_identity m_identity;
     peer_port m_port;
-    handlers m_calls;
-    std::map<std::string, peer_record> m_peers;
-    std::set<connection_ptr> m_accepted; ///< not ready yet
+    handlers m_handlers;
+    std::map<std::string, peer_channel> m_peers;
+    std::set<connection_ptr> m_handshaking; ///< accepted connections that are not ready yet
     std::shared_ptr<void> m_udpWatch;
     std::shared_ptr<void> m_listenWatch;
     std::shared_ptr<void> m_acceptTimer;
-    std::shared_ptr<peer_link_impl *> m_alive; ///< gone with this object, for posted calls
+    std::shared_ptr<peer_link_impl *> m_alive; ///< expires with this object; checked by posted calls
 };
 
 peer_link_impl::peer_link_impl(loop &eventLoop, peer_identity self, peer_port port, handlers calls)
     : m_loop(eventLoop)
-    , m_self(std::move(self))
+    , m_identity(std::move(self))
     , m_port(std::move(port))
-    , m_calls(std::move(calls))
+    , m_handlers(std::move(calls))
     , m_alive(std::make_shared<peer_link_impl *>(this))
 {
-    m_udpWatch = m_loop.watch(m_port.udp.get(), readable, [this](int) {
+    m_udpWatch = m_loop.watch(m_port.udp.get(), readableEvent, [this](int) {
         readDatagrams();
     });
     watchListener();
@@ -99,15 +100,15 @@
 
 peer_link_impl::~peer_link_impl()
 {
-    for (const connection_ptr &each : m_accepted) {
-        each->close();
+    for (const connection_ptr &connection : m_handshaking) {
+        connection->close();
     }
-    for (const auto &[name, record] : m_peers) {
-        for (const connection_ptr &each : record.ready) {
-            each->close();
+    for (const auto &[name, channel] : m_peers) {
+        for (const connection_ptr &connection : channel.ready) {
+            connection->close();
         }
-        if (record.dialling) {
-            record.dialling->close();
+        if (channel.dialling) {
+            channel.dialling->close();
         }
     }
 }
@@ -119,7 +120,7 @@
 
 const peer_counters &peer_link_impl::counters() const
 {
-    return m_self.counters;
+    return m_identity.counters;
 }
 
 void peer_link_impl::sendDatagram(const peer_address &to, const peer_datagram &datagram)
@@ -128,54 +129,54 @@
     if (!address) {
         return;
     }
-    const std::string bytes = sealDatagram(m_self.keys, encode(datagram));
-    // A datagram that can't be sent now is lost like any other; its protocol expects losses.
+    const std::string bytes = sealDatagram(m_identity.keys, encode(datagram));
+    // A datagram that cannot be sent now is dropped; the datagram protocol tolerates losses.
     if (sendto(m_port.udp.get(), bytes.data(), bytes.size(), 0, address->raw(), address->size) >= 0) {
-        ++m_self.counters.datagramsOut;
-        m_self.counters.datagramBytesOut += bytes.size();
+        ++m_identity.counters.datagramsOut;
+        m_identity.counters.datagramBytesOut += bytes.size();
     }
 }
 
 void peer_link_impl::readDatagrams()
 {
     std::array<char, datagramBufferBytes> buffer;
-    for (int i = 0; i < datagramsPerEvent; ++i) {
+    for (int i = 0; i < maxDatagramsPerEvent; ++i) {
         socket_address from;
         const ssize_t count =
             recvfrom(m_port.udp.get(), buffer.data(), buffer.size(), 0, from.raw(), &from.size);
         if (count < 0) {
             return;
         }
-        takeDatagram({buffer.data(), static_cast<std::size_t>(count)}, from);
+        handleDatagram({buffer.data(), static_cast<std::size_t>(count)}, from);
     }
 }
 
-void peer_link_impl::takeDatagram(std::string_view bytes, const socket_address &from)
+void peer_link_impl::handleDatagram(std::string_view bytes, const socket_address &from)
 {
-    ++m_self.counters.datagramsIn;
-    m_self.counters.datagramBytesIn += bytes.size();
+    ++m_identity.counters.datagramsIn;
+    m_identity.counters.datagramBytesIn += bytes.size();
     error why;
-    const auto opened = openDatagram(m_self.keys, bytes);
+    const auto opened = openDatagram(m_identity.keys, bytes);
     const auto datagram = opened ? decodePeerDatagram(*opened, why) : std::nullopt;
     if (!datagram) {
-        ++m_self.counters.dropped;
+        ++m_identity.counters.dropped;
         return;
     }
-    if (m_calls.onDatagram) {
-        m_calls.onDatagram(toPeerAddress(from), *datagram);
+    if (m_handlers.onDatagram) {
+        m_handlers.onDatagram(toPeerAddress(from), *datagram);
     }
 }
 
 void peer_link_impl::watchListener()
 {
-    m_listenWatch = m_loop.watch(m_port.listener.get(), readable, [this](int) {
-        acceptSome();
+    m_listenWatch = m_loop.watch(m_port.listener.get(), readableEvent, [this](int) {
+        acceptConnections();
     });
 }
 
-void peer_link_impl::acceptSome()
+void peer_link_impl::acceptConnections()
 {
-    for (int i = 0; i < acceptsPerEvent; ++i) {
+    for (int i = 0; i < maxAcceptsPerEvent; ++i) {
         owned_fd fd(accept4(m_port.listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd) {
             if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
@@ -183,81 +184,82 @@
             }
             return;
         }
-        if (m_accepted.size() >= maxHandshakes) {
-            // Strangers that connect and say nothing would else take all descriptors; each handshake
-            // ends by its timer, so that peers get in again within a second.
-            ++m_self.counters.dropped;
+        if (m_handshaking.size() >= maxHandshakes) {
+            // Otherwise, clients that connect and send nothing could use up all descriptors. Each handshake
+            // has a timeout, so peers can connect again within a second.
+            ++m_identity.counters.dropped;
             continue;
         }
         tuneConnection(fd.get());
-        const connection_ptr accepted = connection(std::move(fd), {});
-        m_accepted.insert(accepted);
+        const connection_ptr accepted = makeConnection(std::move(fd), {});
+        m_handshaking.insert(accepted);
         accepted->start();
     }
 }
 
 void peer_link_impl::pauseAccepting()
 {
-    // Without a free descriptor the waiting connection keeps the listener readable, and the loop would
-    // spin on it.
+    // Without a free descriptor, the connection stays in the listen queue and keeps the listener readable, so
+    // the loop would spin.
     m_listenWatch.reset();
     m_acceptTimer = m_loop.timer(acceptPause, {}, [this] {
         watchListener();
     });
 }
 
-connection_ptr peer_link_impl::connection(owned_fd fd, const std::string &expected)
+connection_ptr peer_link_impl::makeConnection(owned_fd fd, const std::string &expectedName)
 {
     peer_connection::handlers calls;
     calls.onReady = [this](const connection_ptr &ready) {
         onReady(ready);
     };
     calls.onMessage = [this](const connection_ptr &from, peer_message message) {
-        if (m_calls.onMessage) {
-            m_calls.onMessage(from->peer().instance, from->peer().incarnation, std::move(message));
+        if (m_handlers.onMessage) {
+            m_handlers.onMessage(from->peer().instance, from->peer().incarnation, std::move(message));
         }
     };
-    calls.onEnded = [this](const connection_ptr &ended) {
-        onEnded(ended);
+    calls.onEnded = [this](const connection_ptr &endedConnection) {
+        onEnded(endedConnection);
     };
-    return std::make_shared<peer_connection>(m_loop, m_self, std::move(fd), expected, std::move(calls));
+    return std::make_shared<peer_connection>(
+        m_loop, m_identity, std::move(fd), expectedName, std::move(calls));
 }
 
 bool peer_link_impl::send(const std::string &name, const peer_address &to, const peer_message &message)
 {
     queued_message queued{encode(message), isControl(message)};
     const std::size_t size = queued.bytes.size() + frameHeaderBytes;
-    peer_record &record = m_peers[name];
-    if (record.breaking || queued.bytes.size() > maxFrameBytes || name == m_self.name) {
+    peer_channel &channel = m_peers[name];
+    if (channel.closeScheduled || queued.bytes.size() > maxFrameBytes || name == m_identity.name) {
         return false;
     }
     if (queuedBytes(name) + size > maxQueuedBytes) {
-        // The peer takes nothing any more. Holding more for it would end in running out of memory, and
-        // what is held is too old to be of use; its senders are told by onBroken.
-        breakLater(name);
+        // The peer has stopped reading. Queuing more would exhaust memory, and the queued messages are too
+        // old to be useful. Their senders are notified through onUnsent and onBroken.
+        scheduleClose(name);
         return false;
     }
-    if (!record.ready.empty()) {
-        record.ready.front()->send(queued);
+    if (!channel.ready.empty()) {
+        channel.ready.front()->send(queued);
         return true;
     }
-    if (!record.dialling && !dial(record, name, to)) {
+    if (!channel.dialling && !dial(channel, name, to)) {
         return false;
     }
-    record.waitingBytes += size;
-    record.waiting.push_back(std::move(queued));
+    channel.unsentBytes += size;
+    channel.unsentMessages.push_back(std::move(queued));
     return true;
 }
 
-bool peer_link_impl::dial(peer_record &record, const std::string &name, const peer_address &to)
+bool peer_link_impl::dial(peer_channel &channel, const std::string &name, const peer_address &to)
 {
     error why;
     auto fd = startConnect(to, why);
     if (!fd) {
         return false;
     }
-    record.dialling = connection(std::move(*fd), name);
-    record.dialling->start();
+    channel.dialling = makeConnection(std::move(*fd), name);
+    channel.dialling->start();
     return true;
 }
 
@@ -267,15 +269,15 @@
     if (found == m_peers.end()) {
         return 0;
     }
-    const peer_record &record = found->second;
-    return record.waitingBytes + (record.ready.empty() ? 0 : record.ready.front()->queuedBytes());
+    const peer_channel &channel = found->second;
+    return channel.unsentBytes + (channel.ready.empty() ? 0 : channel.ready.front()->queuedBytes());
 }
 
 void peer_link_impl::close(const std::string &name)
 {
     const auto found = m_peers.find(name);
-    if (found != m_peers.end() && (!found->second.ready.empty() || !found->second.waiting.empty())) {
-        breakLater(name);
+    if (found != m_peers.end() && (!found->second.ready.empty() || !found->second.unsentMessages.empty())) {
+        scheduleClose(name);
     }
 }
 
@@ -284,16 +286,17 @@
     const auto found = m_peers.find(name);
     if (found != m_peers.end() && !found->second.ready.empty()
         && found->second.ready.front()->peer().incarnation < incarnation) {
-        breakLater(name);
+        scheduleClose(name);
     }
 }
 
-bool peer_link_impl::supersededBy(const peer_record &record, const peer_connection &newer) const
+bool peer_link_impl::isSupersededBy(const peer_channel &channel, const peer_connection &newer) const
 {
-    // A restarted peer connects while the links to its earlier process still look alive here. So does
-    // one that lost its links without our noticing: it dials only when it has none, so a second
-    // connection that it dialled tells that the first is dead. What was sent on the old ones is lost.
-    return std::any_of(record.ready.begin(), record.ready.end(), [&newer](const connection_ptr &older) {
+    // A restarted peer connects while the connections to its previous incarnation still look alive here. A
+    // peer whose connections were lost unnoticed by this side does the same: it dials only when it has no
+    // connection, so a second connection dialled by it means that the first one is dead. Messages sent on
+    // the old connections may be lost.
+    return std::any_of(channel.ready.begin(), channel.ready.end(), [&newer](const connection_ptr &older) {
         const bool restarted = older->peer().incarnation < newer.peer().incarnation;
         return restarted || (!newer.dialled() && !older->dialled());
     });
@@ -302,46 +305,47 @@
 void peer_link_impl::onReady(const connection_ptr &ready)
 {
     const std::string name = ready->peer().instance;
-    peer_record &record = m_peers[name];
-    m_accepted.erase(ready);
-    if (record.dialling == ready) {
-        record.dialling.reset();
+    peer_channel &channel = m_peers[name];
+    m_handshaking.erase(ready);
+    if (channel.dialling == ready) {
+        channel.dialling.reset();
     }
-    const bool stale = std::any_of(record.ready.begin(), record.ready.end(), [&](const auto &other) {
-        return other->peer().incarnation > ready->peer().incarnation;
-    });
-    if (stale) {
-        // An earlier process of this name that was paused and woke up; its successor is already here.
+    const bool hasNewerIncarnation =
+        std::any_of(channel.ready.begin(), channel.ready.end(), [&](const auto &other) {
+            return other->peer().incarnation > ready->peer().incarnation;
+        });
+    if (hasNewerIncarnation) {
+        // A previous incarnation that was paused and resumed; a newer one is already connected.
         ready->close();
         return;
     }
-    if (supersededBy(record, *ready)) {
-        breakPeer(name);
+    if (isSupersededBy(channel, *ready)) {
+        closeConnections(name);
         if (!ready->ready()) {
             return;
         }
     }
-    record.ready.push_back(ready);
-    for (const queued_message &message : std::exchange(record.waiting, {})) {
-        record.ready.front()->send(message);
+    channel.ready.push_back(ready);
+    for (const queued_message &message : std::exchange(channel.unsentMessages, {})) {
+        channel.ready.front()->send(message);
     }
-    record.waitingBytes = 0;
+    channel.unsentBytes = 0;
 }
 
-void peer_link_impl::onEnded(const connection_ptr &ended)
+void peer_link_impl::onEnded(const connection_ptr &endedConnection)
 {
-    if (m_accepted.erase(ended) != 0) {
+    if (m_handshaking.erase(endedConnection) != 0) {
         return;
     }
-    for (auto &[name, record] : m_peers) {
+    for (auto &[name, channel] : m_peers) {
         const bool wasReady =
-            std::find(record.ready.begin(), record.ready.end(), ended) != record.ready.end();
-        const bool wasDialled = record.dialling == ended;
+            std::find(channel.ready.begin(), channel.ready.end(), endedConnection) != channel.ready.end();
+        const bool wasDialled = channel.dialling == endedConnection;
         if (wasDialled) {
-            record.dialling.reset();
+            channel.dialling.reset();
         }
-        if (wasReady || (wasDialled && !record.waiting.empty())) {
-            breakPeer(std::string(name));
+        if (wasReady || (wasDialled && !channel.unsentMessages.empty())) {
+            closeConnections(std::string(name));
         }
         if (wasReady || wasDialled) {
             return;
@@ -349,54 +353,55 @@
     }
 }
 
-void peer_link_impl::breakPeer(const std::string &name)
+void peer_link_impl::closeConnections(const std::string &name)
 {
-    // With two connections an answer may be due on the one that stands for a request on the one that
-    // broke. Ending both has the peer see it too, so that neither side waits for what won't come.
-    peer_record &record = m_peers[name];
+    // With two connections, the response to a request sent on the broken one may be expected on the other.
+    // Closing both lets the peer detect the loss too, so that neither side waits for messages that will
+    // never arrive.
+    peer_channel &channel = m_peers[name];
     std::vector<queued_message> unsent;
-    for (const connection_ptr &each : std::exchange(record.ready, {})) {
-        each->close();
-        const auto rest = each->takeUnsent();
+    for (const connection_ptr &connection : std::exchange(channel.ready, {})) {
+        connection->close();
+        const auto rest = connection->takeUnsent();
         unsent.insert(unsent.end(), rest.begin(), rest.end());
     }
-    unsent.insert(unsent.end(), record.waiting.begin(), record.waiting.end());
-    record.waiting.clear();
-    record.waitingBytes = 0;
-    reportBroken(name, unsent);
+    unsent.insert(unsent.end(), channel.unsentMessages.begin(), channel.unsentMessages.end());
+    channel.unsentMessages.clear();
+    channel.unsentBytes = 0;
+    notifyBroken(name, unsent);
 }
 
-void peer_link_impl::breakLater(const std::string &name)
+void peer_link_impl::scheduleClose(const std::string &name)
 {
-    // Called from within send() and close(), whose callers must not be called back before they return.
-    // Until then nothing is taken for the peer: onBroken would be read as the loss of that as well.
-    if (std::exchange(m_peers[name].breaking, true)) {
+    // Deferred because callers of send() and close() must not be called back before these return. Until then
+    // no messages are accepted for the peer, because onBroken would be taken as the loss of those as well.
+    if (std::exchange(m_peers[name].closeScheduled, true)) {
         return;
     }
     m_loop.post([weak = std::weak_ptr(m_alive), name] {
         if (const auto alive = weak.lock()) {
-            (*alive)->m_peers[name].breaking = false;
-            (*alive)->breakPeer(name);
-            (*alive)->forgetIdle(name);
+            (*alive)->m_peers[name].closeScheduled = false;
+            (*alive)->closeConnections(name);
+            (*alive)->removeIfUnused(name);
         }
     });
 }
 
-void peer_link_impl::reportBroken(const std::string &name, const std::vector<queued_message> &unsent)
+void peer_link_impl::notifyBroken(const std::string &name, const std::vector<queued_message> &unsent)
 {
-    for (const queued_message &each : unsent) {
+    for (const queued_message &queued : unsent) {
         error why;
-        const auto message = m_calls.onUnsent ? decodePeerMessage(each.bytes, why) : std::nullopt;
+        const auto message = m_handlers.onUnsent ? decodePeerMessage(queued.bytes, why) : std::nullopt;
         if (message) {
-            m_calls.onUnsent(name, *message);
+            m_handlers.onUnsent(name, *message);
         }
     }
-    if (m_calls.onBroken) {
-        m_calls.onBroken(name);
+    if (m_handlers.onBroken) {
+        m_handlers.onBroken(name);
     }
 }
 
-void peer_link_impl::forgetIdle(const std::string &name)
+void peer_link_impl::removeIfUnused(const std::string &name)
 {
     const auto found = m_peers.find(name);
     if (found != m_peers.end() && found->second.ready.empty() && !found->second.dialling) {
@@ -411,7 +416,7 @@
     error &why)
 {
     if (self.empty() || self.size() > maxNameBytes) {
-        why = {error_kind::BadSettings, "instance", "the name is empty or too long"};
+        why = {error_kind::BadSettings, "instance", "the instance name is empty or too long"};
         return nullptr;
     }
     const auto keys = parseSealKeys(hexKey, why);
--- a/packages/transport/peer_socket.cpp
+++ b/packages/transport/peer_socket.cpp
@@ -15,39 +15,39 @@
 
 constexpr int listenBacklog = 512;
 constexpr int udpReceiveBufferBytes = 1024 * 1024;
-constexpr int freePortAttempts = 64;
+constexpr int maxFreePortAttempts = 64;
 
-// Bytes that the other side hasn't acknowledged for this long end the connection. Without it the kernel
-// would go on for a quarter of an hour, and orders buffered there could arrive long after they were given.
-constexpr unsigned userTimeoutMs = 5'000;
-// An idle link costs about two bytes a second; a vanished peer is found by membership long before.
+// A connection ends when sent bytes stay unacknowledged for this long. Without the option, the kernel would
+// retry for about 15 minutes, and buffered orders could arrive long after they were sent.
+constexpr unsigned tcpUserTimeoutMs = 5'000;
+// An idle link costs about two bytes per second. Membership detects a dead peer long before keep-alive does.
 constexpr int keepAliveIdleSeconds = 60;
 constexpr int keepAliveIntervalSeconds = 5;
 
-std::string lastError(const char *call)
+std::string errnoText(const char *call)
 {
     return std::string(call) + ": " + std::strerror(errno);
 }
 
-template <class value_type>
-void setOption(int fd, int level, int name, value_type value)
+template <class option_type>
+void setOption(int fd, int level, int name, option_type value)
 {
-    // Options refine behaviour; a kernel that refuses one still carries the traffic.
+    // The result is ignored: a connection also works without the option.
     (void)setsockopt(fd, level, name, &value, sizeof(value));
 }
 
-std::optional<owned_fd> boundSocket(const socket_address &address, int type, error &why)
+std::optional<owned_fd> makeBoundSocket(const socket_address &address, int type, error &why)
 {
     owned_fd fd(socket(address.storage.ss_family, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd) {
-        why.detail = lastError("socket");
+        why.detail = errnoText("socket");
         return std::nullopt;
     }
     if (type == SOCK_STREAM) {
         setOption(fd.get(), SOL_SOCKET, SO_REUSEADDR, 1);
     }
     if (bind(fd.get(), address.raw(), address.size) != 0) {
-        why.detail = lastError("bind");
+        why.detail = errnoText("bind");
         return std::nullopt;
     }
     return fd;
@@ -62,24 +62,24 @@
     return toPeerAddress(address).port;
 }
 
-std::optional<peer_port> bindBoth(const peer_address &bind, error &why)
+std::optional<peer_port> bindUdpAndTcp(const peer_address &bind, error &why)
 {
     const auto address = toSocketAddress(bind);
     if (!address) {
-        why.detail = "it is not an IP number";
+        why.detail = "not an IP address";
         return std::nullopt;
     }
-    auto listener = boundSocket(*address, SOCK_STREAM, why);
+    auto listener = makeBoundSocket(*address, SOCK_STREAM, why);
     if (!listener) {
         return std::nullopt;
     }
     const std::uint16_t port = boundPort(listener->get());
-    auto udp = boundSocket(*toSocketAddress({bind.ip, port}), SOCK_DGRAM, why);
+    auto udp = makeBoundSocket(*toSocketAddress({bind.ip, port}), SOCK_DGRAM, why);
     if (!udp) {
         return std::nullopt;
     }
     if (listen(listener->get(), listenBacklog) != 0) {
-        why.detail = lastError("listen");
+        why.detail = errnoText("listen");
         return std::nullopt;
     }
     setOption(udp->get(), SOL_SOCKET, SO_RCVBUF, udpReceiveBufferBytes);
@@ -133,20 +133,20 @@
 
 std::optional<socket_address> toSocketAddress(const peer_address &address)
 {
-    socket_address out;
-    auto *v4 = reinterpret_cast<sockaddr_in *>(&out.storage);
+    socket_address result;
+    auto *v4 = reinterpret_cast<sockaddr_in *>(&result.storage);
     if (inet_pton(AF_INET, address.ip.c_str(), &v4->sin_addr) == 1) {
         v4->sin_family = AF_INET;
         v4->sin_port = htons(address.port);
-        out.size = sizeof(*v4);
-        return out;
+        result.size = sizeof(*v4);
+        return result;
     }
-    auto *v6 = reinterpret_cast<sockaddr_in6 *>(&out.storage);
+    auto *v6 = reinterpret_cast<sockaddr_in6 *>(&result.storage);
     if (inet_pton(AF_INET6, address.ip.c_str(), &v6->sin6_addr) == 1) {
         v6->sin6_family = AF_INET6;
         v6->sin6_port = htons(address.port);
-        out.size = sizeof(*v6);
-        return out;
+        result.size = sizeof(*v6);
+        return result;
     }
     return std::nullopt;
 }
@@ -167,10 +167,10 @@
 std::optional<peer_port> bindPeerPort(const peer_address &bind, error &why)
 {
     why = {error_kind::BadSettings, "peer address " + bind.ip + ':' + std::to_string(bind.port), {}};
-    // The port that TCP was given may be taken for UDP; then the next free one is tried.
-    const int attempts = bind.port == 0 ? freePortAttempts : 1;
+    // The free port that TCP was assigned may be in use for UDP; then another one is tried.
+    const int attempts = bind.port == 0 ? maxFreePortAttempts : 1;
     for (int i = 0; i < attempts; ++i) {
-        if (auto port = bindBoth(bind, why)) {
+        if (auto port = bindUdpAndTcp(bind, why)) {
             return port;
         }
     }
@@ -182,17 +182,17 @@
     why = {error_kind::ConnectionLost, "peer " + to.ip + ':' + std::to_string(to.port), {}};
     const auto address = toSocketAddress(to);
     if (!address) {
-        why.detail = "it is not an IP number";
+        why.detail = "not an IP address";
         return std::nullopt;
     }
     owned_fd fd(socket(address->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd) {
-        why.detail = lastError("socket");
+        why.detail = errnoText("socket");
         return std::nullopt;
     }
     tuneConnection(fd.get());
     if (connect(fd.get(), address->raw(), address->size) != 0 && errno != EINPROGRESS) {
-        why.detail = lastError("connect");
+        why.detail = errnoText("connect");
         return std::nullopt;
     }
     return fd;
@@ -201,7 +201,7 @@
 void tuneConnection(int fd)
 {
     setOption(fd, IPPROTO_TCP, TCP_NODELAY, 1);
-    setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, userTimeoutMs);
+    setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, tcpUserTimeoutMs);
     setOption(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveIdleSeconds);
     setOption(fd, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveIntervalSeconds);
--- a/packages/transport/peer_socket.h
+++ b/packages/transport/peer_socket.h
@@ -11,7 +11,7 @@
 
 namespace briarhead {
 
-/// A file descriptor that is closed with its owner.
+/// Owns a file descriptor and closes it on destruction.
 class owned_fd
 {
 public:
@@ -27,7 +27,7 @@
     int m_fd;
 };
 
-/// A socket address as the system calls take it.
+/// A socket address in the form that system calls use.
 struct socket_address
 {
     sockaddr_storage storage{};
@@ -37,11 +37,11 @@
     const sockaddr *raw() const;
 };
 
-/// From an IP number, version 4 or 6; nothing for any other text.
+/// Parses an IPv4 or IPv6 address; nullopt for any other text, including host names.
 std::optional<socket_address> toSocketAddress(const peer_address &address);
 peer_address toPeerAddress(const socket_address &address);
 
-/// The two sockets of a daemon's own port.
+/// The two sockets of a daemon's peer port.
 struct peer_port
 {
     owned_fd udp;
@@ -49,12 +49,14 @@
     std::uint16_t port = 0;
 };
 
-/// Binds UDP and TCP on one port number; port 0 takes one that is free for both.
+/// Binds UDP and TCP to the same port number; port 0 selects one that is free for both. Returns nullopt and
+/// sets `why` on failure.
 std::optional<peer_port> bindPeerPort(const peer_address &bind, error &why);
 
-/// A connection on its way; it is up once the socket is writable without an error.
+/// Starts a non-blocking connect. The connection is established once the socket is writable and
+/// pendingError() returns 0. Returns nullopt and sets `why` on failure.
 std::optional<owned_fd> startConnect(const peer_address &to, error &why);
-/// Sets what each connection between daemons needs, on either side.
+/// Sets the TCP options for connections between daemons, on both sides.
 void tuneConnection(int fd);
 /// The error that ended a connection attempt, or 0.
 int pendingError(int fd);
--- a/tests/unit/http_fixture.h
+++ b/tests/unit/http_fixture.h
@@ -21,7 +21,7 @@
 
 namespace briarhead::http_testing {
 
-/// Long enough for a loaded machine; a test that reaches it has failed.
+/// Long enough for a loaded machine. A test fails when it reaches this timeout.
 inline constexpr millis testTimeout{20'000};
 inline constexpr std::size_t bodyLimit = 100'000;
 inline constexpr auto loopback = "127.0.0.1";
@@ -35,7 +35,7 @@
     return address;
 }
 
-/// A plain TCP socket, for what no HTTP client would send.
+/// A plain TCP socket, for tests that send what an HTTP client would not.
 class raw_socket
 {
 public:
@@ -52,22 +52,22 @@
 
     static std::unique_ptr<raw_socket> connectTo(std::uint16_t port)
     {
-        auto made = std::make_unique<raw_socket>(socket(AF_INET, SOCK_STREAM, 0));
+        auto created = std::make_unique<raw_socket>(socket(AF_INET, SOCK_STREAM, 0));
         const sockaddr_in address = loopbackAddress(port);
-        EXPECT_EQ(connect(made->m_fd, reinterpret_cast<const sockaddr *>(&address), sizeof(address)), 0);
-        return made;
+        EXPECT_EQ(connect(created->m_fd, reinterpret_cast<const sockaddr *>(&address), sizeof(address)), 0);
+        return created;
     }
-    /// A listening socket on a free port; `port` tells which.
+    /// Returns a listening socket on a free port and sets `port` to its number.
     static std::unique_ptr<raw_socket> listening(std::uint16_t &port)
     {
-        auto made = std::make_unique<raw_socket>(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
+        auto created = std::make_unique<raw_socket>(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
         sockaddr_in address = loopbackAddress(0);
         socklen_t length = sizeof(address);
-        EXPECT_EQ(bind(made->m_fd, reinterpret_cast<const sockaddr *>(&address), length), 0);
-        EXPECT_EQ(listen(made->m_fd, 16), 0);
-        EXPECT_EQ(getsockname(made->m_fd, reinterpret_cast<sockaddr *>(&address), &length), 0);
+        EXPECT_EQ(bind(created->m_fd, reinterpret_cast<const sockaddr *>(&address), length), 0);
+        EXPECT_EQ(listen(created->m_fd, 16), 0);
+        EXPECT_EQ(getsockname(created->m_fd, reinterpret_cast<sockaddr *>(&address), &length), 0);
         port = ntohs(address.sin_port);
-        return made;
+        return created;
     }
 
     int fd() const
@@ -78,8 +78,8 @@
     {
         EXPECT_EQ(::send(m_fd, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
     }
-    /// What has arrived so far is appended; false once the peer closed.
-    bool receive(std::string &into) const
+    /// Appends the bytes received so far to `into`. Returns false once the peer has closed the connection.
+    bool receive(std::string &output) const
     {
         std::array<char, 4096> buffer{};
         for (;;) {
@@ -87,7 +87,7 @@
             if (count <= 0) {
                 return count < 0 && errno == EAGAIN;
             }
-            into.append(buffer.data(), static_cast<std::size_t>(count));
+            output.append(buffer.data(), static_cast<std::size_t>(count));
         }
     }
     void hangUp()
@@ -97,11 +97,11 @@
         }
         m_fd = -1;
     }
-    /// Closes with a reset in place of an orderly end.
+    /// Closes the connection with a TCP reset instead of an orderly shutdown.
     void reset()
     {
-        const linger hard{1, 0};
-        setsockopt(m_fd, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
+        const linger lingerOption{1, 0};
+        setsockopt(m_fd, SOL_SOCKET, SO_LINGER, &lingerOption, sizeof(lingerOption));
         hangUp();
     }
 
@@ -109,7 +109,7 @@
     int m_fd;
 };
 
-/// A client on a loop of its own and, after listen(), a server on a free port of the loopback.
+/// A client on its own loop and, after listen(), a server on a free loopback port.
 class http_fixture : public testing::Test
 {
 protected:
@@ -119,7 +119,7 @@
     std::vector<std::shared_ptr<http_reply>> m_replies;
     std::vector<http_request> m_requests;
 
-    /// A server that keeps each request and its reply for the test.
+    /// Starts a server that stores each request and its reply for the test.
     void listen()
     {
         listen([this](http_request request, std::shared_ptr<http_reply> reply) {
@@ -140,28 +140,28 @@
         return "http://127.0.0.1:" + std::to_string(m_server->port()) + path;
     }
 
-    /// Runs the loop until the condition holds; false after the bound.
+    /// Runs the loop until the condition holds. Returns false if it doesn't hold within testTimeout.
     bool runUntil(const std::function<bool()> &condition)
     {
         const millis end = bootNow() + testTimeout;
-        bool held = condition();
+        bool holds = condition();
         const auto check = m_loop.timer({1}, {1}, [&] {
-            held = condition();
-            if (held || bootNow() > end) {
+            holds = condition();
+            if (holds || bootNow() > end) {
                 m_loop.stop();
             }
         });
-        if (!held) {
+        if (!holds) {
             m_loop.run();
         }
-        return held;
+        return holds;
     }
-    /// Lets the loop go through a number of rounds, for "nothing happens" checks.
+    /// Runs the loop for this many timer ticks of 1 ms, for checks that nothing happens.
     void runRounds(int rounds)
     {
-        int left = rounds;
-        const auto count = m_loop.timer({1}, {1}, [&] {
-            if (--left == 0) {
+        int remaining = rounds;
+        const auto ticks = m_loop.timer({1}, {1}, [&] {
+            if (--remaining == 0) {
                 m_loop.stop();
             }
         });
@@ -177,10 +177,10 @@
     http_result fetch(const http_call &call)
     {
         std::optional<http_result> result;
-        m_client.start(call, [&](const http_result &done) {
-            result = done;
+        m_client.start(call, [&](const http_result &finished) {
+            result = finished;
         });
-        EXPECT_FALSE(result) << "told inside start()";
+        EXPECT_FALSE(result) << "callback was called inside start()";
         EXPECT_TRUE(runUntil([&] {
             return result.has_value();
         }));
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -12,7 +12,7 @@
 {
 };
 
-TEST_F(http, respondCarriesRequestAndAnswerWhole)
+TEST_F(http, requestAndResponseArriveUnchanged)
 {
     listen([this](http_request request, const std::shared_ptr<http_reply> &reply) {
         reply->respond(201, {{"X-Answer", "yes"}, {"Content-Type", "text/plain"}}, "got " + request.body);
@@ -43,51 +43,51 @@
     }));
 }
 
-TEST_F(http, respondLaterToManyOutOfOrder)
+TEST_F(http, deferredResponsesInAnyOrderReachTheirCallers)
 {
     listen();
-    std::map<std::string, std::string> answers;
-    constexpr int calls = 50;
-    for (int i = 0; i < calls; ++i) {
+    std::map<std::string, std::string> responses;
+    constexpr int callCount = 50;
+    for (int i = 0; i < callCount; ++i) {
         http_call call;
         call.url = url("/" + std::to_string(i));
-        m_client.start(call, [&answers, path = "/" + std::to_string(i)](const http_result &done) {
-            answers[path] = done.complete ? done.body : "incomplete";
+        m_client.start(call, [&responses, path = "/" + std::to_string(i)](const http_result &finished) {
+            responses[path] = finished.complete ? finished.body : "incomplete";
         });
     }
     ASSERT_TRUE(runUntil([&] {
-        return m_requests.size() == calls;
+        return m_requests.size() == callCount;
     }));
-    EXPECT_EQ(m_server->activeRequests(), static_cast<std::size_t>(calls));
+    EXPECT_EQ(m_server->activeRequests(), static_cast<std::size_t>(callCount));
     for (std::size_t i = m_requests.size(); i-- > 0;) {
         m_replies[i]->respond(200, {}, "for " + m_requests[i].path);
     }
     ASSERT_TRUE(runUntil([&] {
-        return answers.size() == calls;
+        return responses.size() == callCount;
     }));
-    for (const auto &[path, body] : answers) {
+    for (const auto &[path, body] : responses) {
         EXPECT_EQ(body, "for " + path);
     }
 }
 
-TEST_F(http, streamArrivesPieceByPiece)
+TEST_F(http, eachStreamedPieceArrivesBeforeTheNextIsWritten)
 {
     listen();
     http_call call;
     call.url = url("/stream");
-    std::string got;
+    std::string received;
     int statusAtData = 0;
     std::string typeAtData;
     std::optional<http_result> result;
     m_client.start(
         call,
-        [&](const http_result &done) {
-            result = done;
+        [&](const http_result &finished) {
+            result = finished;
         },
-        [&](const http_result &sofar, std::string_view bytes) {
-            statusAtData = sofar.status;
-            typeAtData = sofar.headers.at("content-type");
-            got += bytes;
+        [&](const http_result &partial, std::string_view bytes) {
+            statusAtData = partial.status;
+            typeAtData = partial.headers.at("content-type");
+            received += bytes;
         });
     ASSERT_TRUE(runUntil([&] {
         return m_replies.size() == 1;
@@ -98,10 +98,9 @@
         const std::string piece = "token " + std::to_string(i) + '\n';
         expected += piece;
         m_replies[0]->write(piece);
-        // The piece is with the caller before the next one is made.
         ASSERT_TRUE(runUntil([&] {
-            return got == expected;
-        })) << got;
+            return received == expected;
+        })) << received;
     }
     EXPECT_EQ(statusAtData, 200);
     EXPECT_EQ(typeAtData, "text/event-stream");
@@ -118,10 +117,10 @@
     }));
 }
 
-TEST_F(http, headersOfAStreamArriveBeforeItsFirstByte)
+TEST_F(http, streamHeadIsSentBeforeTheFirstBodyByte)
 {
-    // A caller that waits for the first token should know by the status line that its request was
-    // accepted. The kernel would hold the header back if it were told that more follows.
+    // A caller waiting for the first token must see from the status line that its request was accepted. The
+    // kernel would delay the head if it were sent with MSG_MORE.
     listen();
     auto caller = raw_socket::connectTo(m_server->port());
     caller->send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -129,22 +128,22 @@
         return m_replies.size() == 1;
     }));
     m_replies[0]->begin(200, {});
-    std::string got;
+    std::string received;
     EXPECT_TRUE(runUntil([&] {
-        caller->receive(got);
-        return got.find("\r\n\r\n") != std::string::npos;
+        caller->receive(received);
+        return received.find("\r\n\r\n") != std::string::npos;
     }));
-    EXPECT_TRUE(got.starts_with("HTTP/1.1 200")) << got;
+    EXPECT_TRUE(received.starts_with("HTTP/1.1 200")) << received;
 }
 
-TEST_F(http, largeStreamIsWholeAndInOrder)
+TEST_F(http, largeStreamArrivesCompleteAndInOrder)
 {
     listen();
     http_call call;
     call.url = url("/large");
     std::optional<http_result> result;
-    m_client.start(call, [&](const http_result &done) {
-        result = done;
+    m_client.start(call, [&](const http_result &finished) {
+        result = finished;
     });
     ASSERT_TRUE(runUntil([&] {
         return m_replies.size() == 1;
@@ -154,8 +153,8 @@
     for (int i = 0; i < 300'000; ++i) {
         expected += std::to_string(i) + ',';
     }
-    for (std::size_t at = 0; at < expected.size(); at += 7'777) {
-        m_replies[0]->write(std::string_view(expected).substr(at, 7'777));
+    for (std::size_t offset = 0; offset < expected.size(); offset += 7'777) {
+        m_replies[0]->write(std::string_view(expected).substr(offset, 7'777));
     }
     EXPECT_GT(m_replies[0]->pendingBytes(), 0U);
     m_replies[0]->end();
@@ -166,16 +165,16 @@
     EXPECT_TRUE(result->body == expected);
 }
 
-TEST_F(http, abortedStreamIsSeenAsIncomplete)
+TEST_F(http, abortedStreamIsIncompleteForTheCaller)
 {
-    // A backend server dies in the middle of a plan. The caller has half of it on the screen; if the
-    // stream ended in the regular way, it would load trolleys by that half.
+    // A backend server fails in the middle of a response. If the stream ended regularly, the caller would
+    // take the partial response for a complete one.
     listen();
     http_call call;
     call.url = url("/");
     std::optional<http_result> result;
-    m_client.start(call, [&](const http_result &done) {
-        result = done;
+    m_client.start(call, [&](const http_result &finished) {
+        result = finished;
     });
     ASSERT_TRUE(runUntil([&] {
         return m_replies.size() == 1;
@@ -198,10 +197,10 @@
     }));
 }
 
-TEST_F(http, abortBeforeAnyAnswerBreaksTheConnectionOff)
+TEST_F(http, abortBeforeAnyResponseClosesTheConnection)
 {
-    // The outcome of a request cannot be had. An empty but regular answer would look like a result; the
-    // caller must see a connection that broke.
+    // The outcome of a request is unknown. An empty but regular response would look like a result, so the
+    // caller must see a lost connection.
     listen([](const http_request &, const std::shared_ptr<http_reply> &reply) {
         reply->abort();
     });
@@ -211,10 +210,10 @@
     EXPECT_TRUE(result.sent);
 }
 
-TEST_F(http, abortReachesACallerThatDoesNotRead)
+TEST_F(http, abortFreesTheConnectionOfACallerThatDoesNotRead)
 {
-    // The caller stopped reading and the socket is full. Aborting must still free the connection, or a
-    // drain would wait for it.
+    // The caller stopped reading and the send buffer is full. abort() must still free the connection;
+    // otherwise, a drain would wait for it.
     listen();
     auto caller = raw_socket::connectTo(m_server->port());
     caller->send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -222,28 +221,28 @@
         return m_replies.size() == 1;
     }));
     m_replies[0]->begin(200, {});
-    // More than the socket buffers of both sides can hold.
+    // 50 MB, more than the socket buffers of both sides can hold.
     const std::string piece(1'000'000, 'x');
     for (int i = 0; i < 50; ++i) {
         m_replies[0]->write(piece);
     }
-    // Full is when nothing was taken for a while; the kernel grows its buffers meanwhile.
-    std::size_t before = 0;
+    // The buffers are full once nothing is accepted during 50 rounds; the kernel grows them until then.
+    std::size_t previousBytes = 0;
     do {
-        before = m_replies[0]->pendingBytes();
+        previousBytes = m_replies[0]->pendingBytes();
         runRounds(50);
-    } while (m_replies[0]->pendingBytes() != before);
-    ASSERT_GT(before, 0U);
+    } while (m_replies[0]->pendingBytes() != previousBytes);
+    ASSERT_GT(previousBytes, 0U);
     m_replies[0]->abort();
     EXPECT_TRUE(runUntil([&] {
         return m_server->activeRequests() == 0;
     }));
 }
 
-TEST_F(http, droppedReplyBreaksTheConnectionOff)
+TEST_F(http, droppingTheReplyClosesTheConnection)
 {
-    // A task forgets a request, by a fault of its own. The caller must not wait for ever, and a drain
-    // must not wait for an answer that nobody can give.
+    // A task drops a request because of a bug. Neither the caller nor a drain may wait for a response that
+    // can no longer be sent.
     listen([](const http_request &, const std::shared_ptr<http_reply> &) {});
     EXPECT_FALSE(get(url("/")).complete);
     EXPECT_TRUE(runUntil([&] {
@@ -251,10 +250,10 @@
     }));
 }
 
-TEST_F(http, callerGoingAwayWhileItWaitsIsTold)
+TEST_F(http, onClosedIsCalledWhenTheCallerDisconnectsBeforeTheResponse)
 {
-    // A lecturer closes the page while the summary is still queued. libmicrohttpd does not look at
-    // suspended connections; without a watch of its own the engine would work for nobody.
+    // A caller disconnects while its request is queued. libmicrohttpd doesn't watch suspended connections;
+    // without the separate epoll set, the engine would process an abandoned request.
     listen();
     auto caller = raw_socket::connectTo(m_server->port());
     caller->send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -279,10 +278,10 @@
     EXPECT_EQ(closed, 1);
 }
 
-TEST_F(http, callerResettingInTheMiddleOfAStreamIsTold)
+TEST_F(http, onClosedIsCalledWhenTheCallerResetsDuringAStream)
 {
-    // An apron loader's tablet loses its network in the middle of a streamed plan. The engine would go on
-    // with it until the end if the reset were not told.
+    // A caller's connection is reset in the middle of a streamed response. If the reset were not reported,
+    // the engine would generate the response to the end.
     listen();
     auto caller = raw_socket::connectTo(m_server->port());
     caller->send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -295,10 +294,10 @@
     });
     m_replies[0]->begin(200, {});
     m_replies[0]->write("first");
-    std::string got;
+    std::string received;
     ASSERT_TRUE(runUntil([&] {
-        caller->receive(got);
-        return got.find("first") != std::string::npos;
+        caller->receive(received);
+        return received.find("first") != std::string::npos;
     }));
     caller->reset();
     EXPECT_TRUE(runUntil([&] {
@@ -309,10 +308,10 @@
     }));
 }
 
-TEST_F(http, callerGoneBeforeOnClosedWasSetIsTold)
+TEST_F(http, onClosedIsCalledWhenTheCallerDisconnectedBeforeItWasSet)
 {
-    // The caller hangs up directly after sending. The end of the connection is seen before the task
-    // has asked to be told of it.
+    // The caller disconnects directly after sending, and the server detects it before the handler sets
+    // onClosed.
     listen();
     auto caller = raw_socket::connectTo(m_server->port());
     caller->send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -334,10 +333,10 @@
     }));
 }
 
-TEST_F(http, closedIsNotToldAfterAWholeAnswer)
+TEST_F(http, onClosedIsNotCalledAfterACompleteResponse)
 {
-    // A caller closes its connection after reading its answer. Told as lost, the finished request would
-    // count as cancelled.
+    // A caller closes its connection after reading the response. If onClosed were called, the completed
+    // request would count as cancelled.
     listen();
     auto caller = raw_socket::connectTo(m_server->port());
     caller->send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -349,20 +348,20 @@
         ++closed;
     });
     m_replies[0]->respond(200, {}, "whole");
-    std::string got;
+    std::string received;
     ASSERT_TRUE(runUntil([&] {
-        caller->receive(got);
-        return got.ends_with("whole");
+        caller->receive(received);
+        return received.ends_with("whole");
     }));
     caller->hangUp();
     runRounds(20);
     EXPECT_EQ(closed, 0);
 }
 
-TEST_F(http, bytesOfANextRequestDoNotEndTheCurrentOne)
+TEST_F(http, pipelinedRequestsDoNotEndTheCurrentOne)
 {
-    // Two requests in one segment: the second waits in the socket while the first is answered. Reading
-    // it as the caller's end, or waking for it again and again, would both be wrong.
+    // Two requests arrive in one segment, and the second stays in the socket until the first has its
+    // response. It must not be taken for a disconnect.
     listen();
     auto caller = raw_socket::connectTo(m_server->port());
     caller->send("GET /1 HTTP/1.1\r\nHost: x\r\n\r\nGET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -386,19 +385,19 @@
         return m_replies.size() == 3;
     }));
     m_replies[2]->respond(200, {}, "three.");
-    std::string got;
+    std::string received;
     EXPECT_TRUE(runUntil([&] {
-        caller->receive(got);
-        return got.ends_with("three.");
+        caller->receive(received);
+        return received.ends_with("three.");
     }));
-    EXPECT_LT(got.find("one."), got.find("two."));
+    EXPECT_LT(received.find("one."), received.find("two."));
     EXPECT_EQ(m_requests[2].path, "/3");
 }
 
-TEST_F(http, callerThatClosesOnlyItsSendingSideGetsItsAnswer)
+TEST_F(http, callerThatClosesOnlyItsSendingSideGetsItsResponse)
 {
-    // A script sends its request, shuts its sending side down and reads. The end of its bytes alone does not
-    // mean that it went away.
+    // A caller sends its request, shuts down its sending side and reads. The end of its input alone doesn't
+    // mean that it disconnected.
     listen();
     auto caller = raw_socket::connectTo(m_server->port());
     caller->send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -408,17 +407,17 @@
     }));
     runRounds(10);
     m_replies[0]->respond(200, {}, "answer");
-    std::string got;
+    std::string received;
     EXPECT_TRUE(runUntil([&] {
-        caller->receive(got);
-        return got.ends_with("answer");
+        caller->receive(received);
+        return received.ends_with("answer");
     }));
 }
 
-TEST_F(http, oversizedBodyIsDroppedAndMarked)
+TEST_F(http, oversizedBodyIsDiscardedAndMarkedTooLarge)
 {
-    // A lecturer pastes a whole book. Kept in memory, a few such requests would end a small instance; cut
-    // off while sending, the caller would see a reset in place of the reason.
+    // If oversized bodies were kept in memory, a few of them could exhaust a small instance. If the
+    // connection were closed while the caller is sending, it would see a reset instead of the status 413.
     listen([this](http_request request, const std::shared_ptr<http_reply> &reply) {
         reply->respond(request.tooLarge ? 413 : 200, {}, "");
         m_requests.push_back(std::move(request));
@@ -438,14 +437,14 @@
     EXPECT_TRUE(m_requests[2].body.empty());
 }
 
-TEST_F(http, malformedRequestsDoNotHarmTheServer)
+TEST_F(http, malformedRequestsLeaveTheServerWorking)
 {
-    // Scanners and broken clients send all kinds of bytes and vanish. None of it may reach the handler as a
-    // request, leave a connection busy for ever or end the process.
+    // Scanners and faulty clients send arbitrary bytes and disconnect. This must not leave a connection with
+    // a request in progress or end the process.
     listen([](const http_request &, const std::shared_ptr<http_reply> &reply) {
         reply->respond(200, {}, "ok");
     });
-    const std::vector<std::string> attempts{
+    const std::vector<std::string> malformedInputs{
         "nonsense\r\n\r\n",
         "GET\r\n\r\n",
         "GET / HTTP/9.9\r\n\r\n",
@@ -456,19 +455,19 @@
         "GET / HTTP/1.1\r\nHost: x\r\nX: " + std::string(200'000, 'h') + "\r\n\r\n",
         "\r\n\r\n\r\n\r\n",
     };
-    for (const std::string &attempt : attempts) {
+    for (const std::string &input : malformedInputs) {
         auto caller = raw_socket::connectTo(m_server->port());
-        static_cast<void>(::send(caller->fd(), attempt.data(), attempt.size(), MSG_NOSIGNAL | MSG_DONTWAIT));
+        static_cast<void>(::send(caller->fd(), input.data(), input.size(), MSG_NOSIGNAL | MSG_DONTWAIT));
         runRounds(5);
         caller->reset();
         runRounds(2);
         EXPECT_EQ(get(url("/")).body, "ok");
     }
-    // Cut off at every byte of a good request.
-    const std::string good = "POST /p?q=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
-    for (std::size_t length = 0; length < good.size(); ++length) {
+    // Valid requests, truncated at every byte.
+    const std::string validRequest = "POST /p?q=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
+    for (std::size_t length = 0; length < validRequest.size(); ++length) {
         auto caller = raw_socket::connectTo(m_server->port());
-        caller->send(std::string_view(good).substr(0, length));
+        caller->send(std::string_view(validRequest).substr(0, length));
         runRounds(1);
         caller->hangUp();
     }
@@ -478,16 +477,16 @@
     }));
 }
 
-TEST_F(http, stopListeningFinishesWhatCameInAndTakesNoMore)
+TEST_F(http, stopListeningServesAcceptedRequestsAndRefusesNewConnections)
 {
-    // A graceful shutdown: a request in progress, and one that the kernel has taken but the server
-    // has not seen, are both answered. A later connection is refused.
+    // In a graceful shutdown, a request in progress and one on a connection still in the listen queue are
+    // both served. A later connection is refused.
     listen();
     std::vector<http_result> results;
     http_call call;
     call.url = url("/early");
-    m_client.start(call, [&](const http_result &done) {
-        results.push_back(done);
+    m_client.start(call, [&](const http_result &finished) {
+        results.push_back(finished);
     });
     ASSERT_TRUE(runUntil([&] {
         return m_replies.size() == 1;
@@ -500,32 +499,32 @@
     }));
     m_replies[0]->respond(200, {}, "early");
     m_replies[1]->respond(200, {}, "queued");
-    std::string got;
+    std::string received;
     EXPECT_TRUE(runUntil([&] {
-        const bool open = queued->receive(got);
-        return !open && got.ends_with("queued");
+        const bool connected = queued->receive(received);
+        return !connected && received.ends_with("queued");
     }));
     ASSERT_TRUE(runUntil([&] {
         return results.size() == 1;
     }));
     EXPECT_EQ(results[0].body, "early");
     EXPECT_EQ(results[0].headers.at("connection"), "close");
-    const http_result late = get(url("/late"));
-    EXPECT_FALSE(late.sent);
-    EXPECT_EQ(late.status, 0);
+    const http_result lateResult = get(url("/late"));
+    EXPECT_FALSE(lateResult.sent);
+    EXPECT_EQ(lateResult.status, 0);
 }
 
-TEST_F(http, serverMayGoWhileRequestsAreInProgress)
+TEST_F(http, serverCanBeDestroyedWithRequestsInProgress)
 {
-    // A process ends with requests in all states. libmicrohttpd ends it with a panic when suspended
-    // connections are left, and replies that are held elsewhere must not touch the freed server.
+    // The server is destroyed with requests in all states. libmicrohttpd aborts the process if suspended
+    // connections are left, and replies held elsewhere must not access the destroyed server.
     listen();
     std::vector<http_result> results;
     for (const char *path : {"/waiting", "/streaming", "/full"}) {
         http_call call;
         call.url = url(path);
-        m_client.start(call, [&](const http_result &done) {
-            results.push_back(done);
+        m_client.start(call, [&](const http_result &finished) {
+            results.push_back(finished);
         });
     }
     ASSERT_TRUE(runUntil([&] {
@@ -541,7 +540,7 @@
     });
     runRounds(5);
     m_server.reset();
-    // The handles outlive the server and do nothing.
+    // The replies outlive the server and have no effect.
     m_replies[0]->respond(200, {}, "late");
     m_replies[1]->write("late");
     m_replies[1]->end();
@@ -559,22 +558,22 @@
     EXPECT_EQ(closed, 0);
 }
 
-TEST_F(http, handlerMayDestroyTheServer)
+TEST_F(http, handlerCanDestroyTheServer)
 {
-    // An operator's "quit" reaches a handler that tears the server down. It runs inside the server's own
-    // loop over new requests, which must not go on with freed memory.
-    bool ran = false;
-    listen([this, &ran](const http_request &, const std::shared_ptr<http_reply> &) {
+    // A handler destroys the server, for example on an operator's request to quit. It is called from the
+    // server's loop over new requests, which must not access freed memory afterwards.
+    bool handlerRan = false;
+    listen([this, &handlerRan](const http_request &, const std::shared_ptr<http_reply> &) {
         m_server.reset();
-        ran = true;
+        handlerRan = true;
     });
     EXPECT_FALSE(get(url("/")).complete);
-    EXPECT_TRUE(ran);
+    EXPECT_TRUE(handlerRan);
 }
 
-TEST_F(http, addressInUseIsToldAsAnError)
+TEST_F(http, listenFailsOnAnAddressInUseOrInvalid)
 {
-    // A second process is started on the same port. It must say so and end, and not serve nothing.
+    // A second process started on the same port must report the error instead of running without a listener.
     listen();
     error why;
     EXPECT_FALSE(http_server::listen(m_loop, loopback, m_server->port(), bodyLimit, {}, why));
@@ -584,7 +583,7 @@
     EXPECT_EQ(why.kind, error_kind::BadSettings);
 }
 
-TEST_F(http, restartOnTheSamePortIsPossible)
+TEST_F(http, serverCanBeRestartedOnTheSamePort)
 {
     listen([](const http_request &, const std::shared_ptr<http_reply> &reply) {
         reply->respond(200, {}, "first");
--- a/tests/unit/loop_test.cpp
+++ b/tests/unit/loop_test.cpp
@@ -11,14 +11,14 @@
 namespace briarhead {
 namespace {
 
-/// Long enough for a loaded machine; a test that reaches it has failed.
-constexpr millis patience{20'000};
+/// Long enough for a loaded machine. A test fails when it reaches this timeout.
+constexpr millis testTimeout{20'000};
 
-/// Runs the loop until stop() is called by the test, or fails after the bound.
-void runOrGiveUp(loop &events)
+/// Runs the loop until the test calls stop(). Fails after testTimeout.
+void runUntilStopped(loop &events)
 {
-    const auto giveUp = events.timer(patience, {}, [&events] {
-        ADD_FAILURE() << "the condition did not come true in time";
+    const auto timeout = events.timer(testTimeout, {}, [&events] {
+        ADD_FAILURE() << "the loop was not stopped within the time-out";
         events.stop();
     });
     events.run();
@@ -41,7 +41,7 @@
     socket_pair &operator=(const socket_pair &) = delete;
 };
 
-TEST(loop, runsPostedCallsInOrderAndNeverNested)
+TEST(loop, postedCallsRunInOrderAndAreNotNested)
 {
     loop events;
     std::vector<int> order;
@@ -55,109 +55,109 @@
     events.post([&] {
         order.push_back(2);
     });
-    runOrGiveUp(events);
+    runUntilStopped(events);
     EXPECT_EQ(order, (std::vector<int>{1, 2, 3}));
 }
 
-TEST(loop, postedCallWakesNothingButIsNotDelayedByALongTimer)
+TEST(loop, callPostedFromACallbackRunsWithoutAnyOtherEvent)
 {
-    // A call posted from a callback would hang until the next event if the loop slept with a queue
-    // that is not empty. The only other event here is the give-up timer.
+    // If the loop slept while calls are queued, a call posted from a callback would be delayed until the next
+    // event. The only other event here is the test's timeout.
     loop events;
-    int left = 1000;
-    std::function<void()> again = [&] {
-        if (--left == 0) {
+    int remaining = 1000;
+    std::function<void()> postAgain = [&] {
+        if (--remaining == 0) {
             events.stop();
         } else {
-            events.post(again);
+            events.post(postAgain);
         }
     };
-    events.post(again);
-    runOrGiveUp(events);
-    EXPECT_EQ(left, 0);
+    events.post(postAgain);
+    runUntilStopped(events);
+    EXPECT_EQ(remaining, 0);
 }
 
-TEST(loop, postingWithoutEndDoesNotStarveSockets)
+TEST(loop, continuousPostingDoesNotStarveSockets)
 {
-    // A task that posts to itself for ever would keep every caller waiting if the queue were drained
-    // until it is empty.
+    // If the loop ran posted calls until the queue is empty, a call that always posts itself again would
+    // block all sockets.
     loop events;
     socket_pair pair;
-    std::function<void()> again = [&] {
-        events.post(again);
+    std::function<void()> postAgain = [&] {
+        events.post(postAgain);
     };
-    events.post(again);
+    events.post(postAgain);
     const auto watch = events.watch(pair.ends[0], 1, [&](int) {
         events.stop();
     });
     ASSERT_EQ(write(pair.ends[1], "x", 1), 1);
-    runOrGiveUp(events);
+    runUntilStopped(events);
 }
 
-TEST(loop, timerFiresOnceOrRepeatsUntilDropped)
+TEST(loop, timerFiresOnceOrRepeatsUntilItsHandleIsDestroyed)
 {
     loop events;
-    int once = 0;
-    int repeated = 0;
-    const auto single = events.timer({1}, {}, [&] {
-        ++once;
+    int singleCount = 0;
+    int repeatCount = 0;
+    const auto singleTimer = events.timer({1}, {}, [&] {
+        ++singleCount;
     });
-    std::shared_ptr<void> ticking = events.timer({1}, {1}, [&] {
-        if (++repeated == 5) {
-            ticking.reset();
+    std::shared_ptr<void> repeatingTimer = events.timer({1}, {1}, [&] {
+        if (++repeatCount == 5) {
+            repeatingTimer.reset();
         }
     });
     const auto check = events.timer({2}, {2}, [&] {
-        if (repeated == 5 && once == 1) {
+        if (repeatCount == 5 && singleCount == 1) {
             events.stop();
         }
     });
-    runOrGiveUp(events);
-    EXPECT_EQ(once, 1);
-    EXPECT_EQ(repeated, 5);
+    runUntilStopped(events);
+    EXPECT_EQ(singleCount, 1);
+    EXPECT_EQ(repeatCount, 5);
 }
 
 TEST(loop, timerDoesNotFireBeforeItsTime)
 {
-    // The loop's cached time is old when a timer is set before run() or after long work; a lease timer
-    // that fires early would give up a lease that is still good.
+    // The loop's cached time is in the past when a timer is set before run() or after a long callback. A
+    // lease timer that fires early would release a lease that is still valid.
     loop events;
     usleep(60'000);
-    const millis start = bootNow();
-    millis fired;
+    const millis startedAt = bootNow();
+    millis firedAt;
     const auto timer = events.timer({50}, {}, [&] {
-        fired = bootNow();
+        firedAt = bootNow();
         events.stop();
     });
-    runOrGiveUp(events);
-    // One millisecond for the truncation of both readings.
-    EXPECT_GE((fired - start).count, 49);
+    runUntilStopped(events);
+    // Allows 1 ms for the truncation of both readings.
+    EXPECT_GE((firedAt - startedAt).count, 49);
 }
 
-TEST(loop, droppingAHandleInsideItsOwnCallbackIsSafe)
+TEST(loop, callbackCanDestroyItsOwnHandle)
 {
-    // Under the sanitizer this fails if the closure is destroyed while it runs.
+    // AddressSanitizer reports an error if the closure is destroyed while it runs.
     loop events;
     std::shared_ptr<void> handle;
-    std::string kept = "still here, and too long for the small string buffer";
-    std::string seen;
-    handle = events.timer({1}, {1}, [&events, &handle, &seen, kept] {
+    std::string captured = "still here, and too long for the small string buffer";
+    std::string copied;
+    handle = events.timer({1}, {1}, [&events, &handle, &copied, captured] {
         handle.reset();
-        seen = kept;
+        copied = captured;
         events.stop();
     });
-    runOrGiveUp(events);
-    EXPECT_EQ(seen, kept);
+    runUntilStopped(events);
+    EXPECT_EQ(copied, captured);
 }
 
-TEST(loop, watchTellsReadableAndWritableAndStopsWithItsHandle)
+TEST(loop, watchReportsReadableAndWritableUntilItsHandleIsDestroyed)
 {
     loop events;
     socket_pair pair;
-    int calls = 0;
-    std::shared_ptr<void> watch = events.watch(pair.ends[0], 3, [&](int happened) {
-        ++calls;
-        EXPECT_EQ(happened & 2, 2);
+    int callCount = 0;
+    std::shared_ptr<void> watch = events.watch(pair.ends[0], 3, [&](int received) {
+        ++callCount;
+        EXPECT_EQ(received & 2, 2);
         watch.reset();
         events.post([&] {
             events.post([&] {
@@ -165,34 +165,34 @@
             });
         });
     });
-    runOrGiveUp(events);
-    EXPECT_EQ(calls, 1);
+    runUntilStopped(events);
+    EXPECT_EQ(callCount, 1);
     int received = 0;
     watch = events.watch(pair.ends[0], 1, [&](int happened) {
         received = happened;
         events.stop();
     });
     ASSERT_EQ(write(pair.ends[1], "x", 1), 1);
-    runOrGiveUp(events);
+    runUntilStopped(events);
     EXPECT_EQ(received, 1);
 }
 
-TEST(loop, signalRunsOnTheLoop)
+TEST(loop, signalCallbackRunsOnTheLoop)
 {
     loop events;
-    int signals = 0;
+    int signalCount = 0;
     const auto handle = events.onSignal(SIGUSR1, [&] {
-        ++signals;
+        ++signalCount;
         events.stop();
     });
     events.post([] {
         std::raise(SIGUSR1);
     });
-    runOrGiveUp(events);
-    EXPECT_EQ(signals, 1);
+    runUntilStopped(events);
+    EXPECT_EQ(signalCount, 1);
 }
 
-TEST(loop, handleMayOutliveTheLoop)
+TEST(loop, handleCanOutliveTheLoop)
 {
     std::shared_ptr<void> timer;
     {
