--- a/tests/unit/peer_link_test.cpp
+++ b/tests/unit/peer_link_test.cpp
@@ -18,8 +18,8 @@
 const std::string key(2 * sealKeyBytes, 'a');
 const std::string otherKey(2 * sealKeyBytes, 'b');
 
-/// A daemon's end, with all that came in.
-struct end_point
+/// One daemon's peer link, which records everything it receives.
+struct recording_link
 {
     std::vector<peer_message> messages;
     std::vector<std::string> senders;
@@ -28,7 +28,7 @@
     std::vector<peer_message> unsent;
     std::unique_ptr<peer_link> link;
 
-    end_point(
+    recording_link(
         loop &events, const std::string &name, std::uint64_t incarnation = 1, const std::string &hexKey = key)
     {
         peer_link::handlers calls;
@@ -65,30 +65,31 @@
 {
     std::vector<std::uint64_t> sequences;
     sequences.reserve(messages.size());
-    for (const peer_message &each : messages) {
-        sequences.push_back(std::get<run_bytes>(each).id.sequence);
+    for (const peer_message &message : messages) {
+        sequences.push_back(std::get<run_bytes>(message).id.sequence);
     }
     return sequences;
 }
 
-/// A plain socket that speaks to a link's port without being a daemon.
-struct stranger
+/// A plain TCP socket connected to a link's port, which is not a daemon.
+struct raw_client
 {
     owned_fd fd;
 
-    explicit stranger(const end_point &to)
+    explicit raw_client(const recording_link &to)
     {
         error why;
         fd = std::move(*startConnect(to.address(), why));
     }
 
-    void say(loop &events, const std::string &bytes) const
+    void sendAll(loop &events, const std::string &bytes) const
     {
-        std::size_t sent = 0;
+        std::size_t sentBytes = 0;
         runUntil(events, [&] {
-            const auto count = send(fd.get(), bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
-            sent += count > 0 ? static_cast<std::size_t>(count) : 0;
-            return sent == bytes.size();
+            const auto count =
+                send(fd.get(), bytes.data() + sentBytes, bytes.size() - sentBytes, MSG_NOSIGNAL);
+            sentBytes += count > 0 ? static_cast<std::size_t>(count) : 0;
+            return sentBytes == bytes.size();
         });
     }
 
@@ -103,11 +104,11 @@
     }
 };
 
-TEST(peer_link, carriesMessagesInOrderBothWays)
+TEST(peer_link, messagesArriveInOrderInBothDirections)
 {
     loop events;
-    end_point a(events, "a");
-    end_point b(events, "b");
+    recording_link a(events, "a");
+    recording_link b(events, "b");
     std::vector<std::uint64_t> expected;
     for (std::uint64_t i = 0; i < 2'000; ++i) {
         ASSERT_TRUE(a.link->send("b", b.address(), bytesMessage(i, i % 97)));
@@ -118,7 +119,7 @@
     }));
     EXPECT_EQ(sequencesOf(b.messages), expected);
     EXPECT_EQ(b.senders.front(), "a");
-    // The answer takes the connection that stands: the address given isn't dialled.
+    // The response is sent on the open connection; the given address isn't dialled.
     ASSERT_TRUE(b.link->send("a", {"127.0.0.1", 1}, load_grant{7}));
     ASSERT_TRUE(runUntil(events, [&] {
         return a.messages.size() == 1;
@@ -130,15 +131,15 @@
     EXPECT_EQ(a.link->queuedBytes("b"), 0U);
 }
 
-TEST(peer_link, carriesDatagramsAndLargeMessages)
+TEST(peer_link, datagramsAndMessagesUpToTheFrameLimitArrive)
 {
     loop events;
-    end_point a(events, "a");
-    end_point b(events, "b");
-    peer_datagram sent;
-    sent.from = "a";
-    sent.sequence = 5;
-    a.link->sendDatagram(b.address(), sent);
+    recording_link a(events, "a");
+    recording_link b(events, "b");
+    peer_datagram sentDatagram;
+    sentDatagram.from = "a";
+    sentDatagram.sequence = 5;
+    a.link->sendDatagram(b.address(), sentDatagram);
     EXPECT_TRUE(a.link->send("b", b.address(), bytesMessage(1, maxFrameBytes - 100)));
     EXPECT_FALSE(a.link->send("b", b.address(), bytesMessage(2, maxFrameBytes + 1)));
     ASSERT_TRUE(runUntil(events, [&] {
@@ -148,16 +149,16 @@
     EXPECT_EQ(std::get<run_bytes>(b.messages.front()).bytes.size(), maxFrameBytes - 100);
 }
 
-// Two daemons turn to each other in the same moment and each connects. No message may be lost or overtake
-// another, whichever of the two connections is ready first.
-TEST(peer_link, keepsOrderWhenBothSidesConnectAtOnce)
+// Two daemons connect to each other at the same time. No message may be lost or reordered, whichever of the
+// two connections becomes ready first.
+TEST(peer_link, orderIsKeptWhenBothSidesConnectAtOnce)
 {
     loop events;
-    end_point a(events, "a");
-    end_point b(events, "b");
+    recording_link a(events, "a");
+    recording_link b(events, "b");
     std::vector<std::uint64_t> expected;
     std::uint64_t next = 0;
-    const auto feeder = events.timer({}, millis{1}, [&] {
+    const auto sendTimer = events.timer({}, millis{1}, [&] {
         for (int i = 0; i < 20 && next < 1'000; ++i, ++next) {
             a.link->send("b", b.address(), bytesMessage(next));
             b.link->send("a", a.address(), bytesMessage(next));
@@ -172,13 +173,13 @@
     EXPECT_TRUE(a.broken.empty() && b.broken.empty());
 }
 
-// A request waits until its deadline although its owner died at once: the entry wasn't told that the link
-// broke. What certainly didn't leave is named, so that it can run elsewhere.
-TEST(peer_link, tellsOfABrokenLinkAndOfWhatNeverLeft)
+// If the entry were not notified of a broken link, a request would wait until its deadline although its owner
+// has crashed. Messages that were certainly not sent are reported, so that their requests can run elsewhere.
+TEST(peer_link, peerCrashIsReportedWithTheUnsentMessages)
 {
     loop events;
-    end_point a(events, "a");
-    auto b = std::make_unique<end_point>(events, "b");
+    recording_link a(events, "a");
+    auto b = std::make_unique<recording_link>(events, "b");
     const peer_address address = b->address();
     a.link->send("b", address, bytesMessage(1));
     ASSERT_TRUE(runUntil(events, [&] {
@@ -189,7 +190,7 @@
         return a.broken.size() == 1;
     }));
     EXPECT_TRUE(a.unsent.empty());
-    // Nobody listens there any more: refused at once, or told soon after.
+    // Nothing listens on the address any more: send() fails at once, or the loss is reported later.
     if (a.link->send("b", address, bytesMessage(2))) {
         ASSERT_TRUE(runUntil(events, [&] {
             return a.broken.size() == 2;
@@ -198,12 +199,12 @@
     }
 }
 
-// An address passes to another instance. What waits for the old one must not reach the new one.
-TEST(peer_link, closesALinkToAPeerWithAnotherName)
+// An address is reassigned to another instance. Messages queued for the old one must not reach the new one.
+TEST(peer_link, linkToAPeerWithAnotherNameIsClosed)
 {
     loop events;
-    end_point a(events, "a");
-    end_point c(events, "c");
+    recording_link a(events, "a");
+    recording_link c(events, "c");
     ASSERT_TRUE(a.link->send("b", c.address(), bytesMessage(1)));
     ASSERT_TRUE(runUntil(events, [&] {
         return a.broken.size() == 1;
@@ -214,58 +215,59 @@
     EXPECT_EQ(a.link->counters().dropped, 1U);
 }
 
-// A restarted daemon connects while the link to its earlier process still looks alive. Answers must go to
-// the new process, and what was sent to the old one is reported; a paused earlier process gets nowhere.
-TEST(peer_link, prefersTheHigherIncarnationOfAPeer)
+// A restarted daemon connects while the link to its previous incarnation still looks alive. Responses must go
+// to the new incarnation, and the loss of the old link is reported. A previous incarnation that was paused
+// and connects again is rejected.
+TEST(peer_link, higherIncarnationReplacesLowerOne)
 {
     loop events;
-    end_point a(events, "a");
-    end_point first(events, "b", 1);
-    end_point second(events, "b", 2);
-    first.link->send("a", a.address(), bytesMessage(1));
+    recording_link a(events, "a");
+    recording_link oldLink(events, "b", 1);
+    recording_link newLink(events, "b", 2);
+    oldLink.link->send("a", a.address(), bytesMessage(1));
     ASSERT_TRUE(runUntil(events, [&] {
         return a.messages.size() == 1;
     }));
-    second.link->send("a", a.address(), bytesMessage(2));
+    newLink.link->send("a", a.address(), bytesMessage(2));
     ASSERT_TRUE(runUntil(events, [&] {
-        return a.messages.size() == 2 && first.broken.size() == 1;
+        return a.messages.size() == 2 && oldLink.broken.size() == 1;
     }));
     EXPECT_EQ(a.broken, std::vector<std::string>{"b"});
     a.link->send("b", {"127.0.0.1", 1}, bytesMessage(3));
-    first.link->send("a", a.address(), bytesMessage(4));
+    oldLink.link->send("a", a.address(), bytesMessage(4));
     ASSERT_TRUE(runUntil(events, [&] {
-        return second.messages.size() == 1 && first.broken.size() == 2;
+        return newLink.messages.size() == 1 && oldLink.broken.size() == 2;
     }));
     EXPECT_EQ(a.messages.size(), 2U);
 }
 
-// A peer takes nothing any more while requests for it go on coming in. The daemon must not grow until it
-// is killed: past the bound the link is given up and its senders are told.
-TEST(peer_link, givesUpAPeerThatTakesNothing)
+// A peer stops reading while more requests for it arrive. The daemon's memory must not grow without bound:
+// beyond the limit the link is closed and its senders are notified.
+TEST(peer_link, linkToAPeerThatDoesNotReadIsClosedAtTheQueueLimit)
 {
     loop events;
-    end_point a(events, "a");
+    recording_link a(events, "a");
     error why;
-    const auto silent = bindPeerPort({"127.0.0.1", 0}, why);
-    ASSERT_TRUE(silent);
-    std::size_t taken = 0;
-    while (a.link->send("b", {"127.0.0.1", silent->port}, bytesMessage(taken, 1024 * 1024))) {
-        ++taken;
-        ASSERT_LT(taken, 100U);
+    const auto unresponsive = bindPeerPort({"127.0.0.1", 0}, why);
+    ASSERT_TRUE(unresponsive);
+    std::size_t accepted = 0;
+    while (a.link->send("b", {"127.0.0.1", unresponsive->port}, bytesMessage(accepted, 1024 * 1024))) {
+        ++accepted;
+        ASSERT_LT(accepted, 100U);
     }
-    EXPECT_GT(taken, 20U);
+    EXPECT_GT(accepted, 20U);
     ASSERT_TRUE(runUntil(events, [&] {
         return !a.broken.empty();
     }));
-    EXPECT_EQ(a.unsent.size(), taken);
+    EXPECT_EQ(a.unsent.size(), accepted);
     EXPECT_EQ(a.link->queuedBytes("b"), 0U);
 }
 
-TEST(peer_link, tellsOfALinkThatWasClosedHere)
+TEST(peer_link, locallyClosedLinkIsReportedOnBothSides)
 {
     loop events;
-    end_point a(events, "a");
-    end_point b(events, "b");
+    recording_link a(events, "a");
+    recording_link b(events, "b");
     a.link->send("b", b.address(), bytesMessage(1));
     ASSERT_TRUE(runUntil(events, [&] {
         return b.messages.size() == 1;
@@ -283,11 +285,11 @@
     }));
 }
 
-TEST(peer_link, refusesPeersWithAnotherKey)
+TEST(peer_link, inputFromAPeerWithAnotherKeyIsDropped)
 {
     loop events;
-    end_point a(events, "a");
-    end_point b(events, "b", 1, otherKey);
+    recording_link a(events, "a");
+    recording_link b(events, "b", 1, otherKey);
     b.link->send("a", a.address(), bytesMessage(1));
     b.link->sendDatagram(a.address(), {probe_kind::Ping, "b"});
     ASSERT_TRUE(runUntil(events, [&] {
@@ -296,20 +298,20 @@
     EXPECT_TRUE(a.messages.empty() && a.datagrams.empty());
 }
 
-// Anyone on the network can record a daemon's hello and send it again. Without the key of the new
-// connection it must neither count as a link nor take the place of the real one.
-TEST(peer_link, aReplayedHelloIsNoLink)
+// Anyone on the network can record a daemon's hello and replay it. Without the key of the new connection, it
+// must not establish a link or replace the real one.
+TEST(peer_link, replayedHelloDoesNotReplaceTheLink)
 {
     loop events;
-    end_point a(events, "a");
-    end_point b(events, "b");
+    recording_link a(events, "a");
+    recording_link b(events, "b");
     b.link->send("a", a.address(), bytesMessage(1));
     ASSERT_TRUE(runUntil(events, [&] {
         return a.messages.size() == 1;
     }));
     error why;
-    const stranger replaying(a);
-    replaying.say(events, sealHello(*parseSealKeys(key, why), {"b", 9, {}}) + std::string(20, '\0'));
+    const raw_client replaying(a);
+    replaying.sendAll(events, sealHello(*parseSealKeys(key, why), {"b", 9, {}}) + std::string(20, '\0'));
     ASSERT_TRUE(runUntil(events, [&] {
         return a.link->counters().dropped == 1 && replaying.closed();
     }));
@@ -320,11 +322,11 @@
     }));
 }
 
-// Random bytes on either socket, whole or cut off, are counted and dropped; the daemon goes on.
-TEST(peer_link, survivesRandomInput)
+// Random bytes of random length on either socket are counted and dropped, and the link keeps working.
+TEST(peer_link, randomInputIsDropped)
 {
     loop events;
-    end_point a(events, "a");
+    recording_link a(events, "a");
     error why;
     const auto udp = bindPeerPort({"127.0.0.1", 0}, why);
     const auto address = toSocketAddress(a.address());
@@ -335,27 +337,27 @@
         std::generate(bytes.begin(), bytes.end(), std::ref(random));
         sendto(udp->udp.get(), bytes.data(), bytes.size(), 0, address->raw(), address->size);
         bytes[0] = 'x';
-        const stranger noise(a);
-        noise.say(events, bytes);
+        const raw_client noise(a);
+        noise.sendAll(events, bytes);
         ASSERT_TRUE(runUntil(events, [&] {
             return noise.closed() && a.link->counters().dropped == 2 * (round + 1);
         }));
     }
-    end_point b(events, "b");
+    recording_link b(events, "b");
     b.link->send("a", a.address(), bytesMessage(1));
     ASSERT_TRUE(runUntil(events, [&] {
         return a.messages.size() == 1;
     }));
 }
 
-TEST(peer_link, saysWhyItCannotOpen)
+TEST(peer_link, openFailsOnAnInvalidOrUsedAddress)
 {
     loop events;
     error why;
     EXPECT_FALSE(peer_link::open(events, "a", 1, {"not an address", 0}, key, {}, why));
     EXPECT_EQ(why.kind, error_kind::BadSettings);
-    const end_point taken(events, "a");
-    EXPECT_FALSE(peer_link::open(events, "b", 1, taken.address(), key, {}, why));
+    const recording_link usingAddress(events, "a");
+    EXPECT_FALSE(peer_link::open(events, "b", 1, usingAddress.address(), key, {}, why));
     EXPECT_NE(why.detail.find("bind"), std::string::npos);
 }
 
