--- a/packages/transport/bus.h
+++ b/packages/transport/bus.h
@@ -26,10 +26,9 @@
     template <class message>
     void on(std::function<void(const message &)> handler)
     {
-        m_handlers[typeid(message)].push_back(
-            [typedHandler = std::move(handler)](const std::any &payload) {
-                typedHandler(std::any_cast<const message &>(payload));
-            });
+        m_handlers[typeid(message)].push_back([typedHandler = std::move(handler)](const std::any &payload) {
+            typedHandler(std::any_cast<const message &>(payload));
+        });
     }
 
     /// Queues a message for all handlers of its type.
--- a/tests/unit/free_port.h
+++ b/tests/unit/free_port.h
@@ -17,8 +17,8 @@
 {
     constexpr std::uint32_t firstPort = 10'000;
     constexpr std::uint32_t portCount = 20'000;
-    constexpr std::uint32_t portStride =
-        37; // distance between the first ports of processes with consecutive ids
+    // Distance between the first ports of processes with consecutive ids.
+    constexpr std::uint32_t portStride = 37;
     static std::uint32_t nextIndex = static_cast<std::uint32_t>(getpid()) * portStride;
     for (int attempt = 0; attempt < 1'000; ++attempt) {
         const auto port = static_cast<std::uint16_t>(firstPort + nextIndex++ % portCount);
--- a/tests/unit/http_fixture.h
+++ b/tests/unit/http_fixture.h
@@ -78,7 +78,7 @@
     {
         EXPECT_EQ(::send(m_fd, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
     }
-    /// Appends the bytes received so far to `into`. Returns false once the peer has closed the connection.
+    /// Appends the bytes received so far to `output`. Returns false once the peer has closed the connection.
     bool receive(std::string &output) const
     {
         std::array<char, 4096> buffer{};
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -439,8 +439,8 @@
 
 TEST_F(http, malformedRequestsLeaveTheServerWorking)
 {
-    // Scanners and faulty clients send arbitrary bytes and disconnect. This must not leave a connection with
-    // a request in progress or end the process.
+    // Scanners and faulty clients send arbitrary bytes and disconnect. These must not reach the handler as a
+    // request, leave a connection with a request in progress or end the process.
     listen([](const http_request &, const std::shared_ptr<http_reply> &reply) {
         reply->respond(200, {}, "ok");
     });
--- a/tests/unit/loop_test.cpp
+++ b/tests/unit/loop_test.cpp
@@ -18,7 +18,7 @@
 void runUntilStopped(loop &events)
 {
     const auto timeout = events.timer(testTimeout, {}, [&events] {
-        ADD_FAILURE() << "the loop was not stopped within the time-out";
+        ADD_FAILURE() << "the loop was not stopped within testTimeout";
         events.stop();
     });
     events.run();
