--- a/packages/daemon/daemon.cpp
+++ b/packages/daemon/daemon.cpp
@@ -188,7 +188,7 @@
             stopAtOnce("the time limit");
         });
         m_drainCheckTimer = m_loop.timer({drainCheckIntervalMs}, {drainCheckIntervalMs}, [this] {
-            if (m_graceOver && m_ownerDrained && m_entry->open() == 0 && m_server->busy() == 0) {
+            if (m_graceOver && m_ownerDrained && m_entry->open() == 0 && m_server->activeRequests() == 0) {
                 spdlog::info("daemon: All requests have finished; exiting.");
                 m_loop.stop();
             }
--- a/packages/serving/edge_daemon.cpp
+++ b/packages/serving/edge_daemon.cpp
@@ -323,7 +323,7 @@
         .add("silent_ms", bootNow() - m_lastPeerDatagramAt);
     m_front.setIsolated(isolated);
     m_serverOwner.setIsolated(isolated);
-    m_callers->setClosing(isolated || m_shuttingDown);
+    m_callers->setCloseAfterResponse(isolated || m_shuttingDown);
 }
 
 void daemon_impl::sendHeartbeats()
@@ -436,7 +436,7 @@
     m_shuttingDown = true;
     m_shutdownBeganAt = bootNow();
     m_log.important("process.ending").add("active", static_cast<std::int64_t>(m_front.active()));
-    m_callers->closeAfterAnswers(idleTimeoutAtShutdown);
+    m_callers->closeAfterResponses(idleTimeoutAtShutdown);
     m_handles.push_back(m_loop.timer(shutdownCheckInterval, shutdownCheckInterval, [this] {
         checkShutdown();
     }));
@@ -445,7 +445,8 @@
 void daemon_impl::checkShutdown()
 {
     const millis elapsed = bootNow() - m_shutdownBeganAt;
-    const bool idle = m_front.active() == 0 && m_callers->busy() == 0 && m_callers->connections() == 0;
+    const bool idle =
+        m_front.active() == 0 && m_callers->activeRequests() == 0 && m_callers->connections() == 0;
     const bool timeUp = elapsed > m_settings.shutdown - shutdownMargin;
     if (elapsed > handOverAfter && !m_handedOver) {
         m_handedOver = true;
--- a/packages/transport/backend_pool.cpp
+++ b/packages/transport/backend_pool.cpp
@@ -87,7 +87,7 @@
         std::string out; ///< the request
         std::size_t sent = 0; ///< bytes of `out` already sent
         std::string in; ///< bytes received and not parsed yet
-        http_reader reader{http_side::Answer, {}};
+        http_reader reader{http_side::Response, {}};
         bool noBody = false;
         bool headDelivered = false; ///< onHead was called for the current response
         bool discarding = false; ///< the current response belongs to another request
@@ -277,7 +277,7 @@
         return;
     }
     if (count == 0) {
-        const bool complete = request.headDelivered && !request.discarding && request.reader.finishAtEnd();
+        const bool complete = request.headDelivered && !request.discarding && request.reader.finishAtEof();
         if (complete) {
             onComplete(id, request);
         } else {
@@ -307,7 +307,7 @@
     std::size_t used = 0;
     const read_state state = request.reader.feed(request.in, used);
     request.in.erase(0, used);
-    if (state == read_state::Bad) {
+    if (state == read_state::Invalid) {
         end(id, send_result::Broken, "the server's response is not valid HTTP");
         return false;
     }
@@ -332,7 +332,7 @@
         return false;
     }
     if (interim || request.discarding) {
-        request.reader = http_reader(http_side::Answer, {});
+        request.reader = http_reader(http_side::Response, {});
         if (request.noBody) {
             request.reader.expectNoBody();
         }
--- a/tests/unit/http_client_test.cpp
+++ b/tests/unit/http_client_test.cpp
@@ -266,7 +266,7 @@
     EXPECT_EQ(data, 1);
     EXPECT_EQ(done, 0);
     EXPECT_TRUE(runUntil([&] {
-        return m_server->busy() == 0;
+        return m_server->activeRequests() == 0;
     }));
 }
 
