--- a/packages/ctl/admin_client.cpp
+++ b/packages/ctl/admin_client.cpp
@@ -6,37 +6,38 @@
 
 namespace {
 
-/// Longer than a daemon takes to find out whether a patch was accepted.
-constexpr millis callTimeout{20'000};
+/// Longer than a daemon takes to determine whether a patch was accepted.
+constexpr millis requestTimeout{20'000};
 
 }
 
-std::optional<http_result> callAdmin(const admin_access &access, const std::string &method,
+std::optional<http_result> callAdmin(const admin_endpoint &endpoint, const std::string &method,
     const std::string &path, const std::string &body, error &why)
 {
     loop eventLoop;
     http_client client(eventLoop);
     http_call call;
     call.method = method;
-    call.url = access.url + path;
+    call.url = endpoint.url + path;
     call.body = body;
-    call.timeout = callTimeout;
-    call.headers = {"Authorization: Bearer " + access.operatorKey, "Content-Type: application/json"};
-    // A patch on a kept connection that died would be sent again unseen; it is harmless by its id, but the
-    // command makes one call only, so no connection is worth keeping.
+    call.timeout = requestTimeout;
+    call.headers = {"Authorization: Bearer " + endpoint.operatorKey, "Content-Type: application/json"};
+    // On a reused connection that the peer has closed, the client would silently send a patch again. That is
+    // harmless, since a patch is idempotent by its id, but a command that makes a single call gains nothing
+    // from reusing connections.
     call.freshConnection = true;
-    std::optional<http_result> answer;
+    std::optional<http_result> response;
     client.start(call, [&](const http_result &result) {
-        answer = result;
+        response = result;
         eventLoop.stop();
     });
     eventLoop.run();
-    if (answer && answer->complete) {
-        return answer;
+    if (response && response->complete) {
+        return response;
     }
-    const bool sent = answer && answer->sent;
-    why = {sent ? error_kind::Timeout : error_kind::ConnectionLost, access.url,
-        answer ? answer->why.detail : "no answer"};
+    const bool sent = response && response->sent;
+    why = {sent ? error_kind::Timeout : error_kind::ConnectionLost, endpoint.url,
+        response ? response->why.detail : "no response"};
     return std::nullopt;
 }
 
--- a/packages/ctl/admin_client.h
+++ b/packages/ctl/admin_client.h
@@ -8,16 +8,17 @@
 
 namespace briarhead {
 
-/// Where the operator's command finds a daemon, and with which key.
-struct admin_access
+/// Address of a daemon's admin API and the key to authenticate with.
+struct admin_endpoint
 {
-    std::string url;
-    std::string operatorKey;
+    std::string url; ///< scheme, host and port, to which the path is appended
+    std::string operatorKey; ///< sent as a bearer token
 };
 
-/// One call to a daemon's admin pages, waited for. Nothing with `why` when no whole answer came; an answer of
-/// whatever status otherwise.
-std::optional<http_result> callAdmin(const admin_access &access, const std::string &method,
+/// Sends one request to a daemon's admin API and blocks until it ends. Returns the response, whatever its
+/// status; nullopt if no complete response arrived, with the reason in `why`: Timeout if the request may have
+/// reached the daemon, ConnectionLost if it was not sent.
+std::optional<http_result> callAdmin(const admin_endpoint &endpoint, const std::string &method,
     const std::string &path, const std::string &body, error &why);
 
 }
--- a/packages/ctl/burn_page.cpp
+++ b/packages/ctl/burn_page.cpp
@@ -44,11 +44,11 @@
 .key:first-child { margin-left: 0; }
 )css";
 
-/// Told apart by people with any colour vision (Okabe and Ito's palette), in the order of burn_cause.
+/// Bar colours in the order of burn_cause. The Okabe-Ito palette stays distinguishable with colour blindness.
 constexpr std::array<std::string_view, burnCauses> causeColours{
     "#e69f00", "#56b4e9", "#009e73", "#d55e00", "#999999"};
 
-/// The measures of a plot, in SVG pixels.
+/// Dimensions of a plot and its margins, in SVG pixels.
 constexpr double plotWidth = 500;
 constexpr double plotHeight = 190;
 constexpr double plotLeft = 44;
@@ -57,11 +57,15 @@
 constexpr double plotBottom = 24;
 constexpr double plotInnerWidth = plotWidth - plotLeft - plotRight;
 constexpr double plotInnerHeight = plotHeight - plotTop - plotBottom;
+/// Dimensions of the bar of causes, in SVG pixels.
 constexpr double barWidth = 1020;
 constexpr double barHeight = 18;
+/// Intervals between the labels of an axis.
 constexpr int ticksX = 4;
 constexpr int ticksY = 4;
-constexpr std::size_t pageCallers = 10;
+/// Callers listed per target.
+constexpr std::size_t maxPageCallers = 10;
+/// The burn rate axis reaches at least this value, so that the budget line at 1 is always visible.
 constexpr double minPlotRate = 2;
 
 template <class... values>
@@ -70,12 +74,12 @@
     fmt::format_to(std::back_inserter(out), format, std::forward<values>(args)...);
 }
 
-/// Names come from operators' patches and may hold anything.
+/// Escapes text for HTML. Names come from operators' patches and can contain markup.
 std::string escaped(std::string_view text)
 {
     std::string out;
-    for (const char each : text) {
-        switch (each) {
+    for (const char character : text) {
+        switch (character) {
         case '&':
             out += "&amp;";
             break;
@@ -89,18 +93,18 @@
             out += "&quot;";
             break;
         default:
-            out += each;
+            out += character;
         }
     }
     return out;
 }
 
-void appendTile(std::string &out, std::string_view figure, std::string_view caption)
+void appendTile(std::string &out, std::string_view value, std::string_view caption)
 {
-    append(out, "<div class=\"tile\"><b>{}</b><span class=\"faint\">{}</span></div>\n", figure, caption);
+    append(out, "<div class=\"tile\"><b>{}</b><span class=\"faint\">{}</span></div>\n", value, caption);
 }
 
-/// The smallest of 2, 5, 10, 20, 50 ... that is not below the value.
+/// The smallest of 1, 2 or 5 times a power of ten that is not below the value, which must be positive.
 double niceCeiling(double value)
 {
     const double power = std::pow(10, std::floor(std::log10(value)));
@@ -112,73 +116,76 @@
     return 10 * power;
 }
 
-/// A series of burn rates as it is drawn.
-struct plot
+/// A time series of burn rates with the scale of its plot.
+struct plot_series
 {
     std::span<const burn_point> points;
-    double share = 0;
-    double top = minPlotRate; ///< burn rate at the upper edge
-    millis step;
+    double share = 0; ///< of requests that must meet the target
+    double maxRate = minPlotRate; ///< burn rate at the upper edge
+    millis step; ///< time between two points
 };
 
-plot plotOf(std::span<const burn_point> points, double share, millis step)
+plot_series makePlot(std::span<const burn_point> points, double share, millis step)
 {
-    double highest = minPlotRate;
+    double maxPointRate = minPlotRate;
     for (const burn_point &point : points) {
-        highest = std::max(highest, burnRate(point.missed, point.total, share));
+        maxPointRate = std::max(maxPointRate, burnRate(point.missed, point.total, share));
     }
-    return {points, share, niceCeiling(highest), step};
+    return {points, share, niceCeiling(maxPointRate), step};
 }
 
-double xOf(const plot &of, std::size_t point)
+double xOf(const plot_series &series, std::size_t point)
 {
     return plotLeft
-        + plotInnerWidth * (static_cast<double>(point) + 0.5) / static_cast<double>(of.points.size());
+        + plotInnerWidth * (static_cast<double>(point) + 0.5) / static_cast<double>(series.points.size());
 }
 
-double yOf(const plot &of, double rate)
+double yOf(const plot_series &series, double rate)
 {
-    return plotTop + plotInnerHeight * (1 - rate / of.top);
+    return plotTop + plotInnerHeight * (1 - rate / series.maxRate);
 }
 
-void appendAxes(std::string &out, const plot &of)
+void appendAxes(std::string &out, const plot_series &series)
 {
     for (int tick = 0; tick <= ticksY; ++tick) {
-        const double rate = of.top * tick / ticksY;
-        const double y = yOf(of, rate);
+        const double rate = series.maxRate * tick / ticksY;
+        const double y = yOf(series, rate);
         append(out, "<line x1=\"{}\" y1=\"{:.1f}\" x2=\"{}\" y2=\"{:.1f}\" stroke=\"#e4e7eb\"/>", plotLeft, y,
             plotWidth - plotRight, y);
         append(out, "<text x=\"{}\" y=\"{:.1f}\" text-anchor=\"end\">{:.3g}</text>\n", plotLeft - 6, y + 4,
             rate);
     }
-    const double lengthMs = static_cast<double>(of.step.count) * static_cast<double>(of.points.size());
+    const double lengthMs =
+        static_cast<double>(series.step.count) * static_cast<double>(series.points.size());
     for (int tick = 0; tick <= ticksX; ++tick) {
         const double x = plotLeft + plotInnerWidth * tick / ticksX;
-        const double agoMs = lengthMs * (ticksX - tick) / ticksX;
-        const double hoursAgo = agoMs / 3'600'000;
-        const std::string text = tick == ticksX ? "now"
-            : lengthMs > 3'600'000              ? fmt::format("-{:.3g} h", hoursAgo)
-                                                : fmt::format("-{:.3g} min", hoursAgo * 60);
+        const double ageMs = lengthMs * (ticksX - tick) / ticksX;
+        const double ageHours = ageMs / 3'600'000;
+        const std::string label = tick == ticksX ? "now"
+            : lengthMs > 3'600'000               ? fmt::format("-{:.3g} h", ageHours)
+                                                 : fmt::format("-{:.3g} min", ageHours * 60);
         const std::string_view anchor = tick == 0 ? "start" : tick == ticksX ? "end" : "middle";
         append(out, "<text x=\"{:.1f}\" y=\"{}\" text-anchor=\"{}\">{}</text>\n", x, plotHeight - 6, anchor,
-            text);
+            label);
     }
 }
 
-/// The rate as a line that is broken where no requests came, with a dot for a point that stands alone.
-void appendRates(std::string &out, const plot &of)
+/// Draws the burn rate as a line with gaps where there were no requests. A point between two gaps is drawn as
+/// a dot, as a line of one point is invisible.
+void appendRates(std::string &out, const plot_series &series)
 {
     std::string path;
-    for (std::size_t i = 0; i < of.points.size(); ++i) {
-        if (of.points[i].total == 0) {
+    for (std::size_t i = 0; i < series.points.size(); ++i) {
+        if (series.points[i].total == 0) {
             continue;
         }
-        const bool joined = i > 0 && of.points[i - 1].total > 0;
-        const bool alone = !joined && (i + 1 == of.points.size() || of.points[i + 1].total == 0);
-        const double y = yOf(of, burnRate(of.points[i].missed, of.points[i].total, of.share));
-        append(path, "{}{:.1f} {:.1f}", joined ? 'L' : 'M', xOf(of, i), y);
-        if (alone) {
-            append(out, "<circle cx=\"{:.1f}\" cy=\"{:.1f}\" r=\"2\" fill=\"#1f5fa8\"/>", xOf(of, i), y);
+        const bool connectedToPrevious = i > 0 && series.points[i - 1].total > 0;
+        const bool isIsolated =
+            !connectedToPrevious && (i + 1 == series.points.size() || series.points[i + 1].total == 0);
+        const double y = yOf(series, burnRate(series.points[i].missed, series.points[i].total, series.share));
+        append(path, "{}{:.1f} {:.1f}", connectedToPrevious ? 'L' : 'M', xOf(series, i), y);
+        if (isIsolated) {
+            append(out, "<circle cx=\"{:.1f}\" cy=\"{:.1f}\" r=\"2\" fill=\"#1f5fa8\"/>", xOf(series, i), y);
         }
     }
     append(out,
@@ -186,17 +193,17 @@
         path);
 }
 
-void appendPlot(std::string &out, std::string_view title, const plot &of)
+void appendPlot(std::string &out, std::string_view title, const plot_series &series)
 {
     append(out, "<div><h3>{}</h3><svg width=\"{}\" height=\"{}\" viewBox=\"0 0 {} {}\" role=\"img\">\n",
         title, plotWidth, plotHeight, plotWidth, plotHeight);
-    appendAxes(out, of);
-    const double budget = yOf(of, 1);
+    appendAxes(out, series);
+    const double budget = yOf(series, 1);
     append(out,
         "<line x1=\"{}\" y1=\"{:.1f}\" x2=\"{}\" y2=\"{:.1f}\" stroke=\"#b42318\" stroke-dasharray=\"5 "
         "4\"/>\n",
         plotLeft, budget, plotWidth - plotRight, budget);
-    appendRates(out, of);
+    appendRates(out, series);
     out += "</svg></div>\n";
 }
 
@@ -250,7 +257,7 @@
 
 void appendCallers(std::string &out, const target_burn &target)
 {
-    const auto rows = detail::worstCallers(target, pageCallers);
+    const auto rows = detail::worstCallers(target, maxPageCallers);
     if (rows.empty()) {
         return;
     }
@@ -278,14 +285,14 @@
     out += "<div><h3>Times since the instances started</h3><table><tr><th></th><th>Half within</th><th>95% "
            "within</th>"
            "<th>99% within</th></tr>\n";
-    const auto row = [&out](std::string_view what, const latency_histogram &times) {
-        append(out, "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>\n", what,
+    const auto appendRow = [&out](std::string_view label, const latency_histogram &times) {
+        append(out, "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>\n", label,
             detail::quantileText(times, 0.5), detail::quantileText(times, 0.95),
             detail::quantileText(times, 0.99));
     };
-    row("First token", target.firstTokenTimes);
-    row("Whole answer", target.endToEndTimes);
-    row("Load stall", target.stallTimes);
+    appendRow("First token", target.firstTokenTimes);
+    appendRow("Whole answer", target.endToEndTimes);
+    appendRow("Load stall", target.stallTimes);
     out += "</table></div>\n";
 }
 
@@ -301,8 +308,8 @@
     appendTile(out, detail::moneyText(penaltyIn(target, burn_span::Day)), "penalty, last day");
     appendTile(out, detail::moneyText(projectedPenalty(report, target)), "a day at the last hour's pace");
     out += "</div>\n<div class=\"plots\">\n";
-    appendPlot(out, "Burn rate, last hour, by the minute", plotOf(target.hour, target.share, hourStep));
-    appendPlot(out, "Burn rate, last day, by the half hour", plotOf(target.day, target.share, dayStep));
+    appendPlot(out, "Burn rate, last hour, by the minute", makePlot(target.hour, target.share, hourStep));
+    appendPlot(out, "Burn rate, last day, by the half hour", makePlot(target.day, target.share, dayStep));
     out += "</div>\n";
     appendCauses(out, target);
     out += "<div class=\"tables\">\n";
@@ -314,43 +321,43 @@
 
 void appendSummary(std::string &out, const burn_report &report)
 {
-    double lastDay = 0;
-    double projected = 0;
-    std::array<std::size_t, 3> byLevel{};
+    double lastDayPenalty = 0;
+    double projectedDayPenalty = 0;
+    std::array<std::size_t, 3> targetsByLevel{};
     for (const target_burn &target : report.targets) {
-        lastDay += penaltyIn(target, burn_span::Day);
-        projected += projectedPenalty(report, target);
-        ++byLevel.at(static_cast<std::size_t>(levelOf(target)));
+        lastDayPenalty += penaltyIn(target, burn_span::Day);
+        projectedDayPenalty += projectedPenalty(report, target);
+        ++targetsByLevel.at(static_cast<std::size_t>(levelOf(target)));
     }
     out += "<div class=\"tiles\">\n";
-    appendTile(out, detail::moneyText(lastDay), "penalty, last day, all targets");
-    appendTile(out, detail::moneyText(projected), "a day at the last hour's pace");
-    appendTile(
-        out, fmt::format("{} / {} / {}", byLevel[2], byLevel[1], byLevel[0]), "targets fast / slow / fine");
+    appendTile(out, detail::moneyText(lastDayPenalty), "penalty, last day, all targets");
+    appendTile(out, detail::moneyText(projectedDayPenalty), "a day at the last hour's pace");
+    appendTile(out, fmt::format("{} / {} / {}", targetsByLevel[2], targetsByLevel[1], targetsByLevel[0]),
+        "targets fast / slow / fine");
     appendTile(out, fmt::format("{} of {}", report.answered, report.known), "instances answered");
     out += "</div>\n";
 }
 
-std::string timeText(millis at)
+std::string timeText(millis timestamp)
 {
-    const auto seconds = static_cast<std::time_t>(at.count / 1000);
-    std::tm parts{};
-    gmtime_r(&seconds, &parts);
+    const auto seconds = static_cast<std::time_t>(timestamp.count / 1000);
+    std::tm calendarTime{};
+    gmtime_r(&seconds, &calendarTime);
     std::array<char, 32> text{};
-    const std::size_t length = std::strftime(text.data(), text.size(), "%Y-%m-%d %H:%M UTC", &parts);
+    const std::size_t length = std::strftime(text.data(), text.size(), "%Y-%m-%d %H:%M UTC", &calendarTime);
     return {text.data(), length};
 }
 
 }
 
-std::string burnPage(const burn_report &report, millis at)
+std::string burnPage(const burn_report &report, millis generatedAt)
 {
     std::string out =
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\n"
         "<meta name=\"viewport\" content=\"width=device-width\">\n<title>Service-level burn</title>\n";
     append(out, "<style>{}</style></head><body><main>\n<h1>Service-level burn</h1>\n", style);
     append(out, "<p class=\"faint\">{}, configuration version {}. Penalties in the tender's currency.</p>\n",
-        timeText(at), report.configVersion);
+        timeText(generatedAt), report.configVersion);
     if (const std::string caveat = detail::caveatOf(report); !caveat.empty()) {
         append(out, "<div class=\"caveat\">{}</div>\n", caveat);
     }
--- a/packages/ctl/burn_page.h
+++ b/packages/ctl/burn_page.h
@@ -7,8 +7,9 @@
 
 namespace briarhead {
 
-/// The burn report as one HTML page with inline styles and plots, that loads nothing from elsewhere.
-/// `at` is the wall clock (see wallNow()) to put on it.
-std::string burnPage(const burn_report &report, millis at);
+/// Renders the burn report as a self-contained HTML page: styles and plots are inline, and no external
+/// resource is loaded. `generatedAt` is the time shown on the page, in ms since the Unix epoch (see
+/// wallNow()).
+std::string burnPage(const burn_report &report, millis generatedAt);
 
 }
--- a/packages/ctl/burn_report.cpp
+++ b/packages/ctl/burn_report.cpp
@@ -9,13 +9,15 @@
 
 namespace {
 
+/// In the order of burn_cause.
 constexpr std::array<std::string_view, burnCauses> causeLabels{
     "load stall", "queueing", "refusal", "failed server", "other"};
-constexpr std::size_t tableCallers = 5;
+/// Callers listed per target.
+constexpr std::size_t maxTableCallers = 5;
 constexpr double msPerSecond = 1000;
 constexpr double msPerMinute = 60'000;
-/// Below this the report says that the instances don't remember the whole day.
-constexpr double fullCoverage = 0.99;
+/// Below this coverage of the last day, the report warns that earlier misses are not counted.
+constexpr double minFullCoverage = 0.99;
 
 template <class... values>
 void append(std::string &out, fmt::format_string<values...> format, values &&...args)
@@ -44,18 +46,19 @@
     if (missed == 0) {
         return;
     }
-    std::vector<std::size_t> order{0, 1, 2, 3, 4};
+    std::vector<std::size_t> causesByMisses{0, 1, 2, 3, 4};
     static_assert(burnCauses == 5);
-    std::ranges::stable_sort(order, [&](auto a, auto b) {
+    std::ranges::stable_sort(causesByMisses, [&](auto a, auto b) {
         return day.byCause[a] > day.byCause[b];
     });
     out += "  causes in a day:";
     std::string_view separator = " ";
-    for (const std::size_t cause : order) {
+    for (const std::size_t cause : causesByMisses) {
         if (day.byCause[cause] > 0) {
-            const double part = static_cast<double>(day.byCause[cause]) / static_cast<double>(missed);
+            const double shareOfMisses =
+                static_cast<double>(day.byCause[cause]) / static_cast<double>(missed);
             append(out, "{}{} {} ({})", separator, causeLabels[cause], detail::countText(day.byCause[cause]),
-                detail::percentText(part));
+                detail::percentText(shareOfMisses));
             separator = ", ";
         }
     }
@@ -64,7 +67,7 @@
 
 void appendCallers(std::string &out, const target_burn &target)
 {
-    for (const detail::caller_row &row : detail::worstCallers(target, tableCallers)) {
+    for (const detail::caller_row &row : detail::worstCallers(target, maxTableCallers)) {
         const burn_counts &day = row.burn->day;
         append(out, "  caller {}: {} of {} missed in a day, mostly {}\n", row.name,
             detail::countText(missedOf(day)), detail::countText(day.total),
@@ -72,10 +75,10 @@
     }
 }
 
-void appendTimes(std::string &out, std::string_view what, const latency_histogram &times)
+void appendTimes(std::string &out, std::string_view label, const latency_histogram &times)
 {
     if (countOf(times) > 0) {
-        append(out, "  {}: half within {}, 95% within {}, 99% within {}\n", what,
+        append(out, "  {}: half within {}, 95% within {}, 99% within {}\n", label,
             detail::quantileText(times, 0.5), detail::quantileText(times, 0.95),
             detail::quantileText(times, 0.99));
     }
@@ -95,25 +98,26 @@
     appendTimes(out, "load stall", target.stallTimes);
 }
 
-/// Sets commas into the digits before the point.
+/// Inserts commas between groups of three digits before the decimal point.
 std::string groupThousands(std::string digits)
 {
-    std::size_t at = std::min(digits.find('.'), digits.size());
-    while (at > 3) {
-        at -= 3;
-        digits.insert(at, 1, ',');
+    std::size_t position = std::min(digits.find('.'), digits.size());
+    while (position > 3) {
+        position -= 3;
+        digits.insert(position, 1, ',');
     }
     return digits;
 }
 
-/// The least of any target's coverage of a day, or 1 without targets.
-double leastCoverage(const burn_report &report)
+/// The lowest coverage of the last day among the targets; 1 if there are none.
+double minDayCoverage(const burn_report &report)
 {
-    double least = 1;
+    double minCoverage = 1;
     for (const target_burn &target : report.targets) {
-        least = std::min(least, coverage(report, windowOf(target, burn_span::Day), burn_span::Day));
+        minCoverage =
+            std::min(minCoverage, coverage(report, windowOf(target, burn_span::Day), burn_span::Day));
     }
-    return least;
+    return minCoverage;
 }
 
 }
@@ -122,17 +126,17 @@
 
 std::vector<const target_burn *> byUrgency(const burn_report &report)
 {
-    std::vector<const target_burn *> order;
+    std::vector<const target_burn *> targets;
     for (const target_burn &target : report.targets) {
-        order.push_back(&target);
+        targets.push_back(&target);
     }
-    std::ranges::stable_sort(order, [&](const target_burn *a, const target_burn *b) {
+    std::ranges::stable_sort(targets, [&](const target_burn *a, const target_burn *b) {
         const burn_level levelA = levelOf(*a);
         const burn_level levelB = levelOf(*b);
         return levelA != levelB ? levelA > levelB
                                 : projectedPenalty(report, *a) > projectedPenalty(report, *b);
     });
-    return order;
+    return targets;
 }
 
 std::string definitionOf(const target_burn &target)
@@ -221,13 +225,13 @@
         append(text, "{} of {} instances did not answer; their requests are missing here.",
             report.known - report.answered, report.known);
     }
-    const double remembered = leastCoverage(report);
-    if (remembered < fullCoverage) {
+    const double dayCoverage = minDayCoverage(report);
+    if (dayCoverage < minFullCoverage) {
         append(text,
             "{}The instances remember {} of the last day: they keep nothing over a restart, so earlier "
             "misses "
             "are not counted.",
-            text.empty() ? "" : " ", percentText(remembered));
+            text.empty() ? "" : " ", percentText(dayCoverage));
     }
     return text;
 }
--- a/packages/ctl/command.cpp
+++ b/packages/ctl/command.cpp
@@ -25,50 +25,54 @@
 using json = nlohmann::json;
 using arguments_map = std::map<std::string, docopt::value>;
 
-/// Everything a command needs.
-struct command
+/// The parsed command line and the daemon to call.
+struct command_context
 {
-    const arguments_map &given;
-    admin_access access;
-    bool asJson = false;
+    const arguments_map &arguments;
+    admin_endpoint endpoint;
+    bool asJson = false; ///< print JSON instead of a table
 
+    /// Whether a flag or a command word was given.
     bool flag(const char *name) const
     {
-        return given.at(name).isBool() && given.at(name).asBool();
+        return arguments.at(name).isBool() && arguments.at(name).asBool();
     }
-    std::string text(const char *name, const std::string &otherwise = "") const
+    /// The value of an option or argument, or `fallback` if it was not given.
+    std::string text(const char *name, const std::string &fallback = "") const
     {
-        const docopt::value &value = given.at(name);
-        return value.isString() ? value.asString() : otherwise;
+        const docopt::value &value = arguments.at(name);
+        return value.isString() ? value.asString() : fallback;
     }
 };
 
-std::string environment(const char *name, const std::string &otherwise)
+/// An environment variable, or `fallback` if it is not set or empty.
+std::string environment(const char *name, const std::string &fallback)
 {
     const char *value = std::getenv(name);
-    return value == nullptr || *value == '\0' ? otherwise : value;
+    return value == nullptr || *value == '\0' ? fallback : value;
 }
 
+/// Prints an error to standard error and returns `code`.
 exit_code fail(exit_code code, const std::string &text)
 {
     std::cerr << "briarheadctl: " << text << '\n';
     return code;
 }
 
-std::string readAll(std::istream &from)
+std::string readAll(std::istream &input)
 {
-    return {std::istreambuf_iterator<char>(from), std::istreambuf_iterator<char>()};
+    return {std::istreambuf_iterator<char>(input), std::istreambuf_iterator<char>()};
 }
 
-/// The key without the line's end that an editor or `echo` leaves behind it.
+/// Removes trailing white space, such as the newline that an editor or `echo` appends to a key.
 std::string trimmed(std::string text)
 {
     text.erase(text.find_last_not_of(" \r\n\t") + 1);
     return text;
 }
 
-/// What a daemon's refusal means to a script.
-exit_code codeOf(int status)
+/// The exit code for a response with an error status.
+exit_code exitCodeOf(int status)
 {
     if (status == 503) {
         return exit_code::Unreachable;
@@ -76,34 +80,37 @@
     return status == 504 || status == 502 ? exit_code::Unknown : exit_code::Refused;
 }
 
-/// Makes a call and reads its JSON; where that fails it has printed why and set `code`.
-std::optional<json> ask(const command &of, const std::string &method, const std::string &path,
-    const std::string &body, exit_code &code)
+/// Sends a request to the daemon and returns the JSON of its response. On failure prints the error and
+/// returns nullopt. Sets `code` in either case.
+std::optional<json> callDaemon(const command_context &context, const std::string &method,
+    const std::string &path, const std::string &body, exit_code &code)
 {
     error why;
-    const auto answer = callAdmin(of.access, method, path, body, why);
-    if (!answer) {
-        const bool sent = why.kind == error_kind::Timeout && method == "POST";
-        code = fail(sent ? exit_code::Unknown : exit_code::Unreachable,
-            "No daemon answered at " + of.access.url + ": " + why.detail
-                + (sent ? ". It may have been carried out; send the same again, a patch is applied once by "
-                          "its id."
-                        : ". Name a running one with --daemon or BRIARHEAD_DAEMON."));
+    const auto response = callAdmin(context.endpoint, method, path, body, why);
+    if (!response) {
+        const bool maybeApplied = why.kind == error_kind::Timeout && method == "POST";
+        code = fail(maybeApplied ? exit_code::Unknown : exit_code::Unreachable,
+            "No response from a daemon at " + context.endpoint.url + ": " + why.detail
+                + (maybeApplied
+                        ? ". The request may have been carried out. Send it again: a patch with the same id "
+                          "is "
+                          "applied only once."
+                        : ". Set the address of a running daemon with --daemon or BRIARHEAD_DAEMON."));
         return std::nullopt;
     }
-    json page = json::parse(answer->body, nullptr, false);
-    if (answer->status == 200 && !page.is_discarded()) {
+    json page = json::parse(response->body, nullptr, false);
+    if (response->status == 200 && !page.is_discarded()) {
         code = exit_code::Ok;
         return page;
     }
-    std::string reason = "the daemon answered " + std::to_string(answer->status);
+    std::string reason = "the daemon responded with status " + std::to_string(response->status);
     if (page.is_object() && page.contains("error")) {
         reason = page["error"].value("message", reason);
     }
-    if (of.asJson && page.is_object()) {
+    if (context.asJson && page.is_object()) {
         std::cout << page.dump() << '\n';
     }
-    code = fail(codeOf(answer->status), reason);
+    code = fail(exitCodeOf(response->status), reason);
     return std::nullopt;
 }
 
@@ -112,7 +119,8 @@
     std::cout << page.dump(2) << '\n';
 }
 
-std::string cell(const json &row, const char *name)
+/// A field of a JSON object as a table cell; "-" if it is absent or null.
+std::string cellText(const json &row, const char *name)
 {
     const auto found = row.find(name);
     if (found == row.end() || found->is_null()) {
@@ -124,18 +132,19 @@
     return found->is_string() ? found->get<std::string>() : found->dump();
 }
 
-/// Rows of a page as a table, sorted by their first column.
+/// Prints JSON objects as a table, sorted by the first column. A column is a heading and the key of its
+/// field.
 void printTable(const json &rows, const std::vector<std::pair<const char *, const char *>> &columns)
 {
     text_table table;
-    for (const auto &[title, key] : columns) {
-        table.head.emplace_back(title);
+    for (const auto &[heading, key] : columns) {
+        table.header.emplace_back(heading);
     }
     for (const json &row : rows) {
         std::vector<std::string> cells;
         cells.reserve(columns.size());
-        for (const auto &[title, key] : columns) {
-            cells.push_back(cell(row, key));
+        for (const auto &[heading, key] : columns) {
+            cells.push_back(cellText(row, key));
         }
         table.rows.push_back(std::move(cells));
     }
@@ -143,13 +152,13 @@
     std::cout << toText(table);
 }
 
-std::string timeText(std::int64_t atMs)
+std::string timeText(std::int64_t timeMs)
 {
-    const std::time_t seconds = atMs / 1000;
-    std::tm parts{};
-    gmtime_r(&seconds, &parts);
+    const std::time_t seconds = timeMs / 1000;
+    std::tm calendarTime{};
+    gmtime_r(&seconds, &calendarTime);
     char text[32];
-    std::strftime(text, sizeof text, "%Y-%m-%d %H:%M:%SZ", &parts);
+    std::strftime(text, sizeof text, "%Y-%m-%d %H:%M:%SZ", &calendarTime);
     return text;
 }
 
@@ -163,40 +172,41 @@
     return id;
 }
 
-// ---- the commands
+// Commands. Each returns the exit code of the process.
 
-exit_code patch(const command &of)
+exit_code patch(const command_context &context)
 {
-    const std::string path = of.text("FILE");
+    const std::string path = context.text("FILE");
     std::ifstream file;
     if (path != "-") {
         file.open(path);
         if (!file) {
             return fail(exit_code::Usage,
-                path + ": can't be read. Name an existing file, or '-' for standard input.");
+                path + ": cannot be read. Name an existing file, or '-' for standard input.");
         }
     }
     json body = json::parse(path == "-" ? readAll(std::cin) : readAll(file), nullptr, false);
     if (!body.is_object()) {
-        return fail(
-            exit_code::Usage, path + ": is not a JSON object. docs/OPERATIONS.md shows the form of a patch.");
+        return fail(exit_code::Usage,
+            path + ": not a JSON object. docs/OPERATIONS.md describes the format of a patch.");
     }
     if (!body.contains("id")) {
         body["id"] = newPatchId();
     }
-    if (of.given.at("--by").isString() || !body.contains("by")) {
-        body["by"] = of.text("--by", environment("USER", "operator"));
+    if (context.arguments.at("--by").isString() || !body.contains("by")) {
+        body["by"] = context.text("--by", environment("USER", "operator"));
     }
-    const bool dryRun = of.flag("--dry-run");
+    const bool dryRun = context.flag("--dry-run");
     exit_code code = exit_code::Ok;
-    const auto page = ask(of, "POST", dryRun ? "/admin/patch?dry_run=1" : "/admin/patch", body.dump(), code);
+    const auto page =
+        callDaemon(context, "POST", dryRun ? "/admin/patch?dry_run=1" : "/admin/patch", body.dump(), code);
     if (!page) {
         if (code == exit_code::Unknown) {
-            std::cerr << "  patch id: " << cell(body, "id") << '\n';
+            std::cerr << "  patch id: " << cellText(body, "id") << '\n';
         }
         return code;
     }
-    if (of.asJson) {
+    if (context.asJson) {
         print(*page);
     } else if (dryRun) {
         for (const json &line : page->value("changes", json::array())) {
@@ -209,63 +219,65 @@
     return code;
 }
 
-exit_code show(const command &of)
+exit_code show(const command_context &context)
 {
-    const std::string version = of.text("--version-number");
+    const std::string version = context.text("--version-number");
     exit_code code = exit_code::Ok;
-    const auto page =
-        ask(of, "GET", "/admin/config" + (version.empty() ? "" : "?version=" + version), "", code);
+    const auto page = callDaemon(
+        context, "GET", "/admin/config" + (version.empty() ? "" : "?version=" + version), "", code);
     if (!page) {
         return code;
     }
-    json part = *page;
-    for (const char *step : {"SECTION", "NAME"}) {
-        const std::string name = of.text(step);
+    json selected = *page;
+    for (const char *argument : {"SECTION", "NAME"}) {
+        const std::string name = context.text(argument);
         if (name.empty()) {
             continue;
         }
-        if (!part.is_object() || !part.contains(name)) {
+        if (!selected.is_object() || !selected.contains(name)) {
             return fail(exit_code::Refused,
-                name + ": is not in the configuration. 'briarheadctl show' prints all of it.");
+                name + ": not found in the configuration. 'briarheadctl show' prints all of it.");
         }
-        part = json(part[name]);
+        selected = json(selected[name]);
     }
-    print(part);
+    print(selected);
     return code;
 }
 
-exit_code history(const command &of)
+exit_code history(const command_context &context)
 {
     exit_code code = exit_code::Ok;
-    const auto page = ask(of, "GET", "/admin/history?limit=" + of.text("--limit", "20"), "", code);
+    const auto page =
+        callDaemon(context, "GET", "/admin/history?limit=" + context.text("--limit", "20"), "", code);
     if (!page) {
         return code;
     }
-    if (of.asJson) {
+    if (context.asJson) {
         print(*page);
         return code;
     }
     text_table table{{"VERSION", "WHEN", "BY", "ID", "NOTE"}, {}};
     for (const json &row : page->value("patches", json::array())) {
-        table.rows.push_back({cell(row, "version"), timeText(row.value("at_ms", std::int64_t{0})),
-            cell(row, "by"), cell(row, "id"), cell(row, "note")});
+        table.rows.push_back({cellText(row, "version"), timeText(row.value("at_ms", std::int64_t{0})),
+            cellText(row, "by"), cellText(row, "id"), cellText(row, "note")});
     }
     std::cout << toText(table);
     if (page->contains("partial")) {
-        std::cout << "Not all: " << cell(*page, "partial") << '\n';
+        std::cout << "Not all: " << cellText(*page, "partial") << '\n';
     }
     return code;
 }
 
-exit_code list(const command &of, const std::string &path, const char *key,
+/// Prints the array `key` of an admin page as a table.
+exit_code list(const command_context &context, const std::string &path, const char *key,
     const std::vector<std::pair<const char *, const char *>> &columns)
 {
     exit_code code = exit_code::Ok;
-    const auto page = ask(of, "GET", path, "", code);
+    const auto page = callDaemon(context, "GET", path, "", code);
     if (!page) {
         return code;
     }
-    if (of.asJson) {
+    if (context.asJson) {
         print(*page);
         return code;
     }
@@ -278,31 +290,31 @@
     return code;
 }
 
-exit_code drain(const command &of)
+exit_code drain(const command_context &context)
 {
-    const bool undo = of.flag("--undo");
-    const json body{{of.flag("server") ? "server" : "instance", of.text("NAME")}, {"undo", undo}};
+    const bool undo = context.flag("--undo");
+    const json body{{context.flag("server") ? "server" : "instance", context.text("NAME")}, {"undo", undo}};
     exit_code code = exit_code::Ok;
-    const auto page = ask(of, "POST", "/admin/drain", body.dump(), code);
+    const auto page = callDaemon(context, "POST", "/admin/drain", body.dump(), code);
     if (!page) {
         return code;
     }
-    if (of.asJson) {
+    if (context.asJson) {
         print(*page);
     } else {
-        std::cout << of.text("NAME") << (undo ? " takes work again.\n" : " is drained.\n");
+        std::cout << context.text("NAME") << (undo ? " takes work again.\n" : " is drained.\n");
     }
     return code;
 }
 
-exit_code burn(const command &of)
+exit_code burn(const command_context &context)
 {
     exit_code code = exit_code::Ok;
-    const auto page = ask(of, "GET", "/admin/burn", "", code);
+    const auto page = callDaemon(context, "GET", "/admin/burn", "", code);
     if (!page) {
         return code;
     }
-    if (of.asJson) {
+    if (context.asJson) {
         print(*page);
         return code;
     }
@@ -311,14 +323,14 @@
     if (!report) {
         return fail(exit_code::Refused, message(why));
     }
-    const std::string file = of.text("--html");
+    const std::string file = context.text("--html");
     if (file.empty()) {
         std::cout << burnTable(*report);
         return code;
     }
     std::ofstream out(file);
     out << burnPage(*report, wallNow());
-    return out.good() ? code : fail(exit_code::Usage, file + ": can't be written. Name another file.");
+    return out.good() ? code : fail(exit_code::Usage, file + ": cannot be written. Name another file.");
 }
 
 exit_code hashKey()
@@ -331,79 +343,79 @@
     return exit_code::Ok;
 }
 
-exit_code story(const command &of)
+exit_code story(const command_context &context)
 {
     std::string log;
-    for (const std::string &path : of.given.at("LOG").asStringList()) {
+    for (const std::string &path : context.arguments.at("LOG").asStringList()) {
         if (path == "-") {
             log += readAll(std::cin);
             continue;
         }
         std::ifstream file(path);
         if (!file) {
-            return fail(exit_code::Usage, path + ": can't be read. Name a file with a daemon's log.");
+            return fail(exit_code::Usage, path + ": cannot be read. Name a file with a daemon's log.");
         }
         log += readAll(file) + '\n';
     }
-    const request_story told = tellStory(log, of.text("ID"));
-    std::cout << storyText(told);
-    return told.lines.empty() ? exit_code::Refused : exit_code::Ok;
+    const request_story found = tellStory(log, context.text("ID"));
+    std::cout << storyText(found);
+    return found.lines.empty() ? exit_code::Refused : exit_code::Ok;
 }
 
-exit_code run(const command &of)
+exit_code run(const command_context &context)
 {
-    if (of.flag("patch")) {
-        return patch(of);
+    if (context.flag("patch")) {
+        return patch(context);
     }
-    if (of.flag("show")) {
-        return show(of);
+    if (context.flag("show")) {
+        return show(context);
     }
-    if (of.flag("history")) {
-        return history(of);
+    if (context.flag("history")) {
+        return history(context);
     }
-    if (of.flag("instances") && !of.flag("drain")) {
-        return list(of, "/admin/instances", "instances",
+    if (context.flag("instances") && !context.flag("drain")) {
+        return list(context, "/admin/instances", "instances",
             {{"NAME", "name"}, {"FAILURE DOMAIN", "failure_domain"}, {"STATE", "state"},
                 {"VERSION", "config_version"}, {"OWNS", "owned"}});
     }
-    if (of.flag("servers")) {
-        return list(of, "/admin/servers", "servers",
+    if (context.flag("servers")) {
+        return list(context, "/admin/servers", "servers",
             {{"NAME", "name"}, {"OWNER", "owner"}, {"ROLE", "role"}, {"FAILURE DOMAIN", "failure_domain"},
                 {"SLOTS", "slots"}, {"USED", "used"}, {"RUNNING", "in_flight"}, {"BATCH", "batch_limit"},
                 {"WAITING", "waiting"}, {"LEAVING", "leaving"}, {"DRAINED", "draining"}});
     }
-    if (of.flag("adapters")) {
-        const std::string name = of.text("NAME");
-        return list(of, "/admin/adapters" + (name.empty() ? "" : "?name=" + name), "adapters",
+    if (context.flag("adapters")) {
+        const std::string name = context.text("NAME");
+        return list(context, "/admin/adapters" + (name.empty() ? "" : "?name=" + name), "adapters",
             {{"ADAPTER", "adapter"}, {"SERVER", "server"}, {"OWNER", "owner"}, {"STATE", "state"},
                 {"RUNNING", "in_flight"}});
     }
-    return of.flag("drain") ? drain(of) : burn(of);
+    return context.flag("drain") ? drain(context) : burn(context);
 }
 
 }
 
 int runCommand(const std::map<std::string, docopt::value> &arguments)
 {
-    command of{arguments, {}, false};
-    if (of.flag("hash-key")) {
+    command_context context{arguments, {}, false};
+    if (context.flag("hash-key")) {
         return static_cast<int>(hashKey());
     }
-    if (of.flag("story")) {
-        return static_cast<int>(story(of));
+    if (context.flag("story")) {
+        return static_cast<int>(story(context));
     }
-    of.asJson = of.flag("--json");
-    of.access.url = of.text("--daemon", environment("BRIARHEAD_DAEMON", "http://127.0.0.1:8080"));
-    of.access.operatorKey = environment("BRIARHEAD_OPERATOR_KEY", "");
-    if (const std::string path = of.text("--key-file"); !path.empty()) {
+    context.asJson = context.flag("--json");
+    context.endpoint.url = context.text("--daemon", environment("BRIARHEAD_DAEMON", "http://127.0.0.1:8080"));
+    context.endpoint.operatorKey = environment("BRIARHEAD_OPERATOR_KEY", "");
+    if (const std::string path = context.text("--key-file"); !path.empty()) {
         std::ifstream file(path);
-        of.access.operatorKey = trimmed(readAll(file));
+        context.endpoint.operatorKey = trimmed(readAll(file));
     }
-    if (of.access.operatorKey.empty()) {
-        return static_cast<int>(fail(exit_code::Usage,
-            "No operator's key. Put it into BRIARHEAD_OPERATOR_KEY or name a file with --key-file."));
+    if (context.endpoint.operatorKey.empty()) {
+        return static_cast<int>(fail(
+            exit_code::Usage, "No operator key. Set BRIARHEAD_OPERATOR_KEY or name a file with --key-file."));
     }
-    return static_cast<int>(run(of));
+    return static_cast<int>(run(context));
 }
 
 }
--- a/packages/ctl/command.h
+++ b/packages/ctl/command.h
@@ -7,17 +7,17 @@
 
 namespace briarhead {
 
-/// The exit codes that scripts can rely on.
+/// Exit codes of briarheadctl. Scripts depend on the values.
 enum class exit_code : int
 {
     Ok = 0,
-    Usage = 1, ///< also a file or key that can't be read
-    Refused = 2, ///< certain that it was not done, and won't be as it is
-    Unknown = 3, ///< it may or may not have been done; the same patch id may be sent again
-    Unreachable = 4, ///< not done: no daemon answered, or it is not ready
+    Usage = 1, ///< invalid arguments, or a file or key that cannot be read or written
+    Refused = 2, ///< rejected: not carried out, and the same request would be rejected again
+    Unknown = 3, ///< may or may not have been carried out; a patch can be sent again with the same id
+    Unreachable = 4, ///< not carried out: no daemon responded, or it was not ready
 };
 
-/// The docopt text of briarheadctl.
+/// Help text of briarheadctl, from which docopt also parses the arguments.
 inline constexpr const char *commandUsage = R"(briarheadctl, the operator's command for briarhead.
 
 Usage:
@@ -61,7 +61,8 @@
 Exit codes: 0 done, 1 usage, 2 refused, 3 outcome unknown, 4 no daemon reachable or none ready.
 )";
 
-/// Carries out a parsed command line; prints to standard output, errors with their remedy to standard error.
+/// Runs a parsed command line and returns the exit code (see exit_code). Results are printed to standard
+/// output, errors with a remedy to standard error.
 int runCommand(const std::map<std::string, docopt::value> &arguments);
 
 }
--- a/packages/ctl/main/main.cpp
+++ b/packages/ctl/main/main.cpp
@@ -11,7 +11,8 @@
     } catch (const docopt::DocoptExitVersion &) {
         std::cout << "briarheadctl 0.1.0\n";
     } catch (const std::runtime_error &) {
-        std::cerr << "briarheadctl: The arguments fit no command. 'briarheadctl --help' lists them.\n";
+        std::cerr << "briarheadctl: The arguments do not match any command. 'briarheadctl --help' lists the "
+                     "commands.\n";
         return static_cast<int>(briarhead::exit_code::Usage);
     }
     return 0;
--- a/packages/ctl/story.cpp
+++ b/packages/ctl/story.cpp
@@ -12,6 +12,7 @@
 
 using json = nlohmann::json;
 
+/// A log line with all its fields.
 struct parsed_line
 {
     json object;
@@ -20,7 +21,7 @@
 
 std::vector<parsed_line> parseLog(const std::string &log)
 {
-    std::vector<parsed_line> out;
+    std::vector<parsed_line> lines;
     std::istringstream in(log);
     for (std::string text; std::getline(in, text);) {
         const std::size_t brace = text.find('{');
@@ -28,64 +29,64 @@
         if (!object.is_object() || !object.contains("event")) {
             continue;
         }
-        parsed_line one;
-        one.line.at = object.value("t", std::int64_t{0});
-        one.line.node = object.value("node", "");
-        one.line.event = object.value("event", "");
-        one.object = std::move(object);
-        out.push_back(std::move(one));
+        parsed_line parsed;
+        parsed.line.timeMs = object.value("t", std::int64_t{0});
+        parsed.line.node = object.value("node", "");
+        parsed.line.event = object.value("event", "");
+        parsed.object = std::move(object);
+        lines.push_back(std::move(parsed));
     }
-    return out;
+    return lines;
 }
 
-std::string fieldOf(const parsed_line &one, const char *name)
+std::string fieldOf(const parsed_line &parsed, const char *name)
 {
-    const auto found = one.object.find(name);
-    return found != one.object.end() && found->is_string() ? found->get<std::string>() : std::string();
+    const auto found = parsed.object.find(name);
+    return found != parsed.object.end() && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-/// Whether a line of no request says something about what the request met.
+/// Whether a line that names no request is about a server or an instance that handled the request.
 bool isBackground(
-    const parsed_line &one, const std::set<std::string> &servers, const std::set<std::string> &nodes)
+    const parsed_line &parsed, const std::set<std::string> &servers, const std::set<std::string> &nodes)
 {
-    if (!fieldOf(one, "id").empty()) {
+    if (!fieldOf(parsed, "id").empty()) {
         return false;
     }
-    const bool ofServer = servers.count(fieldOf(one, "server")) != 0;
-    const std::string &event = one.line.event;
-    const bool ofNode = nodes.count(one.line.node) != 0
+    const bool isAboutServer = servers.count(fieldOf(parsed, "server")) != 0;
+    const std::string &event = parsed.line.event;
+    const bool isAboutNode = nodes.count(parsed.line.node) != 0
         && (event.starts_with("config.") || event.starts_with("store.") || event.starts_with("process.")
             || event.starts_with("version.") || event.starts_with("lease."));
-    return ofServer || ofNode;
+    return isAboutServer || isAboutNode;
 }
 
-bool has(const request_story &story, const char *event)
+bool hasEvent(const request_story &story, const char *event)
 {
     return std::any_of(story.lines.begin(), story.lines.end(), [event](const story_line &line) {
         return line.event == event;
     });
 }
 
-void findMissing(request_story &story, std::int64_t dropped)
+void findMissing(request_story &story, std::int64_t droppedLines)
 {
     if (story.lines.empty()) {
         story.missing.emplace_back(
-            "no line names this request: it reached none of these instances, or its lines "
-            "were dropped; look for lines_dropped and add the other instances' logs");
+            "no log line has this request id: the request reached none of these instances, or its lines "
+            "were dropped; look for lines_dropped and add the logs of the other instances");
         return;
     }
-    if (!has(story, "request.accepted")) {
-        story.missing.emplace_back(
-            "no request.accepted: the line was dropped under load, or it is an older log");
+    if (!hasEvent(story, "request.accepted")) {
+        story.missing.emplace_back("no request.accepted: the line was dropped under load, or the log was "
+                                   "written by an older version");
     }
-    if (!has(story, "request.ended")) {
+    if (!hasEvent(story, "request.ended")) {
         story.missing.emplace_back(
-            "no request.ended: the instance died or was frozen while it had the request, "
+            "no request.ended: the instance crashed or stopped responding while it handled the request, "
             "or the line was dropped");
     }
-    if (dropped > 0) {
+    if (droppedLines > 0) {
         story.missing.emplace_back(
-            std::to_string(dropped) + " lines were dropped on these instances around that time");
+            std::to_string(droppedLines) + " lines were dropped by these instances around that time");
     }
 }
 
@@ -93,59 +94,61 @@
 
 request_story tellStory(const std::string &log, const std::string &id)
 {
-    const std::vector<parsed_line> all = parseLog(log);
+    const std::vector<parsed_line> parsedLines = parseLog(log);
     std::set<std::string> servers;
     std::set<std::string> nodes;
-    std::int64_t first = 0;
-    std::int64_t last = 0;
-    for (const parsed_line &one : all) {
-        if (fieldOf(one, "id") != id) {
+    std::int64_t firstMs = 0;
+    std::int64_t lastMs = 0;
+    for (const parsed_line &parsed : parsedLines) {
+        if (fieldOf(parsed, "id") != id) {
             continue;
         }
-        nodes.insert(one.line.node);
-        if (const std::string server = fieldOf(one, "server"); !server.empty()) {
+        nodes.insert(parsed.line.node);
+        if (const std::string server = fieldOf(parsed, "server"); !server.empty()) {
             servers.insert(server);
         }
-        first = first == 0 ? one.line.at : std::min(first, one.line.at);
-        last = std::max(last, one.line.at);
+        firstMs = firstMs == 0 ? parsed.line.timeMs : std::min(firstMs, parsed.line.timeMs);
+        lastMs = std::max(lastMs, parsed.line.timeMs);
     }
     request_story story;
-    std::int64_t dropped = 0;
-    for (const parsed_line &one : all) {
-        const bool own = fieldOf(one, "id") == id;
-        const bool near = first != 0 && one.line.at >= first - storyBackgroundMs && one.line.at <= last;
-        if (near && nodes.count(one.line.node) != 0) {
-            dropped += one.object.value("lines_dropped", std::int64_t{0});
+    std::int64_t droppedLines = 0;
+    for (const parsed_line &parsed : parsedLines) {
+        const bool namesRequest = fieldOf(parsed, "id") == id;
+        const bool isCloseInTime =
+            firstMs != 0 && parsed.line.timeMs >= firstMs - storyBackgroundMs && parsed.line.timeMs <= lastMs;
+        if (isCloseInTime && nodes.count(parsed.line.node) != 0) {
+            droppedLines += parsed.object.value("lines_dropped", std::int64_t{0});
         }
-        if (!own && !(near && isBackground(one, servers, nodes))) {
+        if (!namesRequest && !(isCloseInTime && isBackground(parsed, servers, nodes))) {
             continue;
         }
-        story_line line = one.line;
-        json rest = one.object;
-        for (const char *told : {"t", "node", "event"}) {
-            rest.erase(told);
+        story_line line = parsed.line;
+        json fields = parsed.object;
+        for (const char *name : {"t", "node", "event"}) {
+            fields.erase(name);
         }
-        line.rest = rest.dump();
+        line.fields = fields.dump();
         story.lines.push_back(std::move(line));
     }
     std::stable_sort(story.lines.begin(), story.lines.end(), [](const story_line &a, const story_line &b) {
-        return a.at < b.at;
+        return a.timeMs < b.timeMs;
     });
-    findMissing(story, dropped);
+    findMissing(story, droppedLines);
     return story;
 }
 
 std::string storyText(const request_story &story)
 {
-    std::ostringstream out;
-    const std::int64_t start = story.lines.empty() ? 0 : story.lines.front().at;
+    std::ostringstream lines;
+    const std::int64_t startMs = story.lines.empty() ? 0 : story.lines.front().timeMs;
     for (const story_line &line : story.lines) {
-        out << line.at - start << " ms  " << line.node << "  " << line.event << "  " << line.rest << '\n';
+        lines << line.timeMs - startMs << " ms  " << line.node << "  " << line.event << "  " << line.fields
+              << '\n';
     }
-    for (const std::string &gap : story.missing) {
-        out << "missing: " << gap << '\n';
+    for (const std::string &notice : story.missing) {
+        lines << "missing: " << notice << '\n';
     }
-    return out.str();
+    return lines.str();
 }
 
 }
--- a/packages/ctl/story.h
+++ b/packages/ctl/story.h
@@ -6,31 +6,33 @@
 
 namespace briarhead {
 
-/// One line of a daemon's log that says something about a request.
+/// One log line of a daemon that belongs to the story of a request.
 struct story_line
 {
-    std::int64_t at = 0; ///< ms since the Unix epoch, by that instance's clock
-    std::string node;
+    std::int64_t timeMs = 0; ///< ms since the Unix epoch, by the clock of the instance that logged it
+    std::string node; ///< the instance that logged the line
     std::string event;
-    std::string rest; ///< the other fields as JSON
+    std::string fields; ///< the remaining fields as a JSON object
 };
 
-/// What the logs of one or more daemons tell of a request.
+/// What the logs of one or more daemons record about a request.
 struct request_story
 {
-    std::vector<story_line> lines; ///< in order of time
-    std::vector<std::string> missing; ///< what should be there and isn't, and why that may be
+    std::vector<story_line> lines; ///< sorted by time
+    std::vector<std::string> missing; ///< expected lines that were not found, each with the likely reason
 };
 
-/// Lines about a server or a configuration belong to a story if they are at most this much older than its
-/// first line, in ms: beliefs change within seconds.
+/// Lines about a server or an instance are included from this long before the request's first line, in ms.
+/// The state that an instance assumes of others changes within seconds, so older lines say nothing about the
+/// request.
 constexpr std::int64_t storyBackgroundMs = 3'000;
 
-/// The story of the request with that id, out of log lines (one JSON object each, anything may stand in front
-/// of it). Lines about the servers and instances that the request met are told with it.
+/// Collects the lines about the request with the given id from a log. Each line holds one JSON object, with
+/// any text before it; other lines are skipped. Lines about the servers and instances that handled the
+/// request are included if they are close to it in time.
 request_story tellStory(const std::string &log, const std::string &id);
 
-/// For people: a line each, times relative to the first.
+/// Formats a story as text, one line per event, with times relative to the first.
 std::string storyText(const request_story &story);
 
 }
--- a/tests/unit/story_test.cpp
+++ b/tests/unit/story_test.cpp
@@ -18,27 +18,27 @@
 
 }
 
-// A user complains about a request. On-call engineers have its id and the logs of some instances: the
-// request's own lines come in order of time, with what was known of the servers that it met.
-TEST(Story, TellsARequestWithWhatItMet)
+// An on-call engineer has the id of a failed request and the logs of some instances. The story has the lines
+// of the request sorted by time, and those about the servers that it was sent to.
+TEST(Story, IncludesLinesOfTheRequestAndItsServersInTimeOrder)
 {
     const request_story story = tellStory(log, "r1");
     ASSERT_EQ(story.lines.size(), 5U);
     EXPECT_EQ(story.lines[0].event, "server.draining");
-    EXPECT_NE(story.lines[0].rest.find("s1"), std::string::npos);
+    EXPECT_NE(story.lines[0].fields.find("s1"), std::string::npos);
     EXPECT_EQ(story.lines.back().event, "request.ended");
     EXPECT_TRUE(story.missing.empty());
     EXPECT_NE(storyText(story).find("60 ms  n1  request.broken"), std::string::npos);
 }
 
-TEST(Story, SaysWhatIsMissing)
+TEST(Story, ReportsMissingAndDroppedLines)
 {
     EXPECT_FALSE(tellStory(log, "r3").missing.empty());
-    const request_story cut =
+    const request_story incomplete =
         tellStory(R"({"t":1,"event":"request.accepted","node":"n1","id":"r1","lines_dropped":7})", "r1");
-    ASSERT_EQ(cut.missing.size(), 2U);
-    EXPECT_NE(cut.missing[0].find("request.ended"), std::string::npos);
-    EXPECT_NE(cut.missing[1].find("7 lines"), std::string::npos);
+    ASSERT_EQ(incomplete.missing.size(), 2U);
+    EXPECT_NE(incomplete.missing[0].find("request.ended"), std::string::npos);
+    EXPECT_NE(incomplete.missing[1].find("7 lines"), std::string::npos);
 }
 
 }
