--- a/packages/ctl/burn_page.cpp
+++ b/packages/ctl/burn_page.cpp
@@ -44,7 +44,8 @@
 .key:first-child { margin-left: 0; }
 )css";
 
-/// Bar colours in the order of burn_cause. The Okabe-Ito palette stays distinguishable with colour blindness.
+/// Colours of the causes, in the order of burn_cause. Uses the Okabe-Ito palette, which is distinguishable
+/// with any colour vision.
 constexpr std::array<std::string_view, burnCauses> causeColours{
     "#e69f00", "#56b4e9", "#009e73", "#d55e00", "#999999"};
 
@@ -125,7 +126,7 @@
     millis step; ///< time between two points
 };
 
-plot_series makePlot(std::span<const burn_point> points, double share, millis step)
+plot_series makePlotSeries(std::span<const burn_point> points, double share, millis step)
 {
     double maxPointRate = minPlotRate;
     for (const burn_point &point : points) {
@@ -308,8 +309,10 @@
     appendTile(out, detail::moneyText(penaltyIn(target, burn_span::Day)), "penalty, last day");
     appendTile(out, detail::moneyText(projectedPenalty(report, target)), "a day at the last hour's pace");
     out += "</div>\n<div class=\"plots\">\n";
-    appendPlot(out, "Burn rate, last hour, by the minute", makePlot(target.hour, target.share, hourStep));
-    appendPlot(out, "Burn rate, last day, by the half hour", makePlot(target.day, target.share, dayStep));
+    appendPlot(
+        out, "Burn rate, last hour, by the minute", makePlotSeries(target.hour, target.share, hourStep));
+    appendPlot(
+        out, "Burn rate, last day, by the half hour", makePlotSeries(target.day, target.share, dayStep));
     out += "</div>\n";
     appendCauses(out, target);
     out += "<div class=\"tables\">\n";
@@ -338,6 +341,7 @@
     out += "</div>\n";
 }
 
+/// A time since the Unix epoch as UTC, to the minute.
 std::string timeText(millis timestamp)
 {
     const auto seconds = static_cast<std::time_t>(timestamp.count / 1000);
--- a/packages/ctl/burn_report.h
+++ b/packages/ctl/burn_report.h
@@ -30,7 +30,7 @@
 std::string durationText(double ms);
 /// A quantile of a histogram as a duration; "4.37 min or more" if it lies in the open-ended last bin.
 std::string quantileText(const latency_histogram &times, double quantile);
-/// A share of 1 as a percentage: "12.5%", or "under 0.1%" for a small share that is not 0.
+/// A share of 1 as a percentage: "12.5%", or "under 0.1%" if it is smaller and not 0.
 std::string percentText(double share);
 /// Two decimals below 100, none from there on.
 std::string rateText(double burnRate);
--- a/packages/ctl/command.cpp
+++ b/packages/ctl/command.cpp
@@ -92,9 +92,8 @@
         code = fail(maybeApplied ? exit_code::Unknown : exit_code::Unreachable,
             "No response from a daemon at " + context.endpoint.url + ": " + why.detail
                 + (maybeApplied
-                        ? ". The request may have been carried out. Send it again: a patch with the same id "
-                          "is "
-                          "applied only once."
+                        ? ". The request may have been carried out. Send it again: a patch with the same "
+                          "id is applied only once."
                         : ". Set the address of a running daemon with --daemon or BRIARHEAD_DAEMON."));
         return std::nullopt;
     }
@@ -162,6 +161,7 @@
     return text;
 }
 
+/// A random id, under which the daemon applies the patch at most once.
 std::string newPatchId()
 {
     std::random_device random;
@@ -333,6 +333,7 @@
     return out.good() ? code : fail(exit_code::Usage, file + ": cannot be written. Name another file.");
 }
 
+/// Prints the hash of the key on standard input.
 exit_code hashKey()
 {
     const std::string key = trimmed(readAll(std::cin));
@@ -362,6 +363,7 @@
     return found.lines.empty() ? exit_code::Refused : exit_code::Ok;
 }
 
+/// Runs a command that calls a daemon.
 exit_code run(const command_context &context)
 {
     if (context.flag("patch")) {
--- a/packages/ctl/command.h
+++ b/packages/ctl/command.h
@@ -12,7 +12,7 @@
 {
     Ok = 0,
     Usage = 1, ///< invalid arguments, or a file or key that cannot be read or written
-    Refused = 2, ///< rejected: not carried out, and the same request would be rejected again
+    Refused = 2, ///< rejected or not found: certainly not carried out, and a retry would fail again
     Unknown = 3, ///< may or may not have been carried out; a patch can be sent again with the same id
     Unreachable = 4, ///< not carried out: no daemon responded, or it was not ready
 };
--- a/packages/ctl/story.cpp
+++ b/packages/ctl/story.cpp
@@ -12,13 +12,14 @@
 
 using json = nlohmann::json;
 
-/// A log line with all its fields.
+/// A log line and the JSON object that it was read from.
 struct parsed_line
 {
     json object;
     story_line line;
 };
 
+/// The log lines that hold an event; others are skipped.
 std::vector<parsed_line> parseLog(const std::string &log)
 {
     std::vector<parsed_line> lines;
@@ -39,6 +40,7 @@
     return lines;
 }
 
+/// A field that holds a string; empty if there is none.
 std::string fieldOf(const parsed_line &parsed, const char *name)
 {
     const auto found = parsed.object.find(name);
@@ -67,6 +69,7 @@
     });
 }
 
+/// Records which lines a complete story would have, but this one lacks.
 void findMissing(request_story &story, std::int64_t droppedLines)
 {
     if (story.lines.empty()) {
@@ -139,16 +142,16 @@
 
 std::string storyText(const request_story &story)
 {
-    std::ostringstream lines;
+    std::ostringstream out;
     const std::int64_t startMs = story.lines.empty() ? 0 : story.lines.front().timeMs;
     for (const story_line &line : story.lines) {
-        lines << line.timeMs - startMs << " ms  " << line.node << "  " << line.event << "  " << line.fields
-              << '\n';
+        out << line.timeMs - startMs << " ms  " << line.node << "  " << line.event << "  " << line.fields
+            << '\n';
     }
-    for (const std::string &notice : story.missing) {
-        lines << "missing: " << notice << '\n';
+    for (const std::string &missing : story.missing) {
+        out << "missing: " << missing << '\n';
     }
-    return lines.str();
+    return out.str();
 }
 
 }
--- a/packages/ctl/story.h
+++ b/packages/ctl/story.h
@@ -27,9 +27,9 @@
 /// request.
 constexpr std::int64_t storyBackgroundMs = 3'000;
 
-/// Collects the lines about the request with the given id from a log. Each line holds one JSON object, with
-/// any text before it; other lines are skipped. Lines about the servers and instances that handled the
-/// request are included if they are close to it in time.
+/// Collects the log lines of the request with the given id. A line of `log` should hold a JSON object, which
+/// may be preceded by other text; lines without one are skipped. Lines about the servers and instances that
+/// handled the request are included from storyBackgroundMs before its first line to its last line.
 request_story tellStory(const std::string &log, const std::string &id);
 
 /// Formats a story as text, one line per event, with times relative to the first.
