--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -171,7 +171,7 @@
 void owner_task::refuseBlocked(const job &one)
 {
     answerEnd(one,
-        {one.request.id, outcome::NotRun, error_kind::EndsServers, "servers ended under this request",
+        {one.request.id, outcome::NotRun, error_kind::CrashesServers, "servers ended under this request",
             m_crashes.comeBackAfter(one.request.fingerprint).count});
     m_jobs.erase(one.request.id);
 }
--- a/packages/daemon/entry_task.cpp
+++ b/packages/daemon/entry_task.cpp
@@ -164,7 +164,7 @@
     one->trial = granted;
     if (!granted) {
         answer(one,
-            {outcome::NotRun, {error_kind::EndsServers, one->path, "servers ended under this request"},
+            {outcome::NotRun, {error_kind::CrashesServers, one->path, "servers ended under this request"},
                 m_crashes.comeBackAfter(one->fingerprint)});
     } else if (one->service.empty()) {
         route(one);
--- a/packages/state/error.cpp
+++ b/packages/state/error.cpp
@@ -49,7 +49,7 @@
         {"key_in_progress", "Wait for the first request with this idempotency key to end."}},
     error_row{error_kind::KeyUnknown,
         {"key_unknown", "Find out whether the request took effect before sending it under a new key."}},
-    error_row{error_kind::EndsServers,
+    error_row{error_kind::CrashesServers,
         {"ends_servers", "Change the request, or have an operator clear it once the servers bear it."}},
     error_row{error_kind::BadFrame, {"bad_frame", "Run the same release on both instances."}},
     error_row{error_kind::Internal, {"internal", "Report this with the log lines around it."}},
--- a/packages/state/error.h
+++ b/packages/state/error.h
@@ -33,7 +33,7 @@
     ServiceDown,
     KeyInProgress,
     KeyUnknown,
-    EndsServers,
+    CrashesServers,
     BadFrame,
     Internal,
 };
--- a/tests/failure/owner_guard_test.cpp
+++ b/tests/failure/owner_guard_test.cpp
@@ -202,7 +202,7 @@
     ASSERT_TRUE(ended(waits));
     EXPECT_EQ(m_ends.count(stream), 0U) << "not held until the place is free";
     EXPECT_EQ(m_ends[waits].result, outcome::NotRun);
-    EXPECT_EQ(m_ends[waits].why, error_kind::EndsServers);
+    EXPECT_EQ(m_ends[waits].why, error_kind::CrashesServers);
     EXPECT_GT(m_ends[waits].retryAfterMs, 0);
     ASSERT_TRUE(ended(stream));
     EXPECT_EQ(m_engine->recorded("run").size(), 1U);
