--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -174,7 +174,7 @@
 void owner_task::refuseBlocked(const request_job &job)
 {
     sendRunEnd(job,
-        {job.request.id, outcome::NotRun, error_kind::EndsServers, "servers ended under this request",
+        {job.request.id, outcome::NotRun, error_kind::CrashesServers, "servers ended under this request",
             m_crashes.blockedRetryAfter(job.request.fingerprint).count});
     m_jobs.erase(job.request.id);
 }
--- a/packages/daemon/entry_task.cpp
+++ b/packages/daemon/entry_task.cpp
@@ -165,7 +165,7 @@
     request->isProbe = granted;
     if (!granted) {
         respondFailure(request,
-            {outcome::NotRun, {error_kind::EndsServers, request->path, "servers ended under this request"},
+            {outcome::NotRun, {error_kind::CrashesServers, request->path, "servers ended under this request"},
                 m_crashes.blockedRetryAfter(request->fingerprint)});
     } else if (request->service.empty()) {
         route(request);
