--- a/packages/coordination/config_task.cpp
+++ b/packages/coordination/config_task.cpp
@@ -279,8 +279,7 @@
     if (m_restoring || rendezvousFirst("config-restore", names) != m_options.self) {
         return;
     }
-    spdlog::error(
-        "config: the key-value service holds version {}, below version {} in force; writing the latter back",
+    spdlog::error("config: the key-value service holds version {} but {} is in force; writing it back",
         found.head.version, m_current->version);
     m_restoring = true;
     m_store.compact(
--- a/packages/coordination/membership_task.cpp
+++ b/packages/coordination/membership_task.cpp
@@ -116,13 +116,13 @@
         } else if (previous->second.state != peer.state) {
             spdlog::info("members: {} is {}.", peer.name, nameOf(peer.state));
         } else if (previous->second.incarnation != 0 && previous->second.incarnation != peer.incarnation) {
-            spdlog::info("members: {} has been restarted.", peer.name);
+            spdlog::info("members: {} has a new process.", peer.name);
         }
         current.emplace(peer.name, peer);
     }
     for (const auto &[name, loggedPeer] : m_logged) {
         if (!current.contains(name)) {
-            spdlog::info("members: {} is dead and off the live list; removed.", name);
+            spdlog::info("members: {} is forgotten: dead and off the live list.", name);
         }
     }
     m_logged = std::move(current);
--- a/packages/coordination/owner_loads.cpp
+++ b/packages/coordination/owner_loads.cpp
@@ -298,7 +298,7 @@
     const double random01 = std::uniform_real_distribution<double>(0, 1)(m_random);
     const millis pause{loadBackoffMs(slot.failures, random01)};
     slot.notBefore = now + pause;
-    spdlog::warn("owner: {} failed to load {}: {} Next attempt in {} ms.", server.instance.name,
+    spdlog::warn("owner: {} did not load {}: {} Next attempt in {} ms.", server.instance.name,
         toString(adapter), message(response.why), pause.count);
     // The waiting requests are refused now, so that their entries can try another server before their
     // deadlines.
--- a/packages/coordination/owner_runs.cpp
+++ b/packages/coordination/owner_runs.cpp
@@ -235,8 +235,8 @@
             // The engine may have used another adapter or an older version, which shows in its own header. No
             // byte of the response has been sent to the caller yet.
             if (adapter != toString(running.request.adapter)) {
-                spdlog::error("owner: {} ran adapter {} instead of {}; dropping its response.",
-                    running.request.server, adapter, toString(running.request.adapter));
+                spdlog::error("owner: {} ran {} for {}; dropping its response.", running.request.server,
+                    adapter, toString(running.request.adapter));
                 finishRun(id,
                     {outcome::Unknown, {error_kind::Internal, running.request.server, "wrong adapter"}, {}});
                 return;
--- a/packages/coordination/ownership_session.cpp
+++ b/packages/coordination/ownership_session.cpp
@@ -22,7 +22,7 @@
     m_serviceFailures = responded ? 0 : m_serviceFailures + 1;
     const bool reachable = m_serviceFailures < minOutageFailures;
     if (reachable != m_serviceReachable) {
-        spdlog::warn("ownership: the key-value service is {}.", reachable ? "back" : "out");
+        spdlog::warn("ownership: The key-value service is {}.", reachable ? "back" : "out");
         m_serviceReachable = reachable;
     }
 }
@@ -114,8 +114,7 @@
         // Guards against overwriting the key of an older process of this instance's name that is paused while
         // its lease is still valid. Peers would consider its session ended and evict adapters that it serves.
         // So its lease must expire first.
-        spdlog::info("ownership: not opening a session yet: the session of an older process of this instance "
-                     "has not expired.");
+        spdlog::info("ownership: Waiting for the session of an older process of this instance to expire.");
         m_sessionRevision = 0;
     };
     m_kv.compareAndSwap(ownerSessionKey(m_options.self), m_sessionRevision, value, lease, onWritten);
@@ -132,7 +131,7 @@
 
 void ownership_task::onLeaseLost()
 {
-    spdlog::warn("ownership: the session lease has expired; opening a new session.");
+    spdlog::warn("ownership: The lease is gone; opening a new session.");
     m_lease = 0;
     m_renewAt = bootNow() + millis{retryDelay().count - sessionRetryMs};
     // Guards against a peer that saw this daemon's session end and takes over a server while this daemon
--- a/packages/coordination/ownership_task.cpp
+++ b/packages/coordination/ownership_task.cpp
@@ -56,8 +56,7 @@
         tracked_server *server = find(refusal.server);
         if (server != nullptr && server->active) {
             server->supersededBy = std::max(server->supersededBy, refusal.fencingToken);
-            spdlog::warn(
-                "ownership: {} refused this daemon's fencing token; it holds token {}. Giving the server up.",
+            spdlog::warn("ownership: {} refused our fencing number; it holds token {}. Giving the server up.",
                 refusal.server, refusal.fencingToken);
             dropServer(*server);
         }
@@ -416,8 +415,7 @@
         return;
     }
     spdlog::warn(
-        "ownership: the key-value service is unreachable; claiming {}, whose owner is dead, on its engine.",
-        server.instance.name);
+        "ownership: The service is out. Claiming the orphan {} on its engine.", server.instance.name);
     server.predecessor = server.record;
     server.outageClaim = true;
     installFencingToken(server, *token);
--- a/packages/daemon/entry_task.cpp
+++ b/packages/daemon/entry_task.cpp
@@ -313,8 +313,8 @@
     // reported; this checks the owner's report against the version that the request was bound to at
     // admission, before the first byte is sent to the caller.
     if (event.adapter != toString(request.adapter)) {
-        spdlog::error("entry: Owner {} reported adapter {} for a request to {}; attempt canceled.",
-            request.owner, event.adapter, toString(request.adapter));
+        spdlog::error("entry: {} answered with {} for {}; attempt canceled.", request.owner, event.adapter,
+            toString(request.adapter));
         const request_ptr mismatched = removePending(event.id);
         m_bus.post(send_to{mismatched->owner, run_cancel{event.id}});
         onAttemptEnd(mismatched, outcome::Unknown, error_kind::Internal, "wrong adapter", {});
--- a/packages/daemon/main/main.cpp
+++ b/packages/daemon/main/main.cpp
@@ -53,7 +53,7 @@
         return exitBadSettings;
     }
     if (arguments.at("--check-settings").asBool()) {
-        std::cout << "settings: All is well.\n";
+        std::cout << "settings: valid\n";
         return 0;
     }
     std::signal(SIGPIPE, SIG_IGN);
--- a/packages/serving/store_task.h
+++ b/packages/serving/store_task.h
@@ -74,7 +74,8 @@
 {
     bool config = false;
     std::vector<std::string> removedServers; ///< also those restarted under the same id: they hold nothing
-    std::vector<std::string> crashedServers; ///< the removed ones that had not announced leaving
+    /// The removed ones that had not announced leaving. The others stop as planned, with what they still ran.
+    std::vector<std::string> crashedServers;
     std::vector<std::string> crashes; ///< fingerprints whose record was written or removed
 };
 
