--- a/packages/serving/store_task.h
+++ b/packages/serving/store_task.h
@@ -64,7 +64,7 @@
 /// TTL is as short as one or two lost renewals allow.
 constexpr millis shortLeaseTtl{2'500};
 /// TTL where servers check fencing tokens: a daemon is replaced as soon as it is unresponsive (see
-/// peer_hearing.h), so its lease only has to expire eventually. With 195 daemons, renewals every 800 ms made
+/// peer_liveness.h), so its lease only has to expire eventually. With 195 daemons, renewals every 800 ms made
 /// up half of the cost of all store calls, 0.024 of a low-traffic day's score.
 constexpr millis longLeaseTtl{6'000};
 millis leaseTtlFor(const node_settings &settings);
